--- a/basaltpoint/cli.py
+++ b/basaltpoint/cli.py
@@ -38,13 +38,13 @@
 
 
 def _hash_key(args: argparse.Namespace) -> int:
-    from basaltpoint.routing.accounts import SHORTEST_KEY, digest
+    from basaltpoint.routing.accounts import MIN_KEY_BYTES, key_digest
 
     key = sys.stdin.buffer.readline().strip()
-    if len(key) < SHORTEST_KEY:
-        print(f"a key has {SHORTEST_KEY} bytes at least; this one has {len(key)}", file=sys.stderr)
+    if len(key) < MIN_KEY_BYTES:
+        print(f"a key has {MIN_KEY_BYTES} bytes at least; this one has {len(key)}", file=sys.stderr)
         return 2
-    print("sha256:" + digest(key).hex())
+    print("sha256:" + key_digest(key).hex())
     return 0
 
 
--- a/basaltpoint/config/build.py
+++ b/basaltpoint/config/build.py
@@ -21,9 +21,9 @@
 from basaltpoint.config.schema import AccountTable, ClassTable, File, KeyMissing, RouteTable, ServerTable
 from basaltpoint.interface import Effect
 from basaltpoint.routing import regex
-from basaltpoint.routing.accounts import Account, Accounts, Identity, Missing, Networks
+from basaltpoint.routing.accounts import Account, Accounts, IdentitySettings, KeyPolicy, Networks
 from basaltpoint.routing.path import PathError, normal_path
-from basaltpoint.routing.routes import Form, Handling, Rewrite, Route, Routes
+from basaltpoint.routing.routes import ClassRules, PathForm, Rewrite, Route, Routes
 
 DIGEST = re.compile(r"sha256:([0-9a-f]{64})")
 TOKEN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")  # RFC 9110, 5.6.2
@@ -158,7 +158,7 @@
             self.file,
             listen,
             self._settings(classes, pools),
-            Routes(routes, regex.Set),
+            Routes(routes, regex.ExpressionSet),
             accounts,
             servers,
             {pool.name: self.numbers.of("pool", pool.name) for pool in self.file.pool},
@@ -212,8 +212,8 @@
                     f"from the plan's rate, {plan.rate:g}",
                 )
 
-    def _classes(self) -> tuple[list[api.RequestClass], list[Handling]]:
-        classes, made = [], list[Handling]()
+    def _classes(self) -> tuple[list[api.RequestClass], list[ClassRules]]:
+        classes, made = [], list[ClassRules]()
         for at, row in enumerate(self.file.class_):
             path = f"class[{at}]"
             if row.aim_ms > row.deadline_ms:
@@ -233,7 +233,7 @@
                 twin = len(classes)
                 classes.append(self._class(row, Effect.UNSAFE, row.name + " without a key"))
             key = row.key_header.lower() if row.effect is Effect.KEYED else ""
-            made.append(Handling(at, row.effect, row.deadline_ms, key, twin, row.deadline_header.lower()))
+            made.append(ClassRules(at, row.effect, row.deadline_ms, key, twin, row.deadline_header.lower()))
         return classes, made
 
     def _class(self, row: ClassTable, effect: Effect, name: str = "") -> api.RequestClass:
@@ -315,7 +315,7 @@
         )
 
     # --- Routes ----------------------------------------------------------------------------------
-    def _routes(self, handlings: list[Handling]) -> tuple[list[Route], dict[int, tuple[int, ...]]]:
+    def _routes(self, handlings: list[ClassRules]) -> tuple[list[Route], dict[int, tuple[int, ...]]]:
         most = max((plan.burst for plan in self.file.plan), default=0.0)
         routes: list[Route] = []
         members: dict[int, set[int]] = {self.numbers.of("pool", pool.name): set() for pool in self.file.pool}
@@ -332,8 +332,10 @@
             if made is None:
                 continue
             routes.append(made)
-            members[made.pool] |= {n for n in (made.handling.cls, made.handling.twin) if n is not None}
-            key = made.priority, made.hosts, made.form, made.path, made.methods, made.headers
+            members[made.pool] |= {
+                n for n in (made.class_rules.class_number, made.class_rules.unkeyed_class) if n is not None
+            }
+            key = made.priority, made.hosts, made.path_form, made.path, made.methods, made.headers
             if seen.setdefault(key, at) != at:
                 self.out.add(
                     path,
@@ -342,7 +344,7 @@
                 )
         return routes, {number: tuple(sorted(found)) for number, found in members.items()}
 
-    def _route(self, row: RouteTable, path: str, handlings: list[Handling], known: bool) -> Route | None:
+    def _route(self, row: RouteTable, path: str, handlings: list[ClassRules], known: bool) -> Route | None:
         before = len(self.out.problems)
         form, text = self._form(row, path)
         self._patterns(row, path)
@@ -352,8 +354,8 @@
         return Route(
             name=row.name,
             pool=self.numbers.of("pool", row.pool),
-            handling=handlings[self.classes[row.class_]],
-            form=form,
+            class_rules=handlings[self.classes[row.class_]],
+            path_form=form,
             path=text,
             hosts=row.hosts,
             methods=frozenset(row.methods),
@@ -363,12 +365,12 @@
             rewrite=rewrite,
             set_headers=_pairs(row.set_headers),
             drop_headers=frozenset(name.lower().encode() for name in row.drop_headers),
-            answer_headers=_pairs(row.answer_headers),
-            body_bytes=row.body_kb * 1024,
-            body_most=row.body_max_kb * 1024,
+            response_headers=_pairs(row.answer_headers),
+            max_kept_body_bytes=row.body_kb * 1024,
+            max_body_bytes=row.body_max_kb * 1024,
         )
 
-    def _form(self, row: RouteTable, path: str) -> tuple[Form, str]:
+    def _form(self, row: RouteTable, path: str) -> tuple[PathForm, str]:
         given = [key for key in ("path", "prefix", "regex") if getattr(row, key)]
         if len(given) > 1:
             self.out.add(path, "found " + " and ".join(given), "one of path, prefix and regex")
@@ -378,13 +380,13 @@
             self._normal(getattr(row, key), f"{path}.{key}")
         if row.regex:
             try:
-                regex.check(row.regex)
+                regex.check_expression(row.regex)
             except regex.RegexError as error:
                 self.out.add(f"{path}.regex", f"found {shown(row.regex)}: {error}", "an RE2 expression")
-            return Form.REGEX, row.regex
+            return PathForm.REGEX, row.regex
         if row.path:
-            return Form.EXACT, row.path
-        return (Form.PREFIX, row.prefix) if row.prefix else (Form.ANY, "")
+            return PathForm.EXACT, row.path
+        return (PathForm.PREFIX, row.prefix) if row.prefix else (PathForm.ANY, "")
 
     def _normal(self, text: str, path: str) -> None:
         if not text:
@@ -448,7 +450,7 @@
                 self.out.add(f"{path}.keys", "none", "one digest at least")
             for at, text in enumerate(row.keys):
                 self._key(f"{path}.keys[{at}]", text, account, found)
-        identity = Identity(table.header.lower(), table.bearer, table.no_key, table.unknown_key, plan)
+        identity = IdentitySettings(table.header.lower(), table.bearer, table.no_key, table.unknown_key, plan)
         return Accounts(found, identity)
 
     def _key(self, path: str, text: str, account: Account, found: dict[bytes, Account]) -> None:
@@ -465,7 +467,7 @@
 
     def _anonymous(self) -> int:
         table = self.file.identity
-        wanted = Missing.ANONYMOUS in (table.no_key, table.unknown_key)
+        wanted = KeyPolicy.ANONYMOUS in (table.no_key, table.unknown_key)
         if wanted and not table.anonymous_plan:
             self.out.add("identity.anonymous_plan", "missing", "the name of a plan, as strangers are let in")
         if table.anonymous_plan and self._known(
--- a/basaltpoint/config/schema.py
+++ b/basaltpoint/config/schema.py
@@ -12,7 +12,7 @@
 from msgspec import Meta
 
 from basaltpoint.interface import Effect
-from basaltpoint.routing.accounts import Missing
+from basaltpoint.routing.accounts import KeyPolicy
 
 
 class KeyMissing(Enum):
@@ -95,12 +95,12 @@
     bearer: Annotated[
         bool, described("Whether `Authorization: Bearer KEY` counts, too; the header goes first.")
     ] = True
-    no_key: Annotated[Missing, described("A request with no key: 401, or the anonymous plan.")] = (
-        Missing.REFUSE
+    no_key: Annotated[KeyPolicy, described("A request with no key: 401, or the anonymous plan.")] = (
+        KeyPolicy.REFUSE
     )
     unknown_key: Annotated[
-        Missing, described("A request with a key of no account: 401, or the anonymous plan.")
-    ] = Missing.REFUSE
+        KeyPolicy, described("A request with a key of no account: 401, or the anonymous plan.")
+    ] = KeyPolicy.REFUSE
     anonymous_plan: Annotated[
         str,
         described(
--- a/basaltpoint/daemon/fleet.py
+++ b/basaltpoint/daemon/fleet.py
@@ -26,7 +26,7 @@
 from basaltpoint.peers.machine import Peers
 from basaltpoint.peers.messages import Row, State
 from basaltpoint.peers.options import Options
-from basaltpoint.system.listening import listener_when_free
+from basaltpoint.system.listening import open_listener_when_free
 
 log = logging.getLogger("basaltpoint")
 
@@ -83,7 +83,7 @@
         self._present = present
         self._loop = asyncio.get_running_loop()
         table = self.setting.table
-        sock = held or await listener_when_free(parse_address(table.listen), BACKLOG)
+        sock = held or await open_listener_when_free(parse_address(table.listen), BACKLOG)
         self._sock = sock
         if not self.address:
             self.address = f"{table.listen.rpartition(':')[0]}:{sock.getsockname()[1]}"
--- a/basaltpoint/daemon/platform.py
+++ b/basaltpoint/daemon/platform.py
@@ -25,7 +25,7 @@
 from basaltpoint.membership.backoff import Backoff
 from basaltpoint.membership.discovery import Watch
 from basaltpoint.membership.lease import MembershipLease
-from basaltpoint.system.listening import listener_when_free
+from basaltpoint.system.listening import open_listener_when_free
 from basaltpoint.telemetry import trace
 
 log = logging.getLogger("basaltpoint")
@@ -69,17 +69,17 @@
 
     def telemetry() -> Iterable[str]:
         yield "ok"
-        yield from limiter.figures.lines(limiter.gauges())
+        yield from limiter.figures.metric_lines(limiter.gauges())
         yield "eof"
 
     def rules() -> Iterable[str]:
         yield "ok"
-        yield from limiter.guard.lines()
+        yield from limiter.guard.metric_lines()
         yield from clients.close_guard.lines()
         yield "eof"
 
     try:
-        listening = await listener_when_free(address, CONTROL_BACKLOG)
+        listening = await open_listener_when_free(address, CONTROL_BACKLOG)
     except OSError as error:
         log.error("nobody can call at %s:%d: %s", *address, error)
         return
@@ -103,7 +103,7 @@
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    own = None if held else await listener_when_free(config.listen, BACKLOG)
+    own = None if held else await open_listener_when_free(config.listen, BACKLOG)
     path = socket_path(os.environ.get("TMPDIR"), config.name) if held else None
     found = claim(path) if path else None
     grace_s = config.settings.drain_grace_ms / 1000
--- a/basaltpoint/daemon/standalone.py
+++ b/basaltpoint/daemon/standalone.py
@@ -32,7 +32,7 @@
 from basaltpoint.handover.upgrade_state import HandoverError, Place, UpgradeState
 from basaltpoint.store.client import StoreError
 from basaltpoint.system.accepting import Acceptor
-from basaltpoint.system.listening import listener_when_free
+from basaltpoint.system.listening import open_listener_when_free
 
 log = logging.getLogger("basaltpoint")
 
@@ -97,7 +97,7 @@
         if self.keeper:
             self._kept.begin(self.keeper, recalls=left is None)
         try:
-            sock = held.pop(CLIENTS, None) or await listener_when_free(self.setup.listen, BACKLOG)
+            sock = held.pop(CLIENTS, None) or await open_listener_when_free(self.setup.listen, BACKLOG)
         except OSError as error:
             raise StartError(f"{self.setup.file.listen}: {error}") from None
         for passed in held.values():
@@ -273,7 +273,7 @@
                 await self.fleet.leave()
         self.relay.closing = send is None
         if self._acceptor:
-            self._acceptor.take_all()
+            self._acceptor.accept_all()
             self._acceptor.stop()
         end = asyncio.get_running_loop().time() + self.setup.file.clients.drain_s
         while (
--- a/basaltpoint/daemon/store_follower.py
+++ b/basaltpoint/daemon/store_follower.py
@@ -190,7 +190,7 @@
     def _write_copy(self) -> None:
         self._copying = None
         at = timestamps.now()
-        copy = Copy(at.unix_ms, self.revision, self.held.values, at.boot, at.boot_s)
+        copy = Copy(at.unix_ms, self.revision, self.held.values, at.boot_id, at.boot_s)
         body = msgspec.msgpack.encode(copy)
         temporary = self._copy.with_suffix(".tmp")
         try:
--- a/basaltpoint/daemon/store_side.py
+++ b/basaltpoint/daemon/store_side.py
@@ -54,11 +54,11 @@
             if account := accounts.get(name):
                 plan = setup.settings.plans[account.plan]
                 event = recall(account.number, plan, balance, moment, keeper.down_s)
-                relay.do(relay.table.tell(relay.now(), event))
+                relay.do(relay.table.handle_event(relay.now(), event))
         for name, (light, mean_ms) in keeper.learned.items() if recalls else ():
             if name in setup.pools:
                 learned = api.Learned(setup.pools[name], light, mean_ms)
-                relay.do(relay.table.tell(relay.now(), learned))
+                relay.do(relay.table.handle_event(relay.now(), learned))
         if keeper.balances and recalls:
             log.info(
                 "store: %d accounts go on, %.1f s after the last life", len(keeper.balances), keeper.down_s
@@ -102,7 +102,7 @@
             self._looked = now
         return {
             self._numbers[number]: Balance(
-                standing.left, standing.ceiling, at.unix_ms, final, at.boot, at.boot_s
+                standing.left, standing.ceiling, at.unix_ms, final, at.boot_id, at.boot_s
             )
             for number, standing in told.items()
             if number in self._numbers
--- a/basaltpoint/fronts/control/console.py
+++ b/basaltpoint/fronts/control/console.py
@@ -10,8 +10,8 @@
 from typing import cast
 
 from basaltpoint.config.address import Address
-from basaltpoint.system.errors import Trouble, accept_trouble
-from basaltpoint.system.joining import Joining
+from basaltpoint.system.errors import ErrorOrigin, accept_error_origin
+from basaltpoint.system.pending_connections import PendingConnections
 
 log = logging.getLogger(__name__)
 
@@ -76,7 +76,7 @@
         """`calls`: what is answered to each call, line by line."""
         self._calls = calls
         self._callers: dict[_Caller, None] = {}  # the one that came first, first
-        self._joining = Joining()
+        self._joining = PendingConnections()
         self._listener = listening
 
     @property
@@ -103,19 +103,19 @@
             try:
                 sock, _ = self._listener.accept()
             except OSError as error:
-                trouble = accept_trouble(error)
-                if trouble is Trouble.CONNECTION:
+                trouble = accept_error_origin(error)
+                if trouble is ErrorOrigin.CONNECTION:
                     continue
-                if trouble is not Trouble.EMPTY:
+                if trouble is not ErrorOrigin.WOULD_BLOCK:
                     log.warning("no descriptor for an operator's call: %s: %s", trouble.value, error)
-                if trouble is Trouble.PROCESS:
+                if trouble is ErrorOrigin.PROCESS:
                     self._cut_first()
                 return
             if len(self._callers) >= CALLERS:
                 self._cut_first()
             caller = _Caller(self)
             self._callers[caller] = None
-            self._joining.join(sock, caller, partial(self.gone, caller))
+            self._joining.attach(sock, caller, partial(self.gone, caller))
 
     def _cut_first(self) -> None:
         if first := next(iter(self._callers), None):
--- a/basaltpoint/fronts/http/passage.py
+++ b/basaltpoint/fronts/http/passage.py
@@ -5,25 +5,25 @@
 from time import monotonic
 from typing import Protocol
 
-from basaltpoint.core.table import Ending, Reply
+from basaltpoint.core.table import Reply, RequestResult
 from basaltpoint.fronts.http import message
 from basaltpoint.fronts.http.connection import ClientConnection
 from basaltpoint.fronts.http.message import Headers, Outgoing, Request
 from basaltpoint.interface import Status, Why
 from basaltpoint.routing.accounts import Account
 from basaltpoint.routing.routes import Route
-from basaltpoint.upstream.servers import Answer
-from basaltpoint.upstream.streams import StreamAnswers, StreamAttempt
+from basaltpoint.upstream.servers import AttemptResult
+from basaltpoint.upstream.streams import StreamAttempt, StreamConnection
 
 HELD = 64 * 1024  # bytes of an answer that may be repeated, kept in case no repeat follows
 REPEATED = (502, 503, 504)  # a server's word that it could not; another may
 
 CODES = {
-    Ending.FAILED: (502, "no server answered"),
-    Ending.OVERDUE: (504, "no answer in time"),
-    Ending.FAULT: (500, "internal error"),
-    Ending.BUSY: (503, "too many requests in hand"),
-    Ending.TWIN: (409, "a request of this name is open"),
+    RequestResult.FAILED: (502, "no server answered"),
+    RequestResult.OVERDUE: (504, "no answer in time"),
+    RequestResult.FAULT: (500, "internal error"),
+    RequestResult.BUSY: (503, "too many requests in hand"),
+    RequestResult.DUPLICATE: (409, "a request of this name is open"),
 }
 REFUSALS = {
     Why.QUOTA: (429, "quota"),
@@ -67,12 +67,12 @@
         self.route = route
         self.account = account
         self.outgoing: Outgoing
-        self.cls = route.handling.cls
-        self.wait_ms = route.handling.deadline_ms
+        self.cls = route.class_rules.class_number
+        self.wait_ms = route.class_rules.deadline_ms
         self.ident = 0
         self.attempt: StreamAttempt | None = None
         self.number = 0
-        self.stream: StreamAnswers | None = None
+        self.stream: StreamConnection | None = None
         self.over = False
         # The request's body. Kept whole up to the route's bound; beyond it is streamed once.
         self.body: list[bytes] = []
@@ -94,7 +94,7 @@
     # --- The request's body ----------------------------------------------------------------------
     def feed(self, piece: bytes) -> None:
         self.size += len(piece)
-        if self.route.body_most and self.size > self.route.body_most:
+        if self.route.max_body_bytes and self.size > self.route.max_body_bytes:
             self._turn_down(413, "the body is too long")
         elif not self.relay.hold(len(piece)):
             self._turn_down(503, "no memory for bodies")
@@ -103,7 +103,7 @@
             self.body.append(piece)
             if self.streamed:
                 self._pump()
-            elif self.size > self.route.body_bytes:
+            elif self.size > self.route.max_kept_body_bytes:
                 self.streamed = True
                 self.relay.take(self)
                 self._pump()
@@ -130,14 +130,14 @@
     def _pump(self) -> None:
         """Send on what there is of a streamed body, as far as the server takes it."""
         stream = self.stream
-        if stream is not None and not self.full and stream.sending:
+        if stream is not None and not self.full and stream.is_sending_body:
             pieces, self.body = self.body, []
             data = b"".join(pieces)
-            stream.send(data)
+            stream.send_body(data)
             self.relay.release(len(data))
             self.held -= len(data)
             if self.whole:
-                stream.sent(message.trailers(self.body_trailers))
+                stream.finish_body(message.trailers(self.body_trailers))
                 self.relay.uploaded(self)
         self.connection.hold_upload(self.streamed and self.held > self.relay.buffer)
 
@@ -147,10 +147,10 @@
             return self.outgoing.with_stream(self.request.length)
         return self.outgoing.with_body(b"".join(self.body))
 
-    def connected(self, stream: StreamAnswers) -> None:
+    def connected(self, stream: StreamConnection) -> None:
         self.stream = stream
         if self.streamed:
-            stream.upload(self.request.length is None)
+            stream.start_body(self.request.length is None)
             self.relay.uploading(self)
             self._pump()
 
@@ -174,16 +174,16 @@
     def _pass(self) -> None:
         """Pass the answer on from here; without anybody waiting the attempt ends."""
         assert self.heading and self.attempt
-        self.attempt.begun()
+        self.attempt.stop_timeout()
         self.relay.begun(self)
         if not self.passing:
             self.attempt.cancel()
             return
         code, reason, headers, length = self.heading
-        sets = {name.lower() for name, _ in self.route.answer_headers}
+        sets = {name.lower() for name, _ in self.route.response_headers}
         kept = [pair for pair in message.passed_on(headers) if pair[0] not in sets]
         via = b"1.1 %s" % self.relay.name
-        self.connection.start(code, reason, [*kept, *self.route.answer_headers, (b"Via", via)], length)
+        self.connection.start(code, reason, [*kept, *self.route.response_headers, (b"Via", via)], length)
         pieces, self.kept = self.kept or [], None
         for piece in pieces:
             self.connection.piece(piece)
@@ -199,7 +199,7 @@
     def completed(self, trailers: Headers) -> None:
         self.trailers, self.kept_whole = trailers, True
 
-    def ended(self, answer: Answer) -> None:
+    def ended(self, answer: AttemptResult) -> None:
         """The attempt is over; `answer` tells how its connection saw it."""
         whole = answer.status is Status.OK
         status = self.status if whole else answer.status
@@ -210,7 +210,7 @@
     # --- The client, as its connection tells --------------------------------------------------------
     def reading(self, ready: bool) -> None:
         if self.stream and self.passing:
-            self.stream.pause(not ready)
+            self.stream.set_paused(not ready)
 
     def gone(self) -> None:
         if not self.over:
@@ -225,7 +225,7 @@
             return
         self._done()
         if self.passing:
-            if effect.ending is Ending.CUT:
+            if effect.result is RequestResult.CUT:
                 self.connection.cut()
             else:
                 self.connection.finish(self.trailers)
@@ -234,7 +234,7 @@
 
     def _answer(self, effect: Reply) -> None:
         headers = self.relay.advice(self, effect)
-        ours = effect.ending not in (Ending.FAILED, Ending.REFUSED)
+        ours = effect.result not in (RequestResult.FAILED, RequestResult.REFUSED)
         if not ours and self.kept is not None and self.kept_whole and self.heading:
             # The server's own words tell more than ours would.
             code, _, own, _ = self.heading
@@ -243,7 +243,9 @@
             self.connection.answer(code, "", kept, b"".join(self.kept))
             return
         code, reason = (
-            REFUSALS[effect.why or Why.LOAD] if effect.ending is Ending.REFUSED else CODES[effect.ending]
+            REFUSALS[effect.reason or Why.LOAD]
+            if effect.result is RequestResult.REFUSED
+            else CODES[effect.result]
         )
         self.connection.answer(code, reason, headers)
 
@@ -259,7 +261,7 @@
     def __init__(self) -> None:
         self.good = False
 
-    def connected(self, stream: StreamAnswers) -> None:
+    def connected(self, stream: StreamConnection) -> None:
         pass
 
     def writable(self, ready: bool) -> None:
--- a/basaltpoint/fronts/http/relay.py
+++ b/basaltpoint/fronts/http/relay.py
@@ -14,7 +14,17 @@
 
 from basaltpoint import interface as api
 from basaltpoint.config.build import ServerSpec, Setup
-from basaltpoint.core.table import Begin, Dispatch, Effect, Ending, Fault, Reply, Table, Ticket, Withdraw
+from basaltpoint.core.table import (
+    CancelAttempt,
+    Effect,
+    Fault,
+    NewRequest,
+    Reply,
+    RequestResult,
+    RequestTable,
+    StartAttempt,
+    StartResponse,
+)
 from basaltpoint.fronts.http import message
 from basaltpoint.fronts.http.connection import ClientConnection
 from basaltpoint.fronts.http.message import BadRequestError, Changes, Headers, Origin, Outgoing, Request
@@ -25,11 +35,11 @@
 from basaltpoint.interface import ServerState, Status, Why
 from basaltpoint.membership.checks import Checks
 from basaltpoint.policy import Gateway
-from basaltpoint.routing.accounts import Stranger, client_address, trusts
-from basaltpoint.system.joining import Joining
+from basaltpoint.routing.accounts import UnknownClient, client_address, is_trusted
+from basaltpoint.system.pending_connections import PendingConnections
 from basaltpoint.telemetry.figures import Figures
-from basaltpoint.upstream.servers import TIMER_S, Answer, Servers
-from basaltpoint.upstream.streams import StreamAnswers, StreamAttempt
+from basaltpoint.upstream.servers import TIMER_RESOLUTION_S, AttemptResult, ServerConnections
+from basaltpoint.upstream.streams import StreamAttempt, StreamConnection
 
 log = logging.getLogger(__name__)
 
@@ -61,15 +71,17 @@
         self.closing = False
         self.gateway = Gateway(setup.settings, seed)
         self.figures = Figures([cls.name for cls in setup.settings.classes])
-        super().__init__(Table(self.gateway, setup.settings.max_attempts, file.limits.requests, self.figures))
+        super().__init__(
+            RequestTable(self.gateway, setup.settings.max_attempts, file.limits.requests, self.figures)
+        )
         self._origin = self._origin if origin_s is None else origin_s
-        self._joining = Joining()
+        self._joining = PendingConnections()
         self.connections: dict[ClientConnection, None] = {}
-        make = partial(StreamAnswers, head_limit=self.head_limit, buffer=self.buffer)
+        make = partial(StreamConnection, head_limit=self.head_limit, buffer=self.buffer)
         most = int((file.limits.sockets - MARGIN) * SERVER_PART)
         self.most_clients = file.limits.sockets - MARGIN - most
         up = file.upstream
-        self.servers = Servers(most, up.connect_ms / 1000, up.idle_ms / 1000, make)
+        self.servers = ServerConnections(most, up.connect_ms / 1000, up.idle_ms / 1000, make)
         self._placed: dict[int, ServerSpec] = {}
         # When a server was first heard of, after the start.
         self._started = {s.number: started_ms[s.name] for s in setup.servers if s.name in started_ms}
@@ -86,8 +98,8 @@
     # --- Configuration -----------------------------------------------------------------------------
     def apply(self, setup: Setup) -> None:
         """Go over to another configuration at once; requests that are out keep what they were taken with."""
-        self.figures.retune([cls.name for cls in setup.settings.classes])
-        self.do(self.table.tell(self.now(), api.NewSettings(setup.settings)))
+        self.figures.update_classes([cls.name for cls in setup.settings.classes])
+        self.do(self.table.handle_event(self.now(), api.NewSettings(setup.settings)))
         self._apply(setup, first=False)
 
     def _apply(self, setup: Setup, first: bool) -> None:
@@ -95,24 +107,24 @@
         self.setup = setup
         up = setup.file.upstream
         self.table.max_attempts = up.attempts
-        self.servers.retune(up.connect_ms / 1000, up.idle_ms / 1000)
+        self.servers.update_settings(up.connect_ms / 1000, up.idle_ms / 1000)
         self._placed = {spec.number: spec for spec in setup.servers}
         for spec in setup.servers:
-            self.servers.place(spec.number, spec.address, not spec.drain, spec.connections)
+            self.servers.update_server(spec.number, spec.address, not spec.drain, spec.connections)
             if spec.number not in before:  # the log's later lines go by number
                 log.info("server %d is %s at %s:%d", spec.number, spec.name, *spec.address)
             self._started.setdefault(spec.number, 0.0 if first else now)
         pools = set(setup.pools.values())
         for pool in sorted(pools | self._pools):
             members = tuple(self._server(spec) for spec in setup.servers if pool in spec.pools)
-            self.do(self.table.tell(now, api.ServerList(api.ListKind.FULL, members, pool)))
+            self.do(self.table.handle_event(now, api.ServerList(api.ListKind.FULL, members, pool)))
         self._pools = pools
         for number in before.keys() - self._placed.keys():
-            self.servers.remove(number)
+            self.servers.remove_server(number)
             del self._started[number]
         rules = {spec.number: spec.probe for spec in setup.servers if spec.probe and not spec.drain}
         for number in self._checks.listed(now, rules):
-            self.do(self.table.tell(now, api.Checked(number, True)))
+            self.do(self.table.handle_event(now, api.Checked(number, True)))
         self._arm_checks()
 
     def _server(self, spec: ServerSpec) -> api.Server:
@@ -127,17 +139,17 @@
         path = request.path
         match = setup.routes.match(request.host, path, request.method.decode("latin-1"), request.fields)
         if (route := match.route) is None:
-            if match.allowed:
-                allow = ", ".join(sorted(match.allowed)).encode()
+            if match.allowed_methods:
+                allow = ", ".join(sorted(match.allowed_methods)).encode()
                 raise BadRequestError(405, "no route takes this method here", [(b"Allow", allow)])
             raise BadRequestError(404, "no route takes this request")
         forwarded = request.fields.get("x-forwarded-for", "")
         address = client_address(connection.peer, forwarded, setup.trusted)
-        account = setup.accounts.find(request.fields, address)
-        if isinstance(account, Stranger):
-            what = "the key is unknown" if account.key_came else "a key is needed"
+        account = setup.accounts.account_of(request.fields, address)
+        if isinstance(account, UnknownClient):
+            what = "the key is unknown" if account.has_key else "a key is needed"
             raise BadRequestError(401, what, [(b"WWW-Authenticate", b"Bearer")])
-        if request.length and route.body_most and request.length > route.body_most:
+        if request.length and route.max_body_bytes and request.length > route.max_body_bytes:
             raise BadRequestError(413, "the body is too long")
         passage = Passage(self, connection, request, route, account)
         self._handle(passage)
@@ -146,11 +158,11 @@
 
     def _handle(self, passage: Passage) -> None:
         """What the class of the route asks for: its key, its client's own deadline."""
-        handling, fields = passage.route.handling, passage.request.fields
+        handling, fields = passage.route.class_rules, passage.request.fields
         if handling.effect is Repeats.KEYED and not fields.get(handling.key_header):
-            if handling.twin is None:
+            if handling.unkeyed_class is None:
                 raise BadRequestError(400, f"{handling.key_header} is needed here")
-            passage.cls = handling.twin
+            passage.cls = handling.unkeyed_class
         if handling.deadline_header and (text := fields.get(handling.deadline_header)):
             passage.wait_ms = min(passage.wait_ms, message.told_deadline_ms(text))
 
@@ -163,7 +175,7 @@
             if identity.bearer and identity.header not in request.fields:
                 drops |= {b"authorization"}
         peer = passage.connection.peer
-        trusted = trusts(peer, self.setup.trusted)
+        trusted = is_trusted(peer, self.setup.trusted)
         return message.outgoing(
             request, Origin(peer, self.name, trusted), Changes(path, route.set_headers, drops)
         )
@@ -171,7 +183,7 @@
     def take(self, passage: Passage) -> None:
         """Hand a request to the table; from here it gets one answer in time."""
         route, account = passage.route, passage.account
-        ticket = Ticket(
+        ticket = NewRequest(
             passage.cls,
             account.plan,
             account.number,
@@ -181,14 +193,14 @@
             EARLY_MS,
             route.pool,
         )
-        passage.ident, effects = self.table.take(self.now(), ticket)
+        passage.ident, effects = self.table.admit(self.now(), ticket)
         self._passages[passage.ident] = passage
         self.do(effects)
 
     def abandon(self, passage: Passage) -> None:
         """Its client has gone."""
         self._passages.pop(passage.ident, None)
-        self.do(self.table.abandon(self.now(), passage.ident))
+        self.do(self.table.client_disconnected(self.now(), passage.ident))
 
     def hold(self, size: int) -> bool:
         """Account for so many bytes of bodies; False where the memory has no room for them."""
@@ -227,15 +239,15 @@
     # --- Effects -------------------------------------------------------------------------------------
     def carry_out(self, effect: Effect) -> None:
         match effect:
-            case Dispatch():
+            case StartAttempt():
                 self._dispatch(effect)
-            case Begin():
+            case StartResponse():
                 if passage := self._passages.get(effect.request):
                     passage.passing = True
             case Reply():
                 if passage := self._passages.pop(effect.request, None):
                     passage.reply(effect)
-            case Withdraw():
+            case CancelAttempt():
                 self._withdraw(effect)
             case api.CloseIdle():
                 self.servers.close_idle(effect.server)
@@ -244,9 +256,9 @@
             case Fault():
                 log.error("%s", effect.text)
 
-    def _dispatch(self, effect: Dispatch) -> None:
+    def _dispatch(self, effect: StartAttempt) -> None:
         passage = self._passages[effect.request]  # the table sends for no other
-        until = self.loop_time(effect.until_ms)
+        until = self.loop_time(effect.end_by_ms)
         head_only = passage.request.method == b"HEAD"
         ident = effect.request
         attempt = StreamAttempt(
@@ -255,22 +267,22 @@
             partial(self._ended, ident, passage),
             passage,
             head_only,
-            whole_by=self.loop_time(effect.whole_ms),
+            write_by=self.loop_time(effect.write_by_ms),
         )
         # Before it begins: over a kept connection all of a streamed body may go at once.
         passage.attempt = self._attempts[ident] = attempt
         passage.number = effect.attempt
-        self.servers.begin(effect.server, attempt)
+        self.servers.start_attempt(effect.server, attempt)
 
-    def _ended(self, ident: int, passage: Passage, answer: Answer) -> None:
+    def _ended(self, ident: int, passage: Passage, answer: AttemptResult) -> None:
         self._attempts.pop(ident, None)
         passage.ended(answer)
 
     def ended(self, passage: Passage, status: Status, final: bool) -> None:
         """An attempt of it is over."""
-        self.do(self.table.ended(self.now(), passage.ident, passage.number, status, final=final))
+        self.do(self.table.attempt_ended(self.now(), passage.ident, passage.number, status, final=final))
 
-    def _withdraw(self, effect: Withdraw) -> None:
+    def _withdraw(self, effect: CancelAttempt) -> None:
         if attempt := self._attempts.get(effect.request):
             attempt.cancel()
 
@@ -280,7 +292,7 @@
             self._checking.cancel()
             self._checking = None
         if (due := self._checks.next_ms) is not None:
-            when = self.loop_time(due) + TIMER_S
+            when = self.loop_time(due) + TIMER_RESOLUTION_S
             self._checking = asyncio.get_running_loop().call_at(when, self._check_due)
 
     def _check_due(self) -> None:
@@ -295,26 +307,26 @@
         name = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
         raw = f"GET {health.path} HTTP/1.1\r\nHost: {name}\r\nUser-Agent: {self.setup.file.name}\r\n\r\n"
 
-        def ended(answer: Answer) -> None:
+        def ended(answer: AttemptResult) -> None:
             good = answer.status is Status.OK and check.good
             if (up := self._checks.heard(self.now(), server, good)) is not None:
                 log.info("server %d is %s by its checks", server, "up" if up else "down")
-                self.do(self.table.tell(self.now(), api.Checked(server, up)))
+                self.do(self.table.handle_event(self.now(), api.Checked(server, up)))
             self._arm_checks()
 
         until = self.loop_time(self.now() + health.timeout_ms)
-        self.servers.begin(server, StreamAttempt(raw.encode(), until, ended, check, False))
+        self.servers.start_attempt(server, StreamAttempt(raw.encode(), until, ended, check, False))
 
     # --- What goes with a refusal ----------------------------------------------------------------------
     def advice(self, passage: Passage, effect: Reply) -> Headers:
         """Retry-After in whole seconds, and the account's standing (draft-ietf-httpapi-ratelimit-headers)."""
         headers: Headers = []
-        if effect.ending is not Ending.REFUSED:
+        if effect.result is not RequestResult.REFUSED:
             return headers
         if effect.retry_in_ms > 0:
             headers.append((b"Retry-After", b"%d" % math.ceil(effect.retry_in_ms / 1000)))
         standing = self.gateway.standing(self.now(), passage.account.number)
-        if standing and effect.why in (Why.QUOTA, Why.CEILING, Why.PARALLEL):
+        if standing and effect.reason in (Why.QUOTA, Why.CEILING, Why.PARALLEL):
             window, full = math.ceil(standing.burst / standing.rate), math.ceil(standing.full_in_ms / 1000)
             headers.append((b"RateLimit-Policy", b'"quota";q=%d;w=%d' % (standing.burst, window)))
             headers.append((b"RateLimit", b'"quota";r=%d;t=%d' % (standing.left, full)))
@@ -323,7 +335,7 @@
     # --- Bounds in time ------------------------------------------------------------------------------
     def sweep(self) -> None:
         """End what stands still: connections, bodies, answers; each would hold its place for good."""
-        self.servers.sweep()
+        self.servers.close_expired()
         now, clients = time.monotonic(), self.setup.file.clients
         for connection in list(self.connections):
             if connection.begun is not None and now - connection.begun > clients.head_s:
@@ -337,9 +349,14 @@
                 connection.close()
         for passage in list(self._passages.values()):
             stream = passage.stream
-            if stream and passage.passing and not stream.paused and now - stream.heard > clients.stall_s:
+            if (
+                stream
+                and passage.passing
+                and not stream.is_paused
+                and now - stream.last_received_at > clients.stall_s
+            ):
                 log.warning("a server has stopped in the middle of its answer")
-                stream.fail()
+                stream.reset()
 
     @property
     def open(self) -> int:
@@ -360,7 +377,7 @@
     def adopt(self, sock: socket.socket, unread_since: float | None = None) -> None:
         """Serve a connection that was accepted, here or by another process."""
         sock.setblocking(False)
-        self._joining.join(sock, ClientConnection(self, sock), lambda: None)
+        self._joining.attach(sock, ClientConnection(self, sock), lambda: None)
 
     def pass_idle(self, send: Callable[[int], bool]) -> None:
         """Pass connections between requests on to another process."""
--- a/basaltpoint/fronts/platform/client_connection.py
+++ b/basaltpoint/fronts/platform/client_connection.py
@@ -20,7 +20,7 @@
 from basaltpoint.fronts.platform.request_check import BadRequestError, RequestCheck
 from basaltpoint.fronts.unread import Unread, look, unread_s
 from basaltpoint.telemetry import trace
-from basaltpoint.upstream.whole import HELD, LONGEST
+from basaltpoint.upstream.buffered import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
 
 log = logging.getLogger(__name__)
 
@@ -175,7 +175,7 @@
             self._transport.close()
 
     def _trace_close(self, reason: str) -> None:
-        if trace.on:
+        if trace.enabled:
             trace.event("client's connection %d closes: %s", self._sock.fileno(), reason)
 
     @property
@@ -309,9 +309,9 @@
                 b"content-length" in headers or coding.lower() != b"chunked"
             ):
                 self.reject(400)  # its body may hide another request
-            elif length.isdigit() and int(length[:9]) > LONGEST:
+            elif length.isdigit() and int(length[:9]) > MAX_BODY_BYTES:
                 self.reject(413)
-            elif length.isdigit() and int(length) > HELD:
+            elif length.isdigit() and int(length) > MAX_BUFFERED_BODY_BYTES:
                 self._stream()
             elif self._expects and not self._calls:
                 self._go_ahead()
@@ -321,7 +321,7 @@
             return
         self._body_at = monotonic()
         self._size += len(body)
-        if self._size > LONGEST:
+        if self._size > MAX_BODY_BYTES:
             self.reject(413)
         elif not self._clients.hold(len(body)):
             self.reject(503)  # many at once could pass the limit on memory
@@ -329,7 +329,7 @@
             self._upload.passage.feed(body)
         else:
             self._body.append(body)
-            if self._size > HELD:
+            if self._size > MAX_BUFFERED_BODY_BYTES:
                 self._stream()
 
     def on_message_complete(self) -> None:
--- a/basaltpoint/fronts/platform/clients.py
+++ b/basaltpoint/fronts/platform/clients.py
@@ -15,9 +15,9 @@
 from basaltpoint.fronts.platform.request_check import RequestCheck
 from basaltpoint.fronts.unread import FIRST_S
 from basaltpoint.interface import Settings
-from basaltpoint.system.accepting import Accepted, Acceptor
-from basaltpoint.system.joining import Joining
-from basaltpoint.system.listening import listener
+from basaltpoint.system.accepting import Acceptor, AcceptResult
+from basaltpoint.system.listening import open_listener
+from basaltpoint.system.pending_connections import PendingConnections
 
 log = logging.getLogger(__name__)
 
@@ -76,7 +76,7 @@
         self.idle: dict[ClientConnection, None] = {}  # between requests, the longest idle first
         self.coming: dict[ClientConnection, None] = {}  # with a request coming in, the longest so first
         self._open: set[ClientConnection] = set()
-        self._joining = Joining()
+        self._joining = PendingConnections()
         self._most = most
         self.part = 1.0  # of the connections allowed, while another process has the rest
         self._pass: Callable[[int], bool] | None = None  # gives a connection to the next process
@@ -84,7 +84,7 @@
         self._bytes = 0  # of bodies that come in or wait for their answer
         self._drained_at = 0.0  # when the drain began
         self._held = held is not None
-        socket_ = held or listening or listener(address, BACKLOG)
+        socket_ = held or listening or open_listener(address, BACKLOG)
         # Into a socket that is held from outside clients came before this process was there.
         before_s = max(cls.deadline_ms for cls in settings.classes) / 1000 if self._held else 0.0
         behind_since = monotonic() - before_s
@@ -126,7 +126,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         client = ClientConnection(self, sock, unread_since)
         self._open.add(client)
-        self._joining.join(sock, client, lambda: self.gone(client))
+        self._joining.attach(sock, client, lambda: self.gone(client))
 
     def _make_room(self) -> bool:
         """Close the connection that has been between requests for longest; new ones get their turn."""
@@ -209,7 +209,7 @@
             # What waits in the platform's socket is the next process's. A client leaves behind an answer.
             self.closing = True
         while not self._held and (now := monotonic()) < start + DRAIN_MOST_S:
-            if now >= max(start + DRAIN_S, self._acceptor.last_at + QUIET_S):
+            if now >= max(start + DRAIN_S, self._acceptor.last_accept_at + QUIET_S):
                 break
             await asyncio.sleep(0.01)
         if not self._held:
@@ -237,8 +237,8 @@
 
     async def _empty_backlog(self, until: float) -> None:
         """Take all that waits: what is left there would be reset, and its requests may have been sent."""
-        while (taken := self._acceptor.take()) is not Accepted.ALL:
-            if taken is Accepted.MORE:
+        while (taken := self._acceptor.accept_batch()) is not AcceptResult.ALL:
+            if taken is AcceptResult.MORE:
                 await asyncio.sleep(0)  # what is open gets its turn
             else:
                 if monotonic() >= until:
--- a/basaltpoint/fronts/platform/limiter.py
+++ b/basaltpoint/fronts/platform/limiter.py
@@ -13,7 +13,17 @@
 from typing import Any, NamedTuple
 
 from basaltpoint import interface as api
-from basaltpoint.core.table import Begin, Dispatch, Effect, Fault, Hurry, Reply, Table, Ticket, Withdraw
+from basaltpoint.core.table import (
+    CancelAttempt,
+    Effect,
+    Fault,
+    NewRequest,
+    Reply,
+    RequestTable,
+    ShortenAttempt,
+    StartAttempt,
+    StartResponse,
+)
 from basaltpoint.fronts.platform.config import Config
 from basaltpoint.fronts.platform.listed_servers import ListedServers
 from basaltpoint.fronts.platform.passage import Call, Passage
@@ -27,9 +37,9 @@
 from basaltpoint.policy import Gateway
 from basaltpoint.telemetry import trace
 from basaltpoint.telemetry.figures import Figures, Gauges
+from basaltpoint.upstream.buffered import BufferedAttempt, platform_connection
 from basaltpoint.upstream.send_guard import SendGuard
-from basaltpoint.upstream.servers import Answer, Servers
-from basaltpoint.upstream.whole import WholeAttempt, connection
+from basaltpoint.upstream.servers import AttemptResult, ServerConnections
 
 log = logging.getLogger(__name__)
 
@@ -76,20 +86,24 @@
         self._settings = config.settings
         self.gateway = Gateway(config.settings, config.seed)
         self.figures = Figures([cls.name for cls in config.settings.classes])
-        super().__init__(Table(self.gateway, config.settings.max_attempts, config.max_open, self.figures))
+        super().__init__(
+            RequestTable(self.gateway, config.settings.max_attempts, config.max_open, self.figures)
+        )
         self._origin = inherited.origin_s if inherited else self._origin  # what is left tells its times
         most = int((config.sockets - MARGIN) * SERVER_PART)
-        self._servers = Servers(most, config.connect_s, config.reuse_s, connection, config.rest_s)
+        self._servers = ServerConnections(
+            most, config.connect_s, config.reuse_s, platform_connection, config.rest_s
+        )
         self.listed_servers = ListedServers(
             config.zones,
             inherited.numbers if inherited else {},
             ServerStarts(inherited.wall_ms if inherited else self.now() - time.time() * 1000),
             self._servers,
             self.now,
-            lambda told: self.do(self.table.tell(self.now(), told)),
+            lambda told: self.do(self.table.handle_event(self.now(), told)),
         )
         self._passages: dict[int, Passage] = {}  # of the requests that wait for their reply
-        self._attempts: dict[int, WholeAttempt] = {}  # the one that is out, by request
+        self._attempts: dict[int, BufferedAttempt] = {}  # the one that is out, by request
         self.on_ended: Callable[[bytes], None] | None = None  # hears the name of each request that ends
         self._reserved: set[bytes] = set()  # Req-Ids that the older process has in hand
         self._lease = lease
@@ -129,7 +143,7 @@
         """What the next process needs; `halved`: from here on each of the two uses half of it."""
         self.listed_servers.add_all_new()
         now = self.now()
-        names = sorted(self.table.names - self._reserved)
+        names = sorted(self.table.open_keys - self._reserved)
         module = state.take(self.gateway, now)
         if halved:
             state.halve(self.gateway, now)
@@ -144,14 +158,14 @@
 
     def reserve(self, names: Iterable[bytes]) -> None:
         """Requests of these names are another process's: a copy here would be a second one."""
-        fresh = set(names) - self.table.names
+        fresh = set(names) - self.table.open_keys
         self._reserved |= fresh
-        self.table.names |= fresh
+        self.table.open_keys |= fresh
 
     def release_name(self, name: bytes) -> None:
         if name in self._reserved:
             self._reserved.discard(name)
-            self.table.names.discard(name)
+            self.table.open_keys.discard(name)
 
     def unreserve(self) -> None:
         for name in list(self._reserved):
@@ -161,7 +175,7 @@
     @property
     def ready(self) -> bool:
         """Whether clients may come; one that has served stays ready while its list is confirmed anew."""
-        return self.started.is_set() and self._servers.any_ready()
+        return self.started.is_set() and self._servers.has_ready_server()
 
     @property
     def guard(self) -> SendGuard:
@@ -171,13 +185,13 @@
     @property
     def open(self) -> int:
         """Requests that wait for their reply."""
-        return self.table.open
+        return self.table.open_count
 
     def gauges(self) -> Gauges:
         """What stands now; a server that both lists and the module know counts once."""
         avoided = self.gateway.avoided(self.now())
         listed = set(self.listed_servers.numbers.values())
-        return Gauges(self.table.open, len(listed), len(avoided & listed))
+        return Gauges(self.table.open_count, len(listed), len(avoided & listed))
 
     def take(self, call: Call, terms: Terms, unread_s: float = 0.0) -> Passage:
         """Take a request on; from here it gets one answer, before its client gives up.
@@ -189,11 +203,11 @@
         if unread_s:
             wait_ms = max(LEAST_WAIT_MS, wait_ms - unread_s * 1000)
         passage = Passage(self, call, name, cls, wait_ms)
-        passage.ident, effects = self.table.take(
-            self.now(), Ticket(cls, plan, customer, units, doors, wait_ms, EARLY_MS, 0, name)
+        passage.ident, effects = self.table.admit(
+            self.now(), NewRequest(cls, plan, customer, units, doors, wait_ms, EARLY_MS, 0, name)
         )
         self._passages[passage.ident] = passage
-        if trace.on:
+        if trace.enabled:
             trace.event(
                 "request %d id %s taken, class %d, waits %.3f s", passage.ident, name, cls, wait_ms / 1000
             )
@@ -203,20 +217,20 @@
     def abandon(self, passage: Passage) -> None:
         """The client has hung up, or is given up on."""
         if self._passages.pop(passage.ident, None):
-            if trace.on:
+            if trace.enabled:
                 trace.event("request %d: its client has gone", passage.ident)
             passage.gone()
-            self.do(self.table.abandon(self.now(), passage.ident))
+            self.do(self.table.client_disconnected(self.now(), passage.ident))
             self._keep_back(passage.ident)
 
     def _keep_back(self, ident: int) -> None:
         """Nobody waits any more: what no server has begun is not begun, whatever may be cancelled there."""
-        if (attempt := self._attempts.get(ident)) and not attempt.written:
+        if (attempt := self._attempts.get(ident)) and not attempt.is_written:
             attempt.cancel()
 
     def hasten(self, latest: float) -> None:
         """This process ends: from here on all is answered by then, a time of the loop's clock."""
-        self.do(self.table.hasten(self.now(), self.now() + (latest - monotonic()) * 1000))
+        self.do(self.table.shorten_deadlines(self.now(), self.now() + (latest - monotonic()) * 1000))
 
     def listed(self, told: HostList) -> None:
         self.listed_servers.take(told, api.ListKind.FULL if told.whole else api.ListKind.DELTA)
@@ -231,22 +245,27 @@
             return
         if (until == math.inf) != (self._lease_until == math.inf):
             log.info("discovery %s", "can't be reached" if until == math.inf else "is waited for")
-        self._lease_until = self._servers.guard.lease_until = until
+        self._lease_until = self._servers.guard.lease_expires_at = until
         until_ms = (until - self._origin) * 1000 + EPOCH_MS
-        self.do(self.table.tell(self.now(), api.MembershipConfirmed(until_ms)))
+        self.do(self.table.handle_event(self.now(), api.MembershipConfirmed(until_ms)))
 
     def sweep(self) -> None:
         """End what stands still: each would hold a server's connection for good."""
         self.lease_changed()  # that nobody can be reached shows by time alone
         self.listed_servers.sweep()
-        self._servers.sweep()
+        self._servers.close_expired()
         now = monotonic()
         for passage in list(self._passages.values()):
             stream, stuck = passage.stream, passage.stuck_since
-            silent = passage.passing and stream and not stream.paused and now - stream.heard > SILENT_S
+            silent = (
+                passage.passing
+                and stream
+                and not stream.is_paused
+                and now - stream.last_received_at > SILENT_S
+            )
             if stream and (silent or (stuck is not None and now - stuck > SILENT_S)):
                 log.warning("a server has stopped in the middle of %s", "an answer" if silent else "a body")
-                stream.fail()
+                stream.reset()
 
     def close(self) -> None:
         self._servers.close()
@@ -254,24 +273,24 @@
     # --- Effects -------------------------------------------------------------------------------
     def carry_out(self, effect: Effect) -> None:
         match effect:
-            case Dispatch():
+            case StartAttempt():
                 self._dispatch(effect)
             case Reply():
                 if passage := self._passages.pop(effect.request, None):
-                    if trace.on:
+                    if trace.enabled:
                         trace.event(
-                            "request %d ends %s, why %s", effect.request, effect.ending.value, effect.why
+                            "request %d ends %s, why %s", effect.request, effect.result.value, effect.reason
                         )
                     passage.reply(effect)
                     self._keep_back(effect.request)
                     if self.on_ended:
                         self.on_ended(passage.name)
-            case Withdraw():
+            case CancelAttempt():
                 if attempt := self._attempts.get(effect.request):
                     attempt.cancel()
-            case Hurry():
+            case ShortenAttempt():
                 if attempt := self._attempts.get(effect.request):
-                    attempt.rearm(min(attempt.until, self.loop_time(effect.until_ms)))
+                    attempt.set_end_by(min(attempt.end_by, self.loop_time(effect.end_by_ms)))
             case api.Probe():
                 self._probe(effect.server)
             case api.CloseIdle():
@@ -280,42 +299,42 @@
                 log.info("module: %s", effect.text)
             case Fault():
                 log.error("%s", effect.text)
-            case Begin():
+            case StartResponse():
                 if passage := self._passages.get(effect.request):
                     passage.passing = True
 
-    def _dispatch(self, effect: Dispatch) -> None:
+    def _dispatch(self, effect: StartAttempt) -> None:
         ident, passage = effect.request, self._passages[effect.request]  # the table sends for no other
         call = passage.call
         # A first attempt follows the request's reading; before a further one the client is looked for.
         if call.gone() if effect.attempt else call.left:
             call.hang_up()
             self.abandon(passage)
-            self.do(self.table.ended(self.now(), ident, effect.attempt, Status.CONNECT_FAILED))
+            self.do(self.table.attempt_ended(self.now(), ident, effect.attempt, Status.CONNECT_FAILED))
             return
-        if trace.on:
+        if trace.enabled:
             self._trace_dispatch(effect)
-        passage.until_ms = effect.until_ms
-        until = self.loop_time(effect.until_ms)
-        attempt = WholeAttempt(
+        passage.until_ms = effect.end_by_ms
+        until = self.loop_time(effect.end_by_ms)
+        attempt = BufferedAttempt(
             self.message(passage),
             until,
             partial(self._ended, passage, effect.attempt),
             partial(self._sent, passage.cls, ident),
             passage,
-            self.loop_time(effect.whole_ms),
+            self.loop_time(effect.write_by_ms),
         )
         # Before it begins: over a kept connection all of a body may go at once.
         passage.attempt, passage.number = attempt, effect.attempt
         self._attempts[ident] = attempt
-        self._servers.begin(effect.server, attempt)
+        self._servers.start_attempt(effect.server, attempt)
 
     def message(self, passage: Passage) -> bytes:
         """A request as a server gets it now, with the time that its attempt has left."""
         left = f"Req-Deadline: {(passage.until_ms - self.now()) / 1000:.3f}\r\n\r\n"
         return passage.call.forward + left.encode() + passage.call.body
 
-    def _trace_dispatch(self, effect: Dispatch) -> None:
+    def _trace_dispatch(self, effect: StartAttempt) -> None:
         names = {number: name for name, number in self.listed_servers.numbers.items()}
         trace.event(
             "request %d attempt %d goes to %s by version %d",
@@ -326,21 +345,21 @@
         )
 
     def _sent(self, cls: int, ident: int) -> None:
-        self.figures.of(cls).sends += 1
-        if trace.on:
+        self.figures.counts_of(cls).sends += 1
+        if trace.enabled:
             trace.event("request %d: its attempt's last byte is written", ident)
 
-    def _ended(self, passage: Passage, number: int, reply: Answer) -> None:
+    def _ended(self, passage: Passage, number: int, reply: AttemptResult) -> None:
         ident = passage.ident
         self._attempts.pop(ident, None)
-        if trace.on:
+        if trace.enabled:
             trace.event("request %d attempt %d ended: %s", ident, number, reply.status.value)
         passage.ended()
         load = read_load(self._settings.report_fields, reply.load)
         # A figure beyond what a request can take is no figure of this server's; it would bind the customer.
         units = reply.units if reply.units <= (self._settings.most_units or math.inf) else 0.0
         self.do(
-            self.table.ended(
+            self.table.attempt_ended(
                 self.now(),
                 ident,
                 number,
@@ -355,9 +374,9 @@
     def _probe(self, server: int) -> None:
         now = self.now()
 
-        def ended(reply: Answer) -> None:
+        def ended(reply: AttemptResult) -> None:
             load = read_load(self._settings.report_fields, reply.load or reply.body)
             event = api.ProbeResult(server, reply.status, self.now() - now, load)
-            self.do(self.table.tell(self.now(), event))
+            self.do(self.table.handle_event(self.now(), event))
 
-        self._servers.begin(server, WholeAttempt(PROBE, self.loop_time(now) + PROBE_S, ended))
+        self._servers.start_attempt(server, BufferedAttempt(PROBE, self.loop_time(now) + PROBE_S, ended))
--- a/basaltpoint/fronts/platform/listed_servers.py
+++ b/basaltpoint/fronts/platform/listed_servers.py
@@ -17,7 +17,7 @@
 from basaltpoint.membership.list_log import ListLog
 from basaltpoint.membership.server_starts import ServerStarts
 from basaltpoint.telemetry import trace
-from basaltpoint.upstream.servers import Servers
+from basaltpoint.upstream.servers import ServerConnections
 
 SLICE = 100  # new servers taken up at a time, some ms of work, before clients have their turn
 
@@ -30,7 +30,7 @@
         zones: Sequence[str],
         numbers: Mapping[str, int],
         starts: ServerStarts,
-        connections: Servers,
+        connections: ServerConnections,
         now: Callable[[], float],
         tell: Callable[[api.ServerList], None],
     ) -> None:
@@ -60,7 +60,7 @@
         latest = {host.name: host for host in hosts}
         changed = [host for name, host in latest.items() if self.hosts.get(name) != host]
         self._log.note(monotonic(), told.seq, kind, len(told.hosts), len(changed))
-        if trace.on:
+        if trace.enabled:
             for host in changed:
                 trace.event("server %s is %s at %s", host.name, host.state.value, host.dial)
         if kind is api.ListKind.CACHED:
@@ -110,14 +110,14 @@
 
     def _forget(self, name: str) -> None:
         """A server is gone."""
-        self._connections.remove(self.numbers.pop(name))
+        self._connections.remove_server(self.numbers.pop(name))
         self.starts.forget(name)
 
     def _server(self, host: Host) -> api.Server:
         if (number := self.numbers.get(host.name)) is None:
             number = self.numbers[host.name] = next(self._next_number)
         zone = self._zones.setdefault(host.zone, len(self._zones))
-        self._connections.place(number, host.dial, host.state is ServerState.READY)
+        self._connections.update_server(number, host.dial, host.state is ServerState.READY)
         started = self.starts.started_ms(host.name, host.born_ms, self._now())
         return api.Server(
             number, zone, host.cell, host.state, host.rating, started, crc32(host.name.encode())
--- a/basaltpoint/fronts/platform/passage.py
+++ b/basaltpoint/fronts/platform/passage.py
@@ -5,21 +5,21 @@
 from time import monotonic
 from typing import Protocol
 
-from basaltpoint.core.table import Ending, Reply
-from basaltpoint.upstream.servers import Answer
-from basaltpoint.upstream.streams import StreamAnswers
-from basaltpoint.upstream.whole import HELD, WholeAttempt
+from basaltpoint.core.table import Reply, RequestResult
+from basaltpoint.upstream.buffered import MAX_BUFFERED_BODY_BYTES, BufferedAttempt
+from basaltpoint.upstream.servers import AttemptResult
+from basaltpoint.upstream.streams import StreamConnection
 
 LOOK_AGAIN_S = 0.05  # an attempt that begins 0.1 s after its client's end is a lost request
-AHEAD = 4 * HELD  # bytes of a streamed body that are read before a server takes any
+AHEAD = 4 * MAX_BUFFERED_BODY_BYTES  # bytes of a streamed body that are read before a server takes any
 
 CODES = {
-    Ending.REFUSED: 429,
-    Ending.FAILED: 502,
-    Ending.OVERDUE: 504,
-    Ending.FAULT: 500,
-    Ending.BUSY: 503,
-    Ending.TWIN: 409,
+    RequestResult.REFUSED: 429,
+    RequestResult.FAILED: 502,
+    RequestResult.OVERDUE: 504,
+    RequestResult.FAULT: 500,
+    RequestResult.BUSY: 503,
+    RequestResult.DUPLICATE: 409,
 }
 
 
@@ -93,8 +93,8 @@
         self.ident = 0
         self.number = 0  # of the attempt that is out
         self.until_ms = 0.0  # and when it is given up, by the module's clock
-        self.attempt: WholeAttempt | None = None
-        self.stream: StreamAnswers | None = None  # its connection, of one that streams
+        self.attempt: BufferedAttempt | None = None
+        self.stream: StreamConnection | None = None  # its connection, of one that streams
         self.passing = False  # its answer has begun to be passed on
         self.over = False
         self.stuck_since: float | None = None  # the server takes no more of the body
@@ -122,23 +122,23 @@
     def _pump(self) -> None:
         """Send on what there is, as far as the server takes it."""
         stream = self.stream
-        if stream is not None and stream.sending and not self._full:
+        if stream is not None and stream.is_sending_body and not self._full:
             pieces, self._pieces = self._pieces, []
             size, self._held = self._held, 0
-            stream.send(b"".join(pieces))
+            stream.send_body(b"".join(pieces))
             self.call.release(size)
             if self._whole:
                 self._desk.uploaded(self)
-                stream.sent()
+                stream.finish_body()
         # While no server takes it some of it is read ahead: a client's end lies behind its bytes.
         most = AHEAD if stream is None else 0
         self.call.hold_upload(not self.over and (self._full or self._held > most))
 
     # --- The attempt, as its connection tells ------------------------------------------------------
-    def connected(self, stream: StreamAnswers) -> None:
+    def connected(self, stream: StreamConnection) -> None:
         self.stream = stream
         if self.call.streamed:
-            stream.upload(self.call.chunked)
+            stream.start_body(self.call.chunked)
             self._desk.uploading(self)
             self._pump()
 
@@ -148,20 +148,20 @@
         if self.call.streamed:
             self._pump()
 
-    def wanted(self, waited_s: float) -> bool:
+    def is_wanted(self, waited_s: float) -> bool:
         """Whether the client is there, as the system knows, where its connection may not have been told."""
         return waited_s <= LOOK_AGAIN_S or not self.call.gone()
 
-    def message(self) -> bytes:
+    def current_message(self) -> bytes:
         return self._desk.message(self)
 
-    def begin(self, content_type: bytes, length: int | None) -> bool:
+    def start_response(self, content_type: bytes, length: int | None) -> bool:
         self._desk.begun(self)
         if self.passing:
             self.call.start(content_type, length)
         return self.passing
 
-    def piece(self, data: bytes) -> None:
+    def response_data(self, data: bytes) -> None:
         if self.passing and not self.over:
             self.call.piece(data)
 
@@ -174,7 +174,7 @@
     def reading(self, ready: bool) -> None:
         """Whether the client takes more of the answer."""
         if self.stream and self.passing:
-            self.stream.pause(not ready)
+            self.stream.set_paused(not ready)
 
     def gone(self) -> None:
         """Its client has gone, or is given up."""
@@ -187,14 +187,14 @@
             return
         self._done()
         if self.passing:
-            if effect.ending is Ending.SERVED:
+            if effect.result is RequestResult.SERVED:
                 self.call.finish()
             else:
                 self.call.cut()
-        elif isinstance(effect.payload, Answer):
+        elif isinstance(effect.payload, AttemptResult):
             self.call.answer(200, effect.payload.body, effect.payload.content_type)
         else:
-            self.call.answer(CODES[effect.ending], retry_s=effect.retry_in_ms / 1000)
+            self.call.answer(CODES[effect.result], retry_s=effect.retry_in_ms / 1000)
 
     def _done(self) -> None:
         self.over = True
--- a/basaltpoint/fronts/shell.py
+++ b/basaltpoint/fronts/shell.py
@@ -9,9 +9,9 @@
 from time import monotonic
 from typing import Protocol
 
-from basaltpoint.core.table import Dispatch, Effect, Table
+from basaltpoint.core.table import Effect, RequestTable, StartAttempt
 from basaltpoint.interface import Status
-from basaltpoint.upstream.servers import TIMER_S, Attempt
+from basaltpoint.upstream.servers import TIMER_RESOLUTION_S, Attempt
 
 log = logging.getLogger(__name__)
 
@@ -43,7 +43,7 @@
 class Shell:
     """A front's side of the table; a subclass says how an effect is carried out."""
 
-    def __init__(self, table: Table) -> None:
+    def __init__(self, table: RequestTable) -> None:
         self.table = table
         self._origin = time.monotonic()
         self._effects: deque[Effect] = deque()
@@ -73,8 +73,8 @@
                 except Exception:
                     # A fault in one must not leave those behind it waiting for whatever happens next.
                     log.exception("an effect could not be carried out: %r", effect)
-                    if isinstance(effect, Dispatch):  # its end is owed, and it may have been written
-                        self._effects += self.table.ended(
+                    if isinstance(effect, StartAttempt):  # its end is owed, and it may have been written
+                        self._effects += self.table.attempt_ended(
                             self.now(), effect.request, effect.attempt, Status.RESET
                         )
         finally:
@@ -87,7 +87,7 @@
     # --- One request -----------------------------------------------------------------------------
     def begun(self, passage: Passing) -> None:
         """Its answer's head has come and is to be passed on."""
-        self.do(self.table.begun(self.now(), passage.ident, passage.number))
+        self.do(self.table.response_started(self.now(), passage.ident, passage.number))
 
     def uploading(self, passage: Passing) -> None:
         """Its body is on its way to the server: no deadline counts until it is whole."""
@@ -95,31 +95,31 @@
             # Until its connection was up the request's own time held; a body that streams is ended where it
             # stands still, and with this process.
             day = asyncio.get_running_loop().time() + DAY_S
-            passage.attempt.rearm(min(day, self.loop_time(self.table.latest_ms)))
-        self.do(self.table.uploading(self.now(), passage.ident))
+            passage.attempt.set_end_by(min(day, self.loop_time(self.table.final_deadline_ms)))
+        self.do(self.table.upload_started(self.now(), passage.ident))
 
     def uploaded(self, passage: Passing) -> None:
         """Its streamed body is whole at the server: the deadline counts from its client's last byte on."""
         now = self.now()
         waited = (monotonic() - passage.whole_at) * 1000
         wait = max(LEAST_WAIT_MS, passage.wait_ms - waited)
-        self.table.uploaded(now, passage.ident, wait)
+        self.table.upload_finished(now, passage.ident, wait)
         if passage.attempt and not passage.passing:
-            until = min(now + max(wait - EARLY_MS, wait / 2), self.table.latest_ms)
-            passage.attempt.rearm(self.loop_time(until))
+            until = min(now + max(wait - EARLY_MS, wait / 2), self.table.final_deadline_ms)
+            passage.attempt.set_end_by(self.loop_time(until))
         self.arm()
 
     # --- Time ------------------------------------------------------------------------------------
     def arm(self) -> None:
         """Have the table called when it is next due. Most requests end long before: the timer stays."""
-        if (due := self.table.next_ms) is None:
+        if (due := self.table.next_tick_ms) is None:
             return
         when = self.loop_time(due)
         if self._timer is None or when < self._timer_at:
             if self._timer:
                 self._timer.cancel()
             self._timer_at = when
-            self._timer = asyncio.get_running_loop().call_at(when + TIMER_S, self._tick)
+            self._timer = asyncio.get_running_loop().call_at(when + TIMER_RESOLUTION_S, self._tick)
 
     def _tick(self) -> None:
         self._timer = None
--- a/basaltpoint/handover/link.py
+++ b/basaltpoint/handover/link.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from basaltpoint.system.errors import is_passing
+from basaltpoint.system.errors import is_transient
 
 log = logging.getLogger(__name__)
 
@@ -144,7 +144,7 @@
             loop.add_writer(self._sock, self._flush)
             return
         except OSError as error:
-            if is_passing(error):
+            if is_transient(error):
                 loop.call_later(RETRY_S, self._flush)
             else:
                 self.close()
@@ -157,7 +157,7 @@
             try:
                 message, descriptors, flags, _ = socket.recv_fds(self._sock, PIECE + 1, 4)
             except OSError as error:
-                if not is_passing(error):
+                if not is_transient(error):
                     self.close()  # the other one has gone
                 elif not isinstance(error, BlockingIOError):
                     self._rest()
--- a/basaltpoint/links/listening.py
+++ b/basaltpoint/links/listening.py
@@ -9,7 +9,7 @@
 from time import monotonic
 
 from basaltpoint.system.accepting import Acceptor
-from basaltpoint.system.joining import Joining
+from basaltpoint.system.pending_connections import PendingConnections
 
 
 class LinkListener:
@@ -20,14 +20,14 @@
     ) -> None:
         """`make`: the protocol of a new connection. `context`: of TLS, where links speak it."""
         self._make = make
-        self._joining = Joining(context)
+        self._joining = PendingConnections(context)
         self._acceptor = Acceptor(sock, self._adopt, lambda: True, lambda: False, monotonic())
         self._acceptor.listen()
 
     def _adopt(self, sock: socket.socket, unread_since: float | None) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._joining.join(sock, self._make(), lambda: None)
+        self._joining.attach(sock, self._make(), lambda: None)
 
     def close(self) -> None:
         """Listen no more."""
--- a/basaltpoint/membership/discovery.py
+++ b/basaltpoint/membership/discovery.py
@@ -17,7 +17,7 @@
 from basaltpoint.membership.hosts import HostList, parse_list
 from basaltpoint.membership.lease import MembershipLease
 from basaltpoint.membership.objects import BrokenError, Objects
-from basaltpoint.system.errors import OWN, connect_trouble
+from basaltpoint.system.errors import LOCAL_ORIGINS, connect_error_origin
 
 log = logging.getLogger(__name__)
 
@@ -255,7 +255,7 @@
             async with asyncio.timeout(self._backoff.within_s(CONNECT_S)):
                 _, stream = await loop.create_connection(lambda: _Stream(self), host, port)
         except OSError as error:
-            if connect_trouble(error) in OWN:
+            if connect_error_origin(error) in LOCAL_ORIGINS:
                 self._lease.not_made()
             if isinstance(error, ConnectionRefusedError):
                 self._backoff.absent()
--- a/basaltpoint/routing/accounts.py
+++ b/basaltpoint/routing/accounts.py
@@ -16,14 +16,14 @@
 
 Networks = tuple[ipaddress.IPv4Network | ipaddress.IPv6Network, ...]
 
-ANONYMOUS = 1 << 62  # customer numbers from here on are addresses
-PREFIX_V6 = 64  # bits of an IPv6 address that one client is taken to hold
-SHORTEST_KEY = 12  # bytes; a shorter one could be found by trying
-LONGEST_KEY = 4096  # bytes; a longer one is unknown without being hashed
-NOBODY = bytes(32)
+ANONYMOUS_BASE = 1 << 62  # customer numbers from here on are addresses
+IPV6_PREFIX_BITS = 64  # bits of an IPv6 address that one client is taken to hold
+MIN_KEY_BYTES = 12  # bytes; a shorter one could be found by trying
+MAX_KEY_BYTES = 4096  # bytes; a longer one is unknown without being hashed
+UNKNOWN_DIGEST = bytes(32)
 
 
-class Missing(Enum):
+class KeyPolicy(Enum):
     """What becomes of a request with no key, or with an unknown one."""
 
     REFUSE = "refuse"
@@ -38,31 +38,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Identity:
+class IdentitySettings:
     """How keys come and what is done without one; `anonymous_plan` is needed where ANONYMOUS is."""
 
     header: str = "x-api-key"
     bearer: bool = True
-    no_key: Missing = Missing.REFUSE
-    unknown_key: Missing = Missing.REFUSE
+    no_key: KeyPolicy = KeyPolicy.REFUSE
+    unknown_key: KeyPolicy = KeyPolicy.REFUSE
     anonymous_plan: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Stranger:
+class UnknownClient:
     """Why a request has no account; `known` tells whether a key came at all."""
 
-    key_came: bool
+    has_key: bool
 
 
-def digest(key: bytes) -> bytes:
+def key_digest(key: bytes) -> bytes:
     return hashlib.sha256(key).digest()
 
 
 class Accounts:
     """The accounts of a configuration by the digests of their keys."""
 
-    def __init__(self, by_digest: Mapping[bytes, Account], identity: Identity) -> None:
+    def __init__(self, by_digest: Mapping[bytes, Account], identity: IdentitySettings) -> None:
         self._by_digest = by_digest
         self.identity = identity
 
@@ -73,7 +73,7 @@
         """Each account, as often as it has keys."""
         return self._by_digest.values()
 
-    def key(self, headers: Mapping[str, str]) -> bytes | None:
+    def request_key(self, headers: Mapping[str, str]) -> bytes | None:
         """The key that a request brings; the header goes before the bearer token."""
         if value := headers.get(self.identity.header):
             return value.encode("latin-1", "replace")
@@ -83,34 +83,34 @@
                 return token.strip().encode("latin-1", "replace")
         return None
 
-    def find(self, headers: Mapping[str, str], address: str) -> Account | Stranger:
+    def account_of(self, headers: Mapping[str, str], address: str) -> Account | UnknownClient:
         """The account of a request, an anonymous one by its client's address, or why there is none."""
-        key = self.key(headers)
+        key = self.request_key(headers)
         if key is None:
             return self._without(self.identity.no_key, address, False)
-        sum_ = digest(key) if len(key) <= LONGEST_KEY else NOBODY
+        sum_ = key_digest(key) if len(key) <= MAX_KEY_BYTES else UNKNOWN_DIGEST
         account = self._by_digest.get(sum_)
         if account is None:
             return self._without(self.identity.unknown_key, address, True)
         return account
 
-    def _without(self, rule: Missing, address: str, key_came: bool) -> Account | Stranger:
-        if rule is Missing.REFUSE:
-            return Stranger(key_came)
-        return Account(anonymous(address), self.identity.anonymous_plan, address)
+    def _without(self, rule: KeyPolicy, address: str, key_came: bool) -> Account | UnknownClient:
+        if rule is KeyPolicy.REFUSE:
+            return UnknownClient(key_came)
+        return Account(anonymous_number(address), self.identity.anonymous_plan, address)
 
 
-def anonymous(address: str) -> int:
+def anonymous_number(address: str) -> int:
     """The customer number of a client without an account: its address, an IPv6 one's network."""
     try:
         parsed = ipaddress.ip_address(address.partition("%")[0])
     except ValueError:
-        return ANONYMOUS + int.from_bytes(digest(address.encode())[:7])
+        return ANONYMOUS_BASE + int.from_bytes(key_digest(address.encode())[:7])
     if parsed.version == 6:
         if parsed.ipv4_mapped:
-            return ANONYMOUS + int(parsed.ipv4_mapped)
-        return ANONYMOUS + (1 << 60) + (int(parsed) >> (128 - PREFIX_V6)) % (1 << 60)
-    return ANONYMOUS + int(parsed)
+            return ANONYMOUS_BASE + int(parsed.ipv4_mapped)
+        return ANONYMOUS_BASE + (1 << 60) + (int(parsed) >> (128 - IPV6_PREFIX_BITS)) % (1 << 60)
+    return ANONYMOUS_BASE + int(parsed)
 
 
 def client_address(peer: str, forwarded: str, trusted: Networks) -> str:
@@ -132,7 +132,7 @@
     return address
 
 
-def trusts(address: str, networks: Networks) -> bool:
+def is_trusted(address: str, networks: Networks) -> bool:
     """Whether an address is that of a trusted proxy."""
     return bool(networks) and _within(address, networks)
 
--- a/basaltpoint/routing/path.py
+++ b/basaltpoint/routing/path.py
@@ -16,13 +16,13 @@
 
 import re
 
-UNRESERVED = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
+UNRESERVED_BYTES = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
 ESCAPE = re.compile(r"%(..?)?", re.S)
-HEX = frozenset("0123456789abcdefABCDEF")
+HEX_DIGITS = frozenset("0123456789abcdefABCDEF")
 SLASHES = re.compile(r"/{2,}")
 # Most paths are in normal form as they come; this tells them in one pass.
-ODD = re.compile(r"%|//|/\.")
-PLAIN = re.compile(r"[\x21-\x7e]+")
+NOT_NORMAL = re.compile(r"%|//|/\.")
+TARGET_CHARACTERS = re.compile(r"[\x21-\x7e]+")
 SCHEME = re.compile(r"https?://([^/?#]*)", re.I)
 
 
@@ -32,10 +32,10 @@
 
 def _unescape(match: re.Match[str]) -> str:
     digits = match[1] or ""
-    if len(digits) != 2 or not set(digits) <= HEX:
+    if len(digits) != 2 or not set(digits) <= HEX_DIGITS:
         raise PathError(f"an escape that is none: {match[0]!r}")
     code = int(digits, 16)
-    return chr(code) if code in UNRESERVED else f"%{code:02X}"
+    return chr(code) if code in UNRESERVED_BYTES else f"%{code:02X}"
 
 
 def _without_dots(path: str) -> str:
@@ -57,7 +57,7 @@
     """The normal form of a path without its query; PathError where there is none."""
     if not path.startswith("/"):
         raise PathError("the path does not begin with a slash")
-    if not ODD.search(path):
+    if not NOT_NORMAL.search(path):
         return path
     return _without_dots(SLASHES.sub("/", ESCAPE.sub(_unescape, path)))
 
@@ -67,7 +67,7 @@
 
     Source: RFC 9112, 3.2.1 and 3.2.2. A fragment is no part of a target, and refused.
     """
-    if not PLAIN.fullmatch(target) or "#" in target:
+    if not TARGET_CHARACTERS.fullmatch(target) or "#" in target:
         raise PathError("the target holds what no target may hold")
     authority = None
     if match := SCHEME.match(target):
--- a/basaltpoint/routing/regex.py
+++ b/basaltpoint/routing/regex.py
@@ -5,14 +5,14 @@
 from collections.abc import Sequence
 from typing import Any
 
-MEMORY = 8 << 20  # bytes that one expression's automaton may take; a larger one is refused at its compiling
+MAX_AUTOMATON_BYTES = 8 << 20  # per expression; a larger one is rejected when it is compiled
 
 
 class RegexError(ValueError):
     """An expression that RE2 does not take; says why."""
 
 
-def check(expression: str) -> None:
+def check_expression(expression: str) -> None:
     """RegexError where the expression can't be used: bad syntax, back references, look-around, too large."""
     import re2  # type: ignore[import-untyped]
 
@@ -25,12 +25,12 @@
 
 def _options(re2: Any) -> Any:
     options = re2.Options()
-    options.max_mem = MEMORY
+    options.max_mem = MAX_AUTOMATON_BYTES
     options.log_errors = False
     return options
 
 
-class Set:
+class ExpressionSet:
     """Expressions searched together. `^` and `$` anchor; without them one is found anywhere in the path."""
 
     def __init__(self, expressions: Sequence[str]) -> None:
--- a/basaltpoint/routing/routes.py
+++ b/basaltpoint/routing/routes.py
@@ -22,7 +22,7 @@
 from basaltpoint.interface import Effect
 
 
-class Form(IntEnum):
+class PathForm(IntEnum):
     """How a route's path is written; the order is that of precedence."""
 
     EXACT = 0
@@ -48,14 +48,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Handling:
+class ClassRules:
     """What a request's class asks of the front. `twin` is the class of a keyed request without its key."""
 
-    cls: int
+    class_number: int
     effect: Effect
     deadline_ms: float
     key_header: str = ""
-    twin: int | None = None  # None: refused
+    unkeyed_class: int | None = None  # None: refused
     deadline_header: str = ""
 
 
@@ -68,8 +68,8 @@
 
     name: str
     pool: int
-    handling: Handling
-    form: Form = Form.ANY
+    class_rules: ClassRules
+    path_form: PathForm = PathForm.ANY
     path: str = ""
     hosts: tuple[str, ...] = ()
     methods: frozenset[str] = frozenset()
@@ -79,17 +79,17 @@
     rewrite: Rewrite | None = None
     set_headers: tuple[tuple[bytes, bytes], ...] = ()  # on the request that goes on
     drop_headers: frozenset[bytes] = frozenset()
-    answer_headers: tuple[tuple[bytes, bytes], ...] = ()
-    body_bytes: int = 65536  # bodies up to it are kept, so that the request can be repeated
-    body_most: int = 0  # longer ones are refused; 0: no bound
+    response_headers: tuple[tuple[bytes, bytes], ...] = ()
+    max_kept_body_bytes: int = 65536  # bodies up to it are kept, so that the request can be repeated
+    max_body_bytes: int = 0  # longer ones are refused; 0: no bound
 
 
 @dataclass(frozen=True, slots=True)
-class Match:
+class RouteMatch:
     """`route`, or the methods that the host and path would have allowed; none: nothing is there."""
 
     route: Route | None
-    allowed: frozenset[str] = frozenset()
+    allowed_methods: frozenset[str] = frozenset()
 
 
 class RegexSet(Protocol):
@@ -98,14 +98,14 @@
     def match(self, text: str) -> Sequence[int]: ...
 
 
-def prefix_holds(prefix: str, path: str) -> bool:
+def prefix_matches(prefix: str, path: str) -> bool:
     """`/a` holds for `/a` and below, not for `/ab`; `/a/` only below."""
     if prefix.endswith("/"):
         return path.startswith(prefix)
     return path == prefix or path.startswith(prefix + "/")
 
 
-def wildcard_holds(wildcard: str, host: str) -> bool:
+def wildcard_matches(wildcard: str, host: str) -> bool:
     """`*.example.org` holds for any host below example.org, at any depth, not for itself."""
     return len(host) >= len(wildcard) and host.endswith(wildcard[1:])
 
@@ -113,12 +113,12 @@
 def _rank(route: Route, host: str, position: int) -> tuple[int, ...]:
     kind = 2 if not host else 1 if host.startswith("*") else 0
     conditions = len(route.headers) + bool(route.methods)
-    length = len(route.path) if route.form is Form.PREFIX else 0
-    return -route.priority, kind, -len(host), route.form, -length, -conditions, position
+    length = len(route.path) if route.path_form is PathForm.PREFIX else 0
+    return -route.priority, kind, -len(host), route.path_form, -length, -conditions, position
 
 
 @dataclass(slots=True)
-class _Bucket:
+class _HostRoutes:
     """The routes of one host condition, by how their path is written. A row is (rank, route)."""
 
     exact: dict[str, list[tuple[int, Route]]] = field(default_factory=dict)
@@ -129,14 +129,14 @@
 
     def add(self, rank: int, route: Route) -> None:
         row = rank, route
-        match route.form:
-            case Form.EXACT:
+        match route.path_form:
+            case PathForm.EXACT:
                 self.exact.setdefault(route.path, []).append(row)
-            case Form.PREFIX:
+            case PathForm.PREFIX:
                 self.prefix.setdefault(route.path, []).append(row)
-            case Form.REGEX:
+            case PathForm.REGEX:
                 self.regex.append(row)
-            case Form.ANY:
+            case PathForm.ANY:
                 self.every.append(row)
 
     def candidates(self, path: str) -> Iterable[tuple[int, Route]]:
@@ -154,14 +154,14 @@
         yield from self.every
 
 
-def conditions_hold(route: Route, method: str, headers: Mapping[str, str]) -> bool:
+def conditions_match(route: Route, method: str, headers: Mapping[str, str]) -> bool:
     """Whether method and headers are as the route wants them."""
     if route.methods and method not in route.methods:
         return False
-    return headers_hold(route, headers)
+    return headers_match(route, headers)
 
 
-def headers_hold(route: Route, headers: Mapping[str, str]) -> bool:
+def headers_match(route: Route, headers: Mapping[str, str]) -> bool:
     for name, wanted in route.headers:
         value = headers.get(name)
         if wanted == "!":
@@ -186,9 +186,9 @@
         ]
         rows.sort(key=lambda row: row[0])
         self.routes = tuple(routes)
-        self._exact: dict[str, _Bucket] = {}
-        self._wild: dict[str, _Bucket] = {}
-        self._any = _Bucket()
+        self._exact: dict[str, _HostRoutes] = {}
+        self._wild: dict[str, _HostRoutes] = {}
+        self._any = _HostRoutes()
         for rank, (_, host, route) in enumerate(rows):
             self._bucket(host).add(rank, route)
         for bucket in (self._any, *self._exact.values(), *self._wild.values()):
@@ -196,14 +196,14 @@
                 assert compile_set is not None, "a route has an expression, and nothing compiles it"
                 bucket.found = compile_set([route.path for _, route in bucket.regex])
 
-    def _bucket(self, host: str) -> _Bucket:
+    def _bucket(self, host: str) -> _HostRoutes:
         if not host:
             return self._any
         if host.startswith("*."):
-            return self._wild.setdefault(host[2:], _Bucket())
-        return self._exact.setdefault(host, _Bucket())
+            return self._wild.setdefault(host[2:], _HostRoutes())
+        return self._exact.setdefault(host, _HostRoutes())
 
-    def _buckets(self, host: str) -> Iterable[_Bucket]:
+    def _buckets(self, host: str) -> Iterable[_HostRoutes]:
         if bucket := self._exact.get(host):
             yield bucket
         if self._wild:
@@ -214,7 +214,7 @@
                 at = host.find(".", at + 1)
         yield self._any
 
-    def match(self, host: str, path: str, method: str, headers: Mapping[str, str]) -> Match:
+    def match(self, host: str, path: str, method: str, headers: Mapping[str, str]) -> RouteMatch:
         """The route of a request; host and path in normal form, header names in lower case."""
         best: tuple[int, Route] | None = None
         allowed: set[str] = set()
@@ -222,8 +222,8 @@
             for row in bucket.candidates(path):
                 if best is not None and row[0] > best[0]:
                     continue
-                if conditions_hold(row[1], method, headers):
+                if conditions_match(row[1], method, headers):
                     best = row
-                elif row[1].methods and method not in row[1].methods and headers_hold(row[1], headers):
+                elif row[1].methods and method not in row[1].methods and headers_match(row[1], headers):
                     allowed |= row[1].methods
-        return Match(best[1]) if best else Match(None, frozenset(allowed))
+        return RouteMatch(best[1]) if best else RouteMatch(None, frozenset(allowed))
--- a/basaltpoint/store/replica.py
+++ b/basaltpoint/store/replica.py
@@ -24,7 +24,7 @@
 from basaltpoint.store.messages import Member, Members, Message
 from basaltpoint.store.node import Node, Sizes
 from basaltpoint.store.raft import BusyError, Options, RefusedError
-from basaltpoint.system.listening import listener_when_free
+from basaltpoint.system.listening import open_listener_when_free
 
 log = logging.getLogger(__name__)
 
@@ -125,7 +125,7 @@
         finally:
             os.umask(mask)
         if self.setting.listen:
-            sock = await listener_when_free(parse_address(self.setting.listen), BACKLOG)
+            sock = await open_listener_when_free(parse_address(self.setting.listen), BACKLOG)
             if not self.setting.advertise:
                 self.address = f"{self.setting.listen.rpartition(':')[0]}:{sock.getsockname()[1]}"
             context = self.setting.tls.server() if self.setting.tls else None
--- a/basaltpoint/system/accepting.py
+++ b/basaltpoint/system/accepting.py
@@ -9,19 +9,19 @@
 from enum import Enum, auto
 from time import monotonic
 
-from basaltpoint.system.errors import OWN, Trouble, accept_trouble
+from basaltpoint.system.errors import LOCAL_ORIGINS, ErrorOrigin, accept_error_origin
 
 log = logging.getLogger(__name__)
 
 Address = tuple[str, int]  # host and port
 
-LARGEST_BACKLOG = 4096  # net.core.somaxconn of Linux: no more wait at a time
-PORTION = 64  # connections taken at a time, so that those that are open get their turn
-REST_S = 0.05  # where there is no room for more; a busy loop over them would help nobody
-RETRY_S = 0.01  # where the call itself fails: what lies in the backlog loses its clients' time
+MAX_BACKLOG = 4096  # net.core.somaxconn of Linux: no more wait at a time
+MAX_ACCEPT_BATCH = 64  # connections taken at a time, so that those that are open get their turn
+NO_ROOM_PAUSE_S = 0.05  # where there is no room for more; a busy loop over them would help nobody
+ACCEPT_RETRY_S = 0.01  # where the call itself fails: what lies in the backlog loses its clients' time
 
 
-class Accepted(Enum):
+class AcceptResult(Enum):
     """How a portion ended."""
 
     ALL = auto()  # nothing waits any more
@@ -35,21 +35,21 @@
     def __init__(
         self,
         listener: socket.socket,
-        adopt: Callable[[socket.socket, float | None], None],
+        on_connection: Callable[[socket.socket, float | None], None],
         has_room: Callable[[], bool],
         make_room: Callable[[], bool],
-        behind_since: float,
+        backlog_since: float,
     ) -> None:
         """`adopt` takes each connection, with the time since when it may have lain in the backlog (None: it
         has not); `has_room`: whether one more may be open; `make_room` ends one; `behind_since`: since when
         connections may lie in the backlog by now, monotonic seconds."""
         self._listener = listener
-        self._adopt = adopt
+        self._adopt = on_connection
         self._has_room = has_room
         self._make_room = make_room
         self._active = False
-        self._behind_since: float | None = behind_since  # None where nothing lies in the backlog
-        self.last_at = 0.0  # when a connection was taken, monotonic seconds
+        self._behind_since: float | None = backlog_since  # None where nothing lies in the backlog
+        self.last_accept_at = 0.0  # when a connection was taken, monotonic seconds
 
     @property
     def address(self) -> Address:
@@ -61,13 +61,13 @@
         if not self._active and self._listener.fileno() >= 0:
             self._active = True
             loop = asyncio.get_running_loop()
-            loop.add_reader(self._listener, self.take)
+            loop.add_reader(self._listener, self.accept_batch)
             loop.call_soon(self._look)
 
     def _look(self) -> None:
         """Take what has waited until now; where there is nothing, the next ones will not have waited."""
         if self._active:
-            self.take()
+            self.accept_batch()
 
     def pause(self) -> None:
         """Leave connections in the backlog."""
@@ -81,18 +81,18 @@
         self.pause()
         self._listener.close()
 
-    def take_all(self) -> None:
+    def accept_all(self) -> None:
         """Take what waits by now, as far as there is room: what is left there is reset with the socket."""
         if self._listener.fileno() < 0:
             return
-        for _ in range(LARGEST_BACKLOG // PORTION):
-            if self.take() is not Accepted.MORE:
+        for _ in range(MAX_BACKLOG // MAX_ACCEPT_BATCH):
+            if self.accept_batch() is not AcceptResult.MORE:
                 return
 
-    def _rest(self, for_s: float = REST_S) -> Accepted:
+    def _rest(self, for_s: float = NO_ROOM_PAUSE_S) -> AcceptResult:
         self.pause()
         asyncio.get_running_loop().call_later(for_s, self.listen)
-        return Accepted.NO_ROOM
+        return AcceptResult.NO_ROOM
 
     def _fall_behind(self) -> bool:
         """Whether connections may lie in the backlog from now on only."""
@@ -101,38 +101,38 @@
         self._behind_since = monotonic()
         return True
 
-    def take(self) -> Accepted:
+    def accept_batch(self) -> AcceptResult:
         """Take a portion of what waits."""
-        for _ in range(PORTION):
+        for _ in range(MAX_ACCEPT_BATCH):
             if not self._has_room() and not self._make_room():
                 return self._rest()
             try:
                 sock, _ = self._listener.accept()
             except OSError as error:
-                match trouble := accept_trouble(error):
-                    case Trouble.EMPTY:
+                match trouble := accept_error_origin(error):
+                    case ErrorOrigin.WOULD_BLOCK:
                         self._behind_since = None
-                        return Accepted.ALL
-                    case Trouble.CONNECTION:
+                        return AcceptResult.ALL
+                    case ErrorOrigin.CONNECTION:
                         if self._fall_behind():
                             log.info("a connection broke before it was accepted: %s", error)
                         continue
                 return self._failed(error, trouble)
-            self.last_at = monotonic()
+            self.last_accept_at = monotonic()
             self._take_one(sock)
         self._fall_behind()
-        return Accepted.MORE
+        return AcceptResult.MORE
 
-    def _failed(self, error: OSError, trouble: Trouble) -> Accepted:
+    def _failed(self, error: OSError, trouble: ErrorOrigin) -> AcceptResult:
         """Nothing can be accepted now, and not for a fault of a connection; each span is logged once."""
         if self._fall_behind():
-            if trouble in OWN:
+            if trouble in LOCAL_ORIGINS:
                 log.warning("no descriptor for a new connection: %s: %s", trouble.value, error)
             else:
                 log.error("accepting failed: %r", error)
-        if trouble is Trouble.PROCESS:
+        if trouble is ErrorOrigin.PROCESS:
             self._make_room()  # where the whole machine lacks room, one of ours makes no difference
-        return self._rest(RETRY_S)
+        return self._rest(ACCEPT_RETRY_S)
 
     def _take_one(self, sock: socket.socket) -> None:
         try:
--- a/basaltpoint/system/errors.py
+++ b/basaltpoint/system/errors.py
@@ -11,30 +11,30 @@
 from enum import Enum
 
 
-class Trouble(Enum):
+class ErrorOrigin(Enum):
     """Whose trouble an error is."""
 
-    EMPTY = "nothing was there to do"
+    WOULD_BLOCK = "nothing was there to do"
     CONNECTION = "one connection's: the next one may be good"
     PEER = "the other side's"
     PROCESS = "this process's: it has too many descriptors"
-    MACHINE = "this machine's: it lacks memory, ports, descriptors or a network"
+    HOST = "this machine's: it lacks memory, ports, descriptors or a network"
     PROGRAM = "this program's: the call was wrong"
 
 
-OWN = (Trouble.PROCESS, Trouble.MACHINE)
+LOCAL_ORIGINS = (ErrorOrigin.PROCESS, ErrorOrigin.HOST)
 
 # Of both calls: no more descriptors or memory.
 _ROOM = {
-    errno.EMFILE: Trouble.PROCESS,
-    errno.ENFILE: Trouble.MACHINE,
-    errno.ENOBUFS: Trouble.MACHINE,
-    errno.ENOMEM: Trouble.MACHINE,
-    errno.ENOSR: Trouble.MACHINE,
+    errno.EMFILE: ErrorOrigin.PROCESS,
+    errno.ENFILE: ErrorOrigin.HOST,
+    errno.ENOBUFS: ErrorOrigin.HOST,
+    errno.ENOMEM: ErrorOrigin.HOST,
+    errno.ENOSR: ErrorOrigin.HOST,
 }
 _ACCEPT = {
     **_ROOM,
-    errno.EAGAIN: Trouble.EMPTY,
+    errno.EAGAIN: ErrorOrigin.WOULD_BLOCK,
     **dict.fromkeys(
         (
             errno.EINTR,
@@ -55,7 +55,7 @@
             errno.ENONET,
             errno.ETIMEDOUT,
         ),
-        Trouble.CONNECTION,
+        ErrorOrigin.CONNECTION,
     ),
 }
 _CONNECT = {
@@ -72,7 +72,7 @@
             errno.ENETUNREACH,  # no route leads there from here
             errno.ENONET,
         ),
-        Trouble.MACHINE,
+        ErrorOrigin.HOST,
     ),
     **dict.fromkeys(
         (
@@ -85,17 +85,17 @@
             errno.EPIPE,
             errno.EPROTO,
         ),
-        Trouble.PEER,
+        ErrorOrigin.PEER,
     ),
 }
 
 
-def accept_trouble(error: OSError) -> Trouble:
+def accept_error_origin(error: OSError) -> ErrorOrigin:
     """Whose trouble it is that no connection was accepted."""
-    return _ACCEPT.get(error.errno or 0, Trouble.PROGRAM)
+    return _ACCEPT.get(error.errno or 0, ErrorOrigin.PROGRAM)
 
 
-def is_passing(error: OSError) -> bool:
+def is_transient(error: OSError) -> bool:
     """Whether a read or write on a good connection may be tried again: the machine had no room for it.
 
     Sources: recv(2), send(2) (ENOBUFS, ENOMEM), and EAGAIN.
@@ -103,8 +103,8 @@
     return error.errno in _ROOM or error.errno == errno.EAGAIN
 
 
-def connect_trouble(error: OSError) -> Trouble:
+def connect_error_origin(error: OSError) -> ErrorOrigin:
     """Whose trouble it is that a connection did not come up; a time-out of our own is the other side's."""
     if isinstance(error, TimeoutError) and not error.errno:
-        return Trouble.PEER
-    return _CONNECT.get(error.errno or 0, Trouble.PEER)
+        return ErrorOrigin.PEER
+    return _CONNECT.get(error.errno or 0, ErrorOrigin.PEER)
--- a/basaltpoint/system/listening.py
+++ b/basaltpoint/system/listening.py
@@ -8,15 +8,15 @@
 import socket
 import time
 
-from basaltpoint.system.errors import is_passing
+from basaltpoint.system.errors import is_transient
 
 log = logging.getLogger(__name__)
 
-WAIT_S = 5.0  # an address may stay in use so long: a killed process with much memory takes that to go down
-LOOK_S = 0.005  # between two tries
+MAX_LISTEN_WAIT_S = 5.0  # the kernel may take seconds to tear down a killed process with much memory
+LISTEN_RETRY_S = 0.005  # between two tries
 
 
-def listener(address: tuple[str, int], backlog: int) -> socket.socket:
+def open_listener(address: tuple[str, int], backlog: int) -> socket.socket:
     """A socket that listens there, for a loop; OSError where the address can't be had."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     made = socket.create_server(address, family=family, backlog=backlog)
@@ -24,8 +24,8 @@
     return made
 
 
-async def listener_when_free(
-    address: tuple[str, int], backlog: int, within_s: float = WAIT_S
+async def open_listener_when_free(
+    address: tuple[str, int], backlog: int, within_s: float = MAX_LISTEN_WAIT_S
 ) -> socket.socket:
     """The same, with new tries for `within_s` seconds where the trouble may pass.
 
@@ -37,12 +37,12 @@
     told = False
     while True:
         try:
-            return listener(address, backlog)
+            return open_listener(address, backlog)
         except OSError as error:
-            passes = error.errno == errno.EADDRINUSE or is_passing(error)
+            passes = error.errno == errno.EADDRINUSE or is_transient(error)
             if not passes or time.monotonic() >= end_s:
                 raise
             if not told:
                 log.warning("%s:%d: %s; tried again for up to %.1f s", *address, error, within_s)
                 told = True
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(LISTEN_RETRY_S)
--- a/basaltpoint/system/joining.py
+++ b/basaltpoint/system/pending_connections.py
@@ -11,7 +11,7 @@
 log = logging.getLogger(__name__)
 
 
-class Joining:
+class PendingConnections:
     """Connections that were accepted and have not met their protocol yet."""
 
     def __init__(self, context: ssl.SSLContext | None = None) -> None:
@@ -22,7 +22,7 @@
     def __len__(self) -> int:
         return len(self._tasks)
 
-    def join(self, sock: socket.socket, protocol: asyncio.Protocol, on_broken: Callable[[], None]) -> None:
+    def attach(self, sock: socket.socket, protocol: asyncio.Protocol, on_broken: Callable[[], None]) -> None:
         """Put a protocol on a socket; `on_broken` hears where it broke before that."""
         task = asyncio.get_running_loop().create_task(self._join(sock, protocol, on_broken))
         self._tasks.add(task)
--- a/basaltpoint/system/timestamps.py
+++ b/basaltpoint/system/timestamps.py
@@ -19,12 +19,12 @@
     """One moment. `unix_ms`: by the wall clock; `boot_s`: seconds since the boot whose id is `boot`."""
 
     unix_ms: float
-    boot: str = ""
+    boot_id: str = ""
     boot_s: float = 0.0
 
     def seconds_since(self, earlier: Timestamp) -> float:
         """How long ago the earlier one was, never below 0."""
-        if self.boot and self.boot == earlier.boot:
+        if self.boot_id and self.boot_id == earlier.boot_id:
             return max(0.0, self.boot_s - earlier.boot_s)
         return max(0.0, (self.unix_ms - earlier.unix_ms) / 1000.0)
 
--- a/basaltpoint/telemetry/figures.py
+++ b/basaltpoint/telemetry/figures.py
@@ -39,17 +39,17 @@
 
     def __init__(self, classes: Sequence[str]) -> None:
         self._named: dict[str, Counts] = {}
-        self.retune(classes)
+        self.update_classes(classes)
 
-    def retune(self, classes: Sequence[str]) -> None:
+    def update_classes(self, classes: Sequence[str]) -> None:
         """Take up other classes; one whose name stays, or comes back, counts on."""
         self._order = [self._named.setdefault(name, Counts()) for name in classes]
 
-    def of(self, number: int) -> Counts:
+    def counts_of(self, number: int) -> Counts:
         """The counts of a class, which a request in hand keeps whatever the settings become."""
         return self._order[number]
 
-    def lines(self, gauges: Gauges) -> Iterator[str]:
+    def metric_lines(self, gauges: Gauges) -> Iterator[str]:
         """The figures, one a line: `gw_NAME{group="CLASS"} COUNT`, then `gw_NAME VALUE` for the gauges."""
         for part in fields(Counts):
             for group, counts in self._named.items():
--- a/basaltpoint/telemetry/trace.py
+++ b/basaltpoint/telemetry/trace.py
@@ -11,13 +11,13 @@
 
 log = logging.getLogger("basaltpoint.trace")
 
-on = False  # whether the trace is written
+enabled = False  # whether the trace is written
 
 
 def enable() -> None:
     """Write the trace with the ordinary log from here on."""
-    global on
-    on = True
+    global enabled
+    enabled = True
     log.setLevel(logging.DEBUG)
 
 
--- a/basaltpoint/upstream/send_guard.py
+++ b/basaltpoint/upstream/send_guard.py
@@ -23,7 +23,7 @@
     """What one process may write to servers now."""
 
     def __init__(self) -> None:
-        self.lease_until = math.inf  # of the list of servers, monotonic seconds
+        self.lease_expires_at = math.inf  # of the list of servers, monotonic seconds
         self.withheld: Counter[Denial] = Counter()
         self.violations: Counter[Denial] = Counter()
         self.stalls = 0  # writes that came over a stall late: their servers were told too much time
@@ -33,22 +33,22 @@
         self.withheld[denial] += 1
         log.info("an attempt is withheld: %s", denial.value)
 
-    def held_up(self, until: float, whole_by: float) -> None:
+    def record_stall(self, until: float, whole_by: float) -> None:
         """This process stood still for longer than a stall before an attempt went out: was it too late?"""
         self.stalls += 1
-        late = write_denial(monotonic() - STALL_S, True, self.lease_until, until, whole_by)
+        late = write_denial(monotonic() - STALL_S, True, self.lease_expires_at, until, whole_by)
         if late is not None:
             self.violations[late] += 1
             log.error(
                 "violation: an attempt was written though %s; lease %.3f, end %.3f, whole by %.3f, now %.3f",
                 late.value,
-                self.lease_until,
+                self.lease_expires_at,
                 until,
                 whole_by,
                 monotonic(),
             )
 
-    def lines(self) -> Iterator[str]:
+    def metric_lines(self) -> Iterator[str]:
         """The counts, one a line, for the control address."""
         for denial in Denial:
             yield f'gw_withheld{{rule="{denial.name.lower()}"}} {self.withheld[denial]}'
--- a/basaltpoint/upstream/servers.py
+++ b/basaltpoint/upstream/servers.py
@@ -16,13 +16,13 @@
 from basaltpoint.interface import Status
 from basaltpoint.policy.send_rules import STALL_S, Denial, write_denial
 from basaltpoint.system.connecting import connect
-from basaltpoint.system.errors import OWN, Trouble, connect_trouble
+from basaltpoint.system.errors import LOCAL_ORIGINS, ErrorOrigin, connect_error_origin
 from basaltpoint.telemetry import trace
 from basaltpoint.upstream.send_guard import SendGuard
 
 log = logging.getLogger(__name__)
 
-TIMER_S = 0.001  # the loop counts whole milliseconds; nothing may be called before its time
+TIMER_RESOLUTION_S = 0.001  # the loop counts whole milliseconds; nothing may be called before its time
 OWN_TROUBLE_S = 0.01, 0.1  # first and longest wait after a trouble of our own, doubled each time
 # How an attempt ends that may not be written. What is no server's fault is moot: nothing is learned of it.
 DENIED = {
@@ -34,7 +34,7 @@
 }
 
 
-class Answer(NamedTuple):
+class AttemptResult(NamedTuple):
     """How an attempt ended, and what came with it."""
 
     status: Status
@@ -46,14 +46,14 @@
 
 
 @dataclass(slots=True)
-class Server:
+class UpstreamServer:
     """Where a server listens, and the connections to it that are free, the latest used last."""
 
-    dial: Address
-    ready: bool = False
-    most: int = 0  # connections; 0: no bound of its own
-    open: int = 0
-    idle: list[Connection] = field(default_factory=list)
+    address: Address
+    is_ready: bool = False
+    max_connections: int = 0  # connections; 0: no bound of its own
+    open_connections: int = 0
+    idle_connections: list[Connection] = field(default_factory=list)
 
 
 class Attempt:
@@ -63,21 +63,21 @@
         "_on_end",
         "_timer",
         "connection",
-        "ended",
+        "end_by",
+        "has_ended",
         "message",
         "on_written",
-        "until",
-        "unwritten",
-        "whole_by",
+        "unwritten_status",
+        "write_by",
     )
 
     def __init__(
         self,
         message: bytes,
-        until: float,
-        on_end: Callable[[Answer], None],
+        end_by: float,
+        on_end: Callable[[AttemptResult], None],
         on_written: Callable[[], None] | None = None,
-        whole_by: float = math.inf,
+        write_by: float = math.inf,
     ) -> None:
         """`on_written` hears when the message's last byte has been handed to the system.
 
@@ -85,75 +85,77 @@
         what it repeats.
         """
         self.message = message
-        self.until = until
-        self.whole_by = whole_by
-        self.unwritten = Status.CONNECT_FAILED  # how it ends where its time is over before it is written
+        self.end_by = end_by
+        self.write_by = write_by
+        self.unwritten_status = Status.CONNECT_FAILED  # result if time runs out before it is written
         self.connection: Connection | None = None
-        self.ended = False
+        self.has_ended = False
         self._on_end = on_end
         self.on_written = on_written
-        self._timer = asyncio.get_running_loop().call_at(min(until, whole_by) + TIMER_S, self._time_out)
+        self._timer = asyncio.get_running_loop().call_at(
+            min(end_by, write_by) + TIMER_RESOLUTION_S, self._time_out
+        )
 
-    def end(self, reply: Answer) -> None:
-        if not self.ended:
-            self.ended = True
+    def end(self, reply: AttemptResult) -> None:
+        if not self.has_ended:
+            self.has_ended = True
             self._timer.cancel()
             self.connection = None
             self._on_end(reply)
 
-    def renew(self, waited_s: float) -> bool:
+    def refresh_message(self, waited_s: float) -> bool:
         """Bring the message up to date after so long for its connection; False where nobody waits for it."""
         return True
 
-    def rearm(self, until: float) -> None:
+    def set_end_by(self, until: float) -> None:
         """Move the time limit."""
         self._timer.cancel()
-        if not self.ended:
-            self.until = until
-            when = until if self.written else min(until, self.whole_by)
-            self._timer = asyncio.get_running_loop().call_at(when + TIMER_S, self._time_out)
+        if not self.has_ended:
+            self.end_by = until
+            when = until if self.is_written else min(until, self.write_by)
+            self._timer = asyncio.get_running_loop().call_at(when + TIMER_RESOLUTION_S, self._time_out)
 
     @property
-    def written(self) -> bool:
+    def is_written(self) -> bool:
         """Whether its last byte has gone: without it no server has begun it."""
-        return self.connection is not None and self.connection.written
+        return self.connection is not None and self.connection.is_written
 
     def cancel(self) -> None:
         self._give_up(Status.CANCELLED)
 
     def _time_out(self) -> None:
-        if self.written and self.whole_by < self.until > asyncio.get_running_loop().time():
-            self.rearm(self.until)  # it went out in time
+        if self.is_written and self.write_by < self.end_by > asyncio.get_running_loop().time():
+            self.set_end_by(self.end_by)  # it went out in time
         else:
-            self._give_up(Status.TIMEOUT if self.written else self.unwritten)
+            self._give_up(Status.TIMEOUT if self.is_written else self.unwritten_status)
 
     def _give_up(self, status: Status) -> None:
         if self.connection:
-            self.connection.drop("its attempt is given up")
-        self.end(Answer(status))
+            self.connection.abort("its attempt is given up")
+        self.end(AttemptResult(status))
 
 
 class Connection(asyncio.Protocol):
     """One kept connection with at most one attempt at a time; how answers are read is a subclass's."""
 
-    def __init__(self, servers: Servers, server: Server, sock: socket.socket) -> None:
+    def __init__(self, servers: ServerConnections, server: UpstreamServer, sock: socket.socket) -> None:
         self._servers = servers
         self._server = server
         self._sock = sock
         self._transport: asyncio.Transport | None = None
-        self.written = False
+        self.is_written = False
         self.idle_since = 0.0
-        self.made = False  # from then on its loss is told, and counted there
+        self.is_established = False  # from then on its loss is told, and counted there
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)  # uvloop's own is no subclass of it
-        self.made = True
+        self.is_established = True
 
     def start(self, attempt: Attempt) -> None:
         """Write the attempt's message and await its answer."""
         raise NotImplementedError
 
-    def fresh(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether the server has not closed, as far as this machine was told by now."""
         assert self._transport
         if self._transport.is_closing():
@@ -166,11 +168,11 @@
             return False
         return False  # the end of the connection, or an answer to nothing
 
-    def drop(self, reason: str) -> None:
+    def abort(self, reason: str) -> None:
         """Close so that the server hears of it before anything that is written from now on."""
         if self._transport and not self._transport.is_closing():
-            if trace.on:
-                trace.event("connection to %s closes: %s", self._server.dial, reason)
+            if trace.enabled:
+                trace.event("connection to %s closes: %s", self._server.address, reason)
             with contextlib.suppress(OSError):  # the other side was faster
                 self._sock.shutdown(socket.SHUT_RDWR)
             self._transport.abort()
@@ -179,16 +181,16 @@
 A = TypeVar("A", bound=Attempt)
 
 
-class Servers:
+class ServerConnections:
     """The servers by number, the connections to them and the bound on their number."""
 
     def __init__(
         self,
-        most: int,
-        connect_s: float,
-        idle_s: float,
-        make: Callable[[Servers, Server, socket.socket], Connection],
-        rest_s: float = 0.0,
+        max_connections: int,
+        connect_timeout_s: float,
+        max_idle_s: float,
+        create_connection: Callable[[ServerConnections, UpstreamServer, socket.socket], Connection],
+        min_idle_s: float = 0.0,
     ) -> None:
         """`idle_s`: a connection that was free for longer is not used again.
 
@@ -196,50 +198,50 @@
         later; what it says then would be taken for the answer to the next request. It costs a new connection
         where requests follow one another faster than that.
         """
-        self._most = most
-        self._connect_s = connect_s
-        self._idle_s = idle_s
-        self._rest_s = rest_s
-        self._make = make
-        self._servers: dict[int, Server] = {}
+        self._most = max_connections
+        self._connect_s = connect_timeout_s
+        self._idle_s = max_idle_s
+        self._rest_s = min_idle_s
+        self._make = create_connection
+        self._servers: dict[int, UpstreamServer] = {}
         self._connecting: set[asyncio.Task[None]] = set()
         self._open = 0
         self._ready = 0  # servers that are
         self.guard = SendGuard()
 
-    def retune(self, connect_s: float, idle_s: float) -> None:
+    def update_settings(self, connect_s: float, idle_s: float) -> None:
         """Take up other bounds; they hold for connections that stand, too."""
         self._connect_s, self._idle_s = connect_s, idle_s
 
-    def place(self, number: int, dial: Address, ready: bool, most: int = 0) -> None:
+    def update_server(self, number: int, dial: Address, ready: bool, most: int = 0) -> None:
         """What discovery says of a server; one that moved or leaves keeps no free connection."""
         if (server := self._servers.get(number)) is None:
-            server = self._servers[number] = Server(dial)
-        if server.idle and (not ready or server.dial != dial):
+            server = self._servers[number] = UpstreamServer(dial)
+        if server.idle_connections and (not ready or server.address != dial):
             self._drop_idle(server, "the server drains or has moved")
         self._set_ready(server, ready)
-        server.most = most
+        server.max_connections = most
         if ready:
-            server.dial = dial
+            server.address = dial
 
-    def _set_ready(self, server: Server, ready: bool) -> None:
-        self._ready += ready - server.ready
-        server.ready = ready
+    def _set_ready(self, server: UpstreamServer, ready: bool) -> None:
+        self._ready += ready - server.is_ready
+        server.is_ready = ready
 
-    def remove(self, number: int) -> None:
+    def remove_server(self, number: int) -> None:
         """Forget a server that is gone; what is still out there ends over its own connection."""
         if server := self._servers.pop(number, None):
             self._set_ready(server, False)
             self._drop_idle(server, "the server is gone")
 
-    def any_ready(self) -> bool:
+    def has_ready_server(self) -> bool:
         return self._ready > 0
 
-    def begin(self, number: int, attempt: A) -> A:
+    def start_attempt(self, number: int, attempt: A) -> A:
         """Begin an attempt over the latest used free connection that has rested, or over a new one."""
         server = self._servers[number]
         now = monotonic()
-        if server.idle and (connection := self._rested(server, now)):
+        if server.idle_connections and (connection := self._rested(server, now)):
             self._start(server, connection, attempt, now)
             return attempt
         task = asyncio.get_running_loop().create_task(self._connect(server, attempt))
@@ -247,60 +249,60 @@
         task.add_done_callback(self._connecting.discard)
         return attempt
 
-    def _rested(self, server: Server, now: float) -> Connection | None:
+    def _rested(self, server: UpstreamServer, now: float) -> Connection | None:
         """Take out the latest used free connection that may be used again; what is of no use goes."""
-        idle = server.idle
+        idle = server.idle_connections
         for index in range(len(idle) - 1, -1, -1):
             connection = idle[index]
             if connection.idle_since > now - self._rest_s:
                 continue
             del idle[index]
-            if connection.idle_since >= now - self._idle_s and connection.fresh():
+            if connection.idle_since >= now - self._idle_s and connection.is_usable():
                 return connection
-            connection.drop("it stood idle for too long, or the server has closed it")
+            connection.abort("it stood idle for too long, or the server has closed it")
         return None
 
-    def _start(self, server: Server, connection: Connection, attempt: Attempt, now: float) -> None:
+    def _start(self, server: UpstreamServer, connection: Connection, attempt: Attempt, now: float) -> None:
         """Write an attempt where it may still be written: every attempt passes here."""
-        until, whole_by = attempt.until, attempt.whole_by
-        if denial := write_denial(now, server.ready, self.guard.lease_until, until, whole_by):
+        until, whole_by = attempt.end_by, attempt.write_by
+        if denial := write_denial(now, server.is_ready, self.guard.lease_expires_at, until, whole_by):
             self._deny(server, connection, attempt, denial)
             return
         connection.start(attempt)
         if monotonic() - now > STALL_S:
-            self.guard.held_up(until, whole_by)
+            self.guard.record_stall(until, whole_by)
 
-    def _deny(self, server: Server, connection: Connection, attempt: Attempt, denial: Denial) -> None:
+    def _deny(self, server: UpstreamServer, connection: Connection, attempt: Attempt, denial: Denial) -> None:
         """End an attempt that may not be written; its connection waits for the next one."""
         self.guard.withhold(denial)
-        self.keep(server, connection)
-        attempt.end(Answer(DENIED[denial]))
+        self.keep_idle(server, connection)
+        attempt.end(AttemptResult(DENIED[denial]))
 
-    async def _connect(self, server: Server, attempt: Attempt) -> None:
+    async def _connect(self, server: UpstreamServer, attempt: Attempt) -> None:
         """Open a connection for an attempt; if that is over by then, it is kept for the next."""
-        if server.most and server.open >= server.most:
-            attempt.end(Answer(Status.FULL))  # all are busy: free ones were looked through before
+        if server.max_connections and server.open_connections >= server.max_connections:
+            attempt.end(AttemptResult(Status.FULL))  # all are busy: free ones were looked through before
             return
         if self._open >= self._most and not self._drop_oldest():
-            log.warning("no connection to %s: %d are open", server.dial, self._open)
-            attempt.end(Answer(Status.CONNECT_FAILED))
+            log.warning("no connection to %s: %d are open", server.address, self._open)
+            attempt.end(AttemptResult(Status.CONNECT_FAILED))
             return
-        dial, begun = server.dial, monotonic()
+        dial, begun = server.address, monotonic()
         connection = await self._come_up(server, attempt)
         if connection is None:
-            attempt.end(Answer(attempt.unwritten))
+            attempt.end(AttemptResult(attempt.unwritten_status))
             return
-        if server.dial != dial:
-            connection.drop("the server moved while it came up")
-            attempt.end(Answer(Status.CONNECT_FAILED))
-        elif attempt.ended:
-            self.keep(server, connection)
-        elif not attempt.renew(monotonic() - begun):
+        if server.address != dial:
+            connection.abort("the server moved while it came up")
+            attempt.end(AttemptResult(Status.CONNECT_FAILED))
+        elif attempt.has_ended:
+            self.keep_idle(server, connection)
+        elif not attempt.refresh_message(monotonic() - begun):
             self._deny(server, connection, attempt, Denial.CLIENT)
         else:
             self._start(server, connection, attempt, monotonic())
 
-    async def _come_up(self, server: Server, attempt: Attempt) -> Connection | None:
+    async def _come_up(self, server: UpstreamServer, attempt: Attempt) -> Connection | None:
         """A connection to the server's address; None where there is none in time.
 
         What fails by this machine's own trouble is tried again for as long as the attempt has time: no other
@@ -311,26 +313,26 @@
             try:
                 return await self._open_one(server)
             except OSError as error:  # a time-out is one, too
-                trouble = connect_trouble(error)
-                if trouble not in OWN:
-                    attempt.unwritten = Status.CONNECT_FAILED
+                trouble = connect_error_origin(error)
+                if trouble not in LOCAL_ORIGINS:
+                    attempt.unwritten_status = Status.CONNECT_FAILED
                     return None
-                log.warning("no connection to %s, %s: %s", server.dial, trouble.value, error)
-                attempt.unwritten = Status.MOOT
-                if trouble is Trouble.PROCESS:
+                log.warning("no connection to %s, %s: %s", server.address, trouble.value, error)
+                attempt.unwritten_status = Status.MOOT
+                if trouble is ErrorOrigin.PROCESS:
                     self._drop_oldest()
                 await asyncio.sleep(wait_s)
                 wait_s = min(2 * wait_s, longest_s)
-                if attempt.ended or not server.ready:
+                if attempt.has_ended or not server.is_ready:
                     return None
 
-    async def _open_one(self, server: Server) -> Connection:
+    async def _open_one(self, server: UpstreamServer) -> Connection:
         """One try at a connection; OSError where it does not come up."""
-        dial, loop = server.dial, asyncio.get_running_loop()
+        dial, loop = server.address, asyncio.get_running_loop()
         sock: socket.socket | None = None
         connection: Connection | None = None
         self._open += 1
-        server.open += 1
+        server.open_connections += 1
         try:
             async with asyncio.timeout(self._connect_s):
                 sock = socket.socket(socket.AF_INET6 if ":" in dial[0] else socket.AF_INET)
@@ -341,51 +343,53 @@
                 await loop.create_connection(lambda: connection, sock=sock)
             return connection
         except OSError:
-            if connection and connection.made:  # it was lost, or late, between coming up and here
-                connection.drop("it came up too late")
+            if connection and connection.is_established:  # it was lost, or late, between coming up and here
+                connection.abort("it came up too late")
             else:
                 self._open -= 1
-                server.open -= 1
+                server.open_connections -= 1
                 if sock:
                     sock.close()
             raise
 
-    def keep(self, server: Server, connection: Connection) -> None:
-        if not server.ready:
-            connection.drop("the server drains or is gone")
+    def keep_idle(self, server: UpstreamServer, connection: Connection) -> None:
+        if not server.is_ready:
+            connection.abort("the server drains or is gone")
             return
         connection.idle_since = monotonic()
-        server.idle.append(connection)
+        server.idle_connections.append(connection)
 
-    def closed(self, server: Server, connection: Connection) -> None:
+    def connection_closed(self, server: UpstreamServer, connection: Connection) -> None:
         self._open -= 1
-        server.open -= 1
-        if connection in server.idle:
-            server.idle.remove(connection)
+        server.open_connections -= 1
+        if connection in server.idle_connections:
+            server.idle_connections.remove(connection)
 
     def close_idle(self, number: int) -> None:
         if server := self._servers.get(number):
             self._drop_idle(server, "the module asked for it")
 
-    def _drop_idle(self, server: Server, reason: str) -> None:
-        for connection in server.idle:
-            connection.drop(reason)
-        server.idle.clear()
+    def _drop_idle(self, server: UpstreamServer, reason: str) -> None:
+        for connection in server.idle_connections:
+            connection.abort(reason)
+        server.idle_connections.clear()
 
     def _drop_oldest(self) -> bool:
         """Make room at the bound: the free connection that was unused for longest goes."""
-        holders = [server for server in self._servers.values() if server.idle]
+        holders = [server for server in self._servers.values() if server.idle_connections]
         if not holders:
             return False
-        min(holders, key=lambda server: server.idle[0].idle_since).idle.pop(0).drop("room is needed")
+        min(holders, key=lambda server: server.idle_connections[0].idle_since).idle_connections.pop(0).abort(
+            "room is needed"
+        )
         return True
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Drop what has stood idle, before the server does while a request is on its way."""
         limit = monotonic() - self._idle_s
         for server in self._servers.values():
-            while server.idle and server.idle[0].idle_since < limit:
-                server.idle.pop(0).drop("it stood idle for too long")
+            while server.idle_connections and server.idle_connections[0].idle_since < limit:
+                server.idle_connections.pop(0).abort("it stood idle for too long")
 
     def close(self) -> None:
         for task in list(self._connecting):
--- a/basaltpoint/upstream/streams.py
+++ b/basaltpoint/upstream/streams.py
@@ -13,17 +13,17 @@
 import httptools
 
 from basaltpoint.interface import Status
-from basaltpoint.upstream.servers import Answer, Attempt, Connection, Server, Servers
+from basaltpoint.upstream.servers import Attempt, AttemptResult, Connection, ServerConnections, UpstreamServer
 
 log = logging.getLogger(__name__)
 
 Headers = list[tuple[bytes, bytes]]
 
-MOST_HEADERS = 256
-MOST_INTERIM = 32  # answers ahead of the final one; a server that sends more sends no final one
+MAX_HEADERS = 256
+MAX_INTERIM_RESPONSES = 32  # answers ahead of the final one; a server that sends more sends no final one
 
 
-class Receiver(Protocol):
+class ResponseReceiver(Protocol):
     """Where an attempt's answer goes, and where the rest of its request's body comes from."""
 
     def interim(self, code: int, headers: Headers) -> None:
@@ -38,7 +38,7 @@
     def completed(self, trailers: Headers) -> None:
         """The answer is whole; the attempt's end follows."""
 
-    def connected(self, stream: StreamAnswers) -> None:
+    def connected(self, stream: StreamConnection) -> None:
         """The head was written; the rest of the body may be sent, where there is any."""
 
     def writable(self, ready: bool) -> None:
@@ -53,26 +53,26 @@
     def __init__(
         self,
         message: bytes,
-        until: float,
-        on_end: Callable[[Answer], None],
-        receiver: Receiver,
+        end_by: float,
+        on_end: Callable[[AttemptResult], None],
+        receiver: ResponseReceiver,
         head_only: bool,
         on_written: Callable[[], None] | None = None,
-        whole_by: float = math.inf,
+        write_by: float = math.inf,
     ) -> None:
-        super().__init__(message, until, on_end, on_written, whole_by)
+        super().__init__(message, end_by, on_end, on_written, write_by)
         self.receiver = receiver
         self.head_only = head_only
 
-    def begun(self) -> None:
+    def stop_timeout(self) -> None:
         """The answer has begun: its time limit no longer counts."""
         self._timer.cancel()
 
-    def touched(self) -> None:
+    def partial_response_received(self) -> None:
         """Bytes have come, and an answer has come in part."""
 
 
-class StreamAnswers(Connection):
+class StreamConnection(Connection):
     """A connection whose answers are handed on piece by piece.
 
     An attempt that was written to a connection may have run, whole or not: what a server makes of a part of
@@ -80,7 +80,12 @@
     """
 
     def __init__(
-        self, servers: Servers, server: Server, sock: socket.socket, head_limit: int, buffer: int
+        self,
+        servers: ServerConnections,
+        server: UpstreamServer,
+        sock: socket.socket,
+        head_limit: int,
+        buffer: int,
     ) -> None:
         """`buffer`: bytes of a request that may wait to be written; with 0 it is known when the last was."""
         super().__init__(servers, server, sock)
@@ -96,9 +101,9 @@
         self._paused = False
         self._within = False  # an answer has come in part
         self._interim = 0
-        self.sending = False  # the request's body is not whole yet
+        self.is_sending_body = False  # the request's body is not whole yet
         self._chunked = False  # and is told by chunks
-        self.heard = 0.0  # when the server last said something
+        self.last_received_at = 0.0  # when the server last said something
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -113,37 +118,37 @@
         self._headed = self._complete = self._keep = self._to_the_end = False
         if self._skip:  # the last answer's body was announced and not sent: a parser would wait for it
             self._parser, self._skip = httptools.HttpResponseParser(self), False
-        self.sending = self.written = False
+        self.is_sending_body = self.is_written = False
         self._interim = 0
-        self.heard = monotonic()
+        self.last_received_at = monotonic()
         self._transport.write(attempt.message)
         attempt.receiver.connected(self)
         self._check_written()
 
-    def upload(self, chunked: bool) -> None:
+    def start_body(self, chunked: bool) -> None:
         """The request's body follows in pieces; `chunked`: its head tells no length."""
-        self.sending, self._chunked = True, chunked
+        self.is_sending_body, self._chunked = True, chunked
 
-    def send(self, piece: bytes) -> None:
+    def send_body(self, piece: bytes) -> None:
         """More of the request's body; an empty piece says nothing."""
         if piece and self._transport and self._attempt:
             self._transport.write(b"%x\r\n%s\r\n" % (len(piece), piece) if self._chunked else piece)
 
-    def sent(self, trailers: bytes = b"\r\n") -> None:
+    def finish_body(self, trailers: bytes = b"\r\n") -> None:
         """The request's body is whole; `trailers`: the section behind its chunks, its empty line too."""
         if self._chunked and self._transport and self._attempt:
             self._transport.write(b"0\r\n" + trailers)
-        self.sending = False
+        self.is_sending_body = False
         self._check_written()
 
     def _check_written(self) -> None:
         """Note when the last byte has gone. With a buffer a server may have all that counts before that."""
         transport, attempt = self._transport, self._attempt
         # A write that fails closes the transport at once; one that is cut short leaves a rest in it.
-        if not transport or not attempt or self.written or transport.is_closing():
+        if not transport or not attempt or self.is_written or transport.is_closing():
             return
-        if self._buffer or not (self.sending or transport.get_write_buffer_size()):
-            self.written = True
+        if self._buffer or not (self.is_sending_body or transport.get_write_buffer_size()):
+            self.is_written = True
             if attempt.on_written:
                 attempt.on_written()
 
@@ -157,26 +162,26 @@
             self._check_written()
 
     # --- Back pressure -------------------------------------------------------------------------
-    def pause(self, paused: bool) -> None:
+    def set_paused(self, paused: bool) -> None:
         """Read on only where the answer's reader does."""
         if self._transport and paused != self._paused and not self._transport.is_closing():
             self._paused = paused
-            self.heard = monotonic()
+            self.last_received_at = monotonic()
             if paused:
                 self._transport.pause_reading()
             else:
                 self._transport.resume_reading()
 
     @property
-    def paused(self) -> bool:
+    def is_paused(self) -> bool:
         return self._paused
 
     # --- The answer ----------------------------------------------------------------------------
     def data_received(self, data: bytes) -> None:
         if self._attempt is None:
-            self.drop("bytes came that nobody asked for")
+            self.abort("bytes came that nobody asked for")
             return
-        self.heard = monotonic()
+        self.last_received_at = monotonic()
         self._size += 0 if self._headed else len(data)
         try:
             self._parser.feed_data(data)
@@ -185,7 +190,7 @@
             return
         except httptools.HttpParserCallbackError:
             # A fault of this program, met while reading: told in full, and the attempt ends.
-            log.exception("server %s: an answer could not be handled", self._server.dial)
+            log.exception("server %s: an answer could not be handled", self._server.address)
             self._fail(Status.ERROR)
             return
         except httptools.HttpParserError as error:
@@ -198,7 +203,7 @@
         elif self._attempt and not self._headed and self._size > self._head_limit:
             self._spoil("a head that does not end")
         elif self._attempt and self._within:
-            self._attempt.touched()
+            self._attempt.partial_response_received()
 
     def on_message_begin(self) -> None:
         self._within = True
@@ -211,7 +216,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._told += len(name) + len(value) + 4
-        if not self._complete and len(self._headers) <= MOST_HEADERS:
+        if not self._complete and len(self._headers) <= MAX_HEADERS:
             self._headers.append((name.lower(), value.strip()))
 
     def on_headers_complete(self) -> None:
@@ -219,11 +224,11 @@
             return
         code = self._parser.get_status_code()
         headers, self._headers = self._headers, []
-        if len(headers) > MOST_HEADERS or self._told > self._head_limit:
+        if len(headers) > MAX_HEADERS or self._told > self._head_limit:
             self._spoil("too many headers, or too long ones")
         elif code == 101:
             self._spoil("an upgrade that nobody asked for")
-        elif code < 200 and self._interim >= MOST_INTERIM:
+        elif code < 200 and self._interim >= MAX_INTERIM_RESPONSES:
             self._spoil("interim answers without end")
         elif code < 200:
             self._size = self._told = 0
@@ -283,7 +288,7 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._servers.closed(self._server, self)
+        self._servers.connection_closed(self._server, self)
         del self._parser  # it holds this object, too: together they would wait for the collector
         self._fail(Status.RESET)
 
@@ -293,31 +298,31 @@
         if attempt is None:
             return
         # The rest of a body that nobody waited for would be read as the next request.
-        if self._keep and self.written and not self.sending and not self._paused:
-            self._servers.keep(self._server, self)
+        if self._keep and self.is_written and not self.is_sending_body and not self._paused:
+            self._servers.keep_idle(self._server, self)
         else:
-            self.drop("it can't be kept behind its answer")
-        attempt.end(Answer(Status.OK))
+            self.abort("it can't be kept behind its answer")
+        attempt.end(AttemptResult(Status.OK))
 
-    def fail(self) -> None:
+    def reset(self) -> None:
         """End the attempt as if the server had broken off."""
         self._fail(Status.RESET)
 
-    def drop(self, reason: str) -> None:
+    def abort(self, reason: str) -> None:
         self._attempt = None
-        super().drop(reason)
+        super().abort(reason)
 
-    def spoil(self, what: str) -> None:
+    def reject_response(self, what: str) -> None:
         """End the attempt as one whose answer can't be read; what follows is not read either."""
         if self._attempt:
             self._spoil(what)
 
     def _spoil(self, what: str) -> None:
-        log.warning("server %s: %s", self._server.dial, what)
+        log.warning("server %s: %s", self._server.address, what)
         self._fail(Status.ERROR)
 
     def _fail(self, status: Status) -> None:
-        attempt, written = self._attempt, self.written
-        self.drop(f"its attempt ends: {status.value}")
+        attempt, written = self._attempt, self.is_written
+        self.abort(f"its attempt ends: {status.value}")
         if attempt:
-            attempt.end(Answer(status if written else Status.CONNECT_FAILED))
+            attempt.end(AttemptResult(status if written else Status.CONNECT_FAILED))
--- a/tests/standalone.py
+++ b/tests/standalone.py
@@ -102,7 +102,7 @@
         """Whether nothing is left of any request."""
         relay = self.limiter.relay
         pools = relay.gateway.pools.values()
-        left = relay.table.entries or relay._passages or relay._attempts or relay.gateway.requests
+        left = relay.table.requests or relay._passages or relay._attempts or relay.gateway.requests
         return not left and not relay._held and all(pool.count == [0, 0] for pool in pools)
 
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -16,7 +16,7 @@
 from basaltpoint.daemon.platform import SWEEP_S
 from basaltpoint.fronts.platform import client_connection, clients
 from basaltpoint.fronts.platform import limiter as limiting
-from basaltpoint.upstream import whole
+from basaltpoint.upstream import buffered
 
 MB = 1 << 20
 
@@ -111,7 +111,7 @@
             if how == "close":
                 writer.close()
             assert await take(client) == (200, body)
-            assert rig.limiter.open == 0 and rig.limiter.figures.of(2).answered == 1
+            assert rig.limiter.open == 0 and rig.limiter.figures.counts_of(2).answered == 1
 
     run(test())
 
@@ -196,7 +196,7 @@
                 await (
                     client.reader.readexactly(3_000_000) if how == "length" else read_chunked(client.reader)
                 )
-            await until(lambda: rig.limiter.figures.of(0).errored == 1)
+            await until(lambda: rig.limiter.figures.counts_of(0).errored == 1)
             assert server.arrived.empty() and rig.limiter.open == 0
 
     run(test())
@@ -276,7 +276,7 @@
             connection.begun -= clients.STALL_S + 70_000 / client_connection.LEAST_RATE + 0.5
             rig.clients.sweep()
             assert (await take(client))[0] == 408
-            await until(lambda: rig.limiter.open == 0 and not rig.limiter.table.entries)
+            await until(lambda: rig.limiter.open == 0 and not rig.limiter.table.requests)
             assert rig.clients._bytes == 0
 
     run(test())
@@ -398,7 +398,7 @@
             client.close()
             with contextlib.suppress(ConnectionError):
                 await reader.read()
-            await until(lambda: rig.limiter.open == 0 and not rig.limiter.table.entries)
+            await until(lambda: rig.limiter.open == 0 and not rig.limiter.table.requests)
             assert rig.clients._bytes == 0 and rig.limiter.gateway.pools[0].count == [0, 0]
 
     run(test())
@@ -488,7 +488,7 @@
             client = await rig.connect()
             client.send(message("fix"))
             _, writer, _ = await server.request()
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (whole.LONGEST + 1))
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (buffered.MAX_BODY_BYTES + 1))
             assert (await take(client))[0] == 502
 
     run(test())
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -546,7 +546,7 @@
                 rig.limiter.arm()
             client = await rig.connect()
             assert (await client.ask(message())).code == 200
-            await until(lambda: rig.limiter.table.next_ms is None)
+            await until(lambda: rig.limiter.table.next_tick_ms is None)
 
     run(test())
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -16,11 +16,11 @@
 from sockets import SETTINGS, Request, backend, host, limiter, message, run, until
 
 from basaltpoint import interface as api
-from basaltpoint.core.table import Dispatch, Ending, Reply, Table, Ticket
+from basaltpoint.core.table import NewRequest, Reply, RequestResult, RequestTable, StartAttempt
 from basaltpoint.fronts.control.console import CALLERS, LINE_LIMIT, Console
 from basaltpoint.fronts.platform.config import load
 from basaltpoint.interface import Status
-from basaltpoint.system.listening import listener
+from basaltpoint.system.listening import open_listener
 from basaltpoint.telemetry.figures import Figures, Gauges
 
 FIGURE = re.compile(r'gw_(\w+?)(?:\{group="(.*)"\})? (\d+)')
@@ -45,8 +45,8 @@
 
 def test_figures_as_they_are_written() -> None:
     figures = Figures(["read", 'a"b'])
-    figures.of(1).answered += 3
-    lines = list(figures.lines(Gauges(14, 9, 2)))
+    figures.counts_of(1).answered += 3
+    lines = list(figures.metric_lines(Gauges(14, 9, 2)))
     assert 'gw_answered{group="a\\"b"} 3' in lines and lines[-3:] == [
         "gw_current 14",
         "gw_cluster_size 9",
@@ -56,12 +56,12 @@
 
 def test_a_class_that_comes_back_counts_on() -> None:
     figures = Figures(["read", "fix"])
-    kept = figures.of(1)
-    figures.retune(["fix"])
-    assert figures.of(0) is kept
-    figures.retune(["read", "fix"])
+    kept = figures.counts_of(1)
+    figures.update_classes(["fix"])
+    assert figures.counts_of(0) is kept
+    figures.update_classes(["read", "fix"])
     kept.errored += 1
-    assert figures.of(1).errored == 1
+    assert figures.counts_of(1).errored == 1
 
 
 class Chance:
@@ -84,7 +84,7 @@
 def test_figures_equal_a_ledger_of_what_clients_were_told(seed: int) -> None:
     rng = random.Random(seed)
     names = ["read", "fix"]
-    table = Table(Chance(rng), 3, 5, Figures(names))
+    table = RequestTable(Chance(rng), 3, 5, Figures(names))
     ledger: Counter[tuple[str, str]] = Counter()
     classes: dict[int, str] = {}
     out: dict[int, int] = {}
@@ -92,12 +92,12 @@
 
     def see(effects: list[object]) -> None:
         for effect in effects:
-            if isinstance(effect, Dispatch):
+            if isinstance(effect, StartAttempt):
                 out[effect.request] = effect.attempt
             elif isinstance(effect, Reply):
                 served, refused = (
-                    effect.ending is Ending.SERVED,
-                    effect.ending in (Ending.REFUSED, Ending.BUSY),
+                    effect.result is RequestResult.SERVED,
+                    effect.result in (RequestResult.REFUSED, RequestResult.BUSY),
                 )
                 kind = "answered" if served else "deferred" if refused else "errored"
                 ledger[kind, classes[effect.request]] += 1
@@ -110,17 +110,17 @@
             # Its number is told with its effects: one more than the last.
             classes[len(classes) + 1] = names[cls]
             name = b"%d" % rng.randrange(8)
-            _, effects = table.take(now, Ticket(cls, 0, 1, 1.0, 1, 400.0, name=name))
+            _, effects = table.admit(now, NewRequest(cls, 0, 1, 1.0, 1, 400.0, key=name))
             see(list(effects))
         elif roll < 0.8 and out:
             ident = rng.choice(sorted(out))
             status = rng.choice([Status.OK, Status.ERROR, Status.TIMEOUT])
-            see(list(table.ended(now, ident, out.pop(ident), status)))
+            see(list(table.attempt_ended(now, ident, out.pop(ident), status)))
         elif roll < 0.9 and classes:
-            see(list(table.abandon(now, rng.randrange(len(classes)) + 1)))
+            see(list(table.client_disconnected(now, rng.randrange(len(classes)) + 1)))
         else:
             see(list(table.tick(now)))
-    counted = read(list(table.figures.lines(Gauges(table.open, 0, 0))))
+    counted = read(list(table.figures.metric_lines(Gauges(table.open_count, 0, 0))))
     told = {key: value for key, value in counted.items() if key[0] in ("answered", "deferred", "errored")}
     assert {key: value for key, value in told.items() if value} == dict(ledger)
 
@@ -148,7 +148,7 @@
                 for server in (one, two):
                     for request in server.requests:
                         seen["sends", request.line.split("/")[1]] += 1
-                lines = list(rig.limiter.figures.lines(rig.limiter.gauges()))
+                lines = list(rig.limiter.figures.metric_lines(rig.limiter.gauges()))
                 found = read(lines)
                 gauges = {
                     name: found.pop((name, "")) for name in ("current", "cluster_size", "cluster_unhealthy")
@@ -173,7 +173,7 @@
         raise ValueError("on purpose")
 
     calls_by_name = {"readyz": lambda: ["ok"], "telemetry": telemetry, "broken": broken}
-    made = Console(listener(("127.0.0.1", 0), 16), calls_by_name)
+    made = Console(open_listener(("127.0.0.1", 0), 16), calls_by_name)
     made.listen()
     return made
 
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -15,8 +15,8 @@
 from basaltpoint.fronts.http.connection import ClientConnection
 from basaltpoint.fronts.http.message import BadRequestError, Changes, Headers, Origin, Request
 from basaltpoint.interface import Status
-from basaltpoint.upstream.servers import Answer, Server, Servers
-from basaltpoint.upstream.streams import StreamAnswers, StreamAttempt
+from basaltpoint.upstream.servers import AttemptResult, ServerConnections, UpstreamServer
+from basaltpoint.upstream.streams import StreamAttempt, StreamConnection
 
 
 class Transport:
@@ -161,7 +161,7 @@
     def completed(self, trailers: Headers) -> None:
         self.story.append(tuple(trailers))
 
-    def connected(self, stream: StreamAnswers) -> None: ...
+    def connected(self, stream: StreamConnection) -> None: ...
     def writable(self, ready: bool) -> None: ...
 
 
@@ -193,12 +193,12 @@
 
 def answered(raw: bytes, head_only: bool, cuts: list[int]) -> tuple[list[Any], bytes, list[Status]]:
     async def play() -> tuple[list[Any], bytes, list[Status]]:
-        servers = Servers(10, 1.0, 1.0, lambda *_: connection)
+        servers = ServerConnections(10, 1.0, 1.0, lambda *_: connection)
         left, right = socket.socketpair()
         with left, right:
-            connection = StreamAnswers(servers, Server(("127.0.0.1", 1)), left, 4096, 65536)
+            connection = StreamConnection(servers, UpstreamServer(("127.0.0.1", 1)), left, 4096, 65536)
             connection.connection_made(Transport())  # type: ignore[arg-type]
-            heard, ends = Heard(), list[Answer]()
+            heard, ends = Heard(), list[AttemptResult]()
             later = asyncio.get_running_loop().time() + 3600
             connection.start(StreamAttempt(b"", later, ends.append, heard, head_only))
             edges = [0, *sorted(cut % (len(raw) + 1) for cut in cuts), len(raw)]
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -430,7 +430,7 @@
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.send(request())
             relay = rig.limiter.relay
-            await until(lambda: any(p.stream and p.stream.paused for p in relay._passages.values()))
+            await until(lambda: any(p.stream and p.stream.is_paused for p in relay._passages.values()))
             (passage,) = relay._passages.values()
             transport = passage.connection._transport
             assert transport and transport.get_write_buffer_size() < 1 << 20
@@ -653,7 +653,7 @@
                     client.close()
                 assert len(going.requests) == had
                 first.reply(body=b"finished")  # what it had is finished
-                await until(lambda: rig.limiter.relay.table.open < had)
+                await until(lambda: rig.limiter.relay.table.open_count < had)
 
     run(test())
 
@@ -794,7 +794,7 @@
                 relay.arm()
             client = await rig.connect()
             assert (await client.ask(request())).code == 200
-            await until(lambda: relay.table.next_ms is None)
+            await until(lambda: relay.table.next_tick_ms is None)
 
     run(test())
 
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -35,14 +35,14 @@
 def watch_events(rig: Rig) -> list[api.ServerList]:
     """Each list that the decisions are told from here on."""
     told: list[api.ServerList] = []
-    tell = rig.limiter.table.tell
+    tell = rig.limiter.table.handle_event
 
     def note(now: float, event: api.Event) -> Any:
         if isinstance(event, api.ServerList):
             told.append(event)
         return tell(now, event)
 
-    rig.limiter.table.tell = note  # type: ignore[method-assign]
+    rig.limiter.table.handle_event = note  # type: ignore[method-assign]
     return told
 
 
--- a/tests/test_membership_lease.py
+++ b/tests/test_membership_lease.py
@@ -38,7 +38,7 @@
 from basaltpoint.standins.discovery import Agent, Registry
 from basaltpoint.upstream.send_guard import SendGuard
 from basaltpoint.upstream.servers import Attempt
-from basaltpoint.upstream.streams import StreamAnswers
+from basaltpoint.upstream.streams import StreamConnection
 
 GRACE_S = 0.25
 ALLOWED_S = GRACE_S - lease.STALL_S
@@ -168,11 +168,11 @@
     assert write_denial(now, True, math.inf, now - 1.0, math.inf) is Denial.DEADLINE
     assert write_denial(now, True, math.inf, math.inf, now - 1.0) is Denial.WINDOW
     assert write_denial(now, True, now - 1.0, math.inf, math.inf) is Denial.MEMBERSHIP
-    guard.lease_until = now - 1.0
+    guard.lease_expires_at = now - 1.0
     guard.withhold(Denial.MEMBERSHIP)
-    guard.held_up(math.inf, math.inf)
+    guard.record_stall(math.inf, math.inf)
     assert (guard.withheld[Denial.MEMBERSHIP], guard.violations[Denial.MEMBERSHIP]) == (1, 1)
-    assert 'gw_violations{rule="membership"} 1' in list(guard.lines())
+    assert 'gw_violations{rule="membership"} 1' in list(guard.metric_lines())
 
 
 # --- The limiter over sockets ---------------------------------------------------------------------
@@ -450,14 +450,14 @@
     async def story(made: Scene) -> None:
         await confirmed(made)
         guard = made.rig.limiter.guard
-        plain = StreamAnswers.start
+        plain = StreamConnection.start
 
-        def held_up(self: StreamAnswers, attempt: Attempt) -> None:
-            guard.lease_until = monotonic() + 0.01
+        def held_up(self: StreamConnection, attempt: Attempt) -> None:
+            guard.lease_expires_at = monotonic() + 0.01
             time.sleep(0.05 + lease.STALL_S)
             plain(self, attempt)
 
-        monkeypatch.setattr(StreamAnswers, "start", held_up)
+        monkeypatch.setattr(StreamConnection, "start", held_up)
         assert await made.code() == 200
         assert guard.violations == {Denial.MEMBERSHIP: 1}
         assert "violation: an attempt was written though" in caplog.text
@@ -471,7 +471,7 @@
     async def story(made: Scene) -> None:
         await confirmed(made)
         servers = made.rig.limiter._servers
-        servers.guard.lease_until = monotonic() - 1.0  # the module still holds it
+        servers.guard.lease_expires_at = monotonic() - 1.0  # the module still holds it
         assert await made.code() == 429
         assert not made.one.requests and not made.two.requests
         assert servers.guard.withheld[Denial.MEMBERSHIP] == 1
@@ -488,7 +488,7 @@
         await confirmed(made)
         made.agent.faults.down = True
         made.agent.mute_watches()
-        await until(lambda: made.rig.limiter.guard.lease_until == math.inf)
+        await until(lambda: made.rig.limiter.guard.lease_expires_at == math.inf)
         assert await made.code() == 200  # it serves on alone
         await made.drain_while_down()
         made.agent.faults.first_word_s = (0.8, 0.8)  # that the next calls must wait for
--- a/tests/test_moments_ends.py
+++ b/tests/test_moments_ends.py
@@ -88,7 +88,7 @@
             await until(lambda: bool(rig.clients.coming))
             drain = asyncio.create_task(rig.clients.drain())
             await until(lambda: rig.clients.closing)
-            rig.limiter.table.latest_ms = rig.limiter.now()  # the time has come
+            rig.limiter.table.final_deadline_ms = rig.limiter.now()  # the time has come
             client.send(message("fix", "one")[30:])
             answer = await client.answer()
             assert (answer.code, answer.headers["connection"]) == (503, "close")
@@ -311,7 +311,7 @@
 
 def test_the_backlog_is_taken_whole_before_nobody_listens_any_more(monkeypatch: pytest.MonkeyPatch) -> None:
     """More connections than are accepted at a time, each with a whole request, when the listener closes."""
-    monkeypatch.setattr(accepting, "PORTION", 2)
+    monkeypatch.setattr(accepting, "MAX_ACCEPT_BATCH", 2)
     monkeypatch.setattr(clients, "DRAIN_S", 0.0)
     monkeypatch.setattr(clients, "QUIET_S", -1.0)
 
@@ -353,7 +353,7 @@
             else:
                 sock.shutdown(socket.SHUT_WR)
             rig.clients.listen()
-            await until(lambda: rig.clients._acceptor.last_at > paused)
+            await until(lambda: rig.clients._acceptor.last_accept_at > paused)
             await until(lambda: len(rig.clients._open) == 1)
             assert (await client.ask(message(ident="stays"))).body == b"stays"
             assert [request.headers["req-id"] for request in server.requests] == ["first", "stays"]
--- a/tests/test_moments_servers.py
+++ b/tests/test_moments_servers.py
@@ -10,13 +10,13 @@
 import pytest
 from sockets import SETTINGS, Backend, Request, Rig, backend, echo, host, limiter, message, run, until
 
-from basaltpoint.core.table import Dispatch
+from basaltpoint.core.table import StartAttempt
 from basaltpoint.fronts.platform.config import REST_S
 from basaltpoint.fronts.platform.passage import LOOK_AGAIN_S
 from basaltpoint.interface import Status
 from basaltpoint.policy.send_rules import Denial
-from basaltpoint.upstream.servers import Answer, Servers
-from basaltpoint.upstream.whole import WholeAttempt, connection
+from basaltpoint.upstream.buffered import BufferedAttempt, platform_connection
+from basaltpoint.upstream.servers import AttemptResult, ServerConnections
 
 TWICE = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond"
 ASK = b"GET /read HTTP/1.1\r\n\r\n"
@@ -48,20 +48,23 @@
 
     async def test() -> None:
         async with backend(echo) as server:
-            servers, loop = Servers(10, 1.0, 60.0, connection, rest_s=30.0), asyncio.get_running_loop()
+            servers, loop = (
+                ServerConnections(10, 1.0, 60.0, platform_connection, min_idle_s=30.0),
+                asyncio.get_running_loop(),
+            )
             name, port = server.address.split(":")
-            servers.place(1, (name, int(port)), True)
+            servers.update_server(1, (name, int(port)), True)
 
             async def ask() -> Status:
-                ended: asyncio.Future[Answer] = loop.create_future()
+                ended: asyncio.Future[AttemptResult] = loop.create_future()
                 raw = b"GET /read HTTP/1.1\r\nReq-Id: x\r\n\r\n"
-                servers.begin(1, WholeAttempt(raw, loop.time() + 20, ended.set_result))
+                servers.start_attempt(1, BufferedAttempt(raw, loop.time() + 20, ended.set_result))
                 return (await ended).status
 
             for _ in range(3):
                 assert await ask() is Status.OK
             assert [request.connection for request in server.requests] == [1, 2, 3]
-            idle = servers._servers[1].idle
+            idle = servers._servers[1].idle_connections
             idle[0].idle_since -= 31.0
             idle[1].idle_since -= 30.5
             assert await ask() is Status.OK
@@ -77,7 +80,7 @@
 
     async def test() -> None:
         async with backend() as server:
-            servers, loop = Servers(10, 1.0, 60.0, connection), asyncio.get_running_loop()
+            servers, loop = ServerConnections(10, 1.0, 60.0, platform_connection), asyncio.get_running_loop()
             create = loop.create_connection
 
             async def fails(*args: Any, **more: Any) -> Any:
@@ -89,14 +92,14 @@
 
             loop.create_connection = fails  # type: ignore[method-assign]
             name, port = server.address.split(":")
-            servers.place(1, (name, int(port)), True)
-            ended: asyncio.Future[Answer] = loop.create_future()
-            servers.begin(1, WholeAttempt(ASK, loop.time() + 20, ended.set_result))
+            servers.update_server(1, (name, int(port)), True)
+            ended: asyncio.Future[AttemptResult] = loop.create_future()
+            servers.start_attempt(1, BufferedAttempt(ASK, loop.time() + 20, ended.set_result))
             assert (await ended).status is Status.CONNECT_FAILED
             await until(lambda: not servers._connecting)
             await until(lambda: servers._open == 0)
             await asyncio.sleep(0.02)  # whatever is told of it later must not count again
-            assert (servers._open, servers._servers[1].open) == (0, 0)
+            assert (servers._open, servers._servers[1].open_connections) == (0, 0)
 
     run(test())
 
@@ -106,7 +109,7 @@
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
-            carry_out, broken = rig.limiter._servers.begin, list[int]()
+            carry_out, broken = rig.limiter._servers.start_attempt, list[int]()
 
             def begin(number: int, attempt: Any) -> Any:
                 if not broken:
@@ -114,16 +117,16 @@
                     raise RuntimeError("a fault of this program")
                 return carry_out(number, attempt)
 
-            rig.limiter._servers.begin = begin  # type: ignore[method-assign]
+            rig.limiter._servers.start_attempt = begin  # type: ignore[method-assign]
             client, other = await rig.connect(), await rig.connect()
             client.send(message("fix", "broken"))
             assert (await client.answer()).code == 502
             assert (await other.ask(message("fix", "sound"))).body == b"sound"
-            assert rig.limiter.open == 0 and not rig.limiter.table.entries
+            assert rig.limiter.open == 0 and not rig.limiter.table.requests
 
     run(test())
-    assert any(r.levelno == logging.ERROR and "Dispatch" in r.getMessage() for r in caplog.records)
-    assert Dispatch.__name__ == "Dispatch"
+    assert any(r.levelno == logging.ERROR and "StartAttempt" in r.getMessage() for r in caplog.records)
+    assert StartAttempt.__name__ == "StartAttempt"
 
 
 WINDOW_MS = 1000.0
@@ -175,18 +178,18 @@
 
     async def test() -> None:
         async with backend() as server:
-            servers, loop = Servers(10, 20.0, 60.0, connection), asyncio.get_running_loop()
+            servers, loop = ServerConnections(10, 20.0, 60.0, platform_connection), asyncio.get_running_loop()
             if not written:
                 loop.sock_connect = lambda *_: asyncio.Event().wait()  # type: ignore
             name, port = server.address.split(":")
-            servers.place(1, (name, int(port)), True)
-            ended: asyncio.Future[Answer] = loop.create_future()
+            servers.update_server(1, (name, int(port)), True)
+            ended: asyncio.Future[AttemptResult] = loop.create_future()
             by = loop.time() + (2.0 if written else 0.05)
-            attempt = WholeAttempt(ASK, loop.time() + 20, ended.set_result, whole_by=by)
-            servers.begin(1, attempt)
+            attempt = BufferedAttempt(ASK, loop.time() + 20, ended.set_result, write_by=by)
+            servers.start_attempt(1, attempt)
             if written:
                 request = await server.arrived.get()
-                attempt.whole_by = loop.time()
+                attempt.write_by = loop.time()
                 attempt._time_out()  # as its timer would
                 request.reply(body=b"x")
             assert (await ended).status is (Status.OK if written else Status.CONNECT_FAILED)
@@ -261,7 +264,7 @@
             await server.arrived.get()
             [attempt] = rig.limiter._attempts.values()
             socks[0].close()
-            attempt.connection.fail()  # type: ignore[union-attr]
+            attempt.connection.reset()  # type: ignore[union-attr]
             await until(lambda: len(rig.clients._open) == 1)
             assert [request.headers["req-id"] for request in server.requests].count("left") == 1
             socks[1].close()
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -12,28 +12,28 @@
 from basaltpoint.interface import Effect
 from basaltpoint.routing import regex
 from basaltpoint.routing.accounts import (
-    ANONYMOUS,
+    ANONYMOUS_BASE,
     Account,
     Accounts,
-    Identity,
-    Missing,
-    Stranger,
-    anonymous,
+    IdentitySettings,
+    KeyPolicy,
+    UnknownClient,
+    anonymous_number,
     client_address,
 )
 from basaltpoint.routing.path import PathError, normal_host, normal_path, split_target
 from basaltpoint.routing.routes import (
-    Form,
-    Handling,
+    ClassRules,
+    PathForm,
     Rewrite,
     Route,
     Routes,
-    conditions_hold,
-    prefix_holds,
-    wildcard_holds,
+    conditions_match,
+    prefix_matches,
+    wildcard_matches,
 )
 
-HANDLING = Handling(0, Effect.SAFE, 1000.0)
+HANDLING = ClassRules(0, Effect.SAFE, 1000.0)
 
 
 # --- Paths -----------------------------------------------------------------------------------------
@@ -113,18 +113,18 @@
     routes = Routes(
         [
             route("any"),
-            route("regex", form=Form.REGEX, path=r"^/a/\d+$"),
-            route("prefix", form=Form.PREFIX, path="/a"),
-            route("longer", form=Form.PREFIX, path="/a/b"),
-            route("exact", form=Form.EXACT, path="/a/b"),
-            route("posts", form=Form.EXACT, path="/a/b", methods=frozenset(["POST"])),
-            route("below", form=Form.PREFIX, path="/c/"),
+            route("regex", path_form=PathForm.REGEX, path=r"^/a/\d+$"),
+            route("prefix", path_form=PathForm.PREFIX, path="/a"),
+            route("longer", path_form=PathForm.PREFIX, path="/a/b"),
+            route("exact", path_form=PathForm.EXACT, path="/a/b"),
+            route("posts", path_form=PathForm.EXACT, path="/a/b", methods=frozenset(["POST"])),
+            route("below", path_form=PathForm.PREFIX, path="/c/"),
             route("wild", hosts=("*.example.org",)),
             route("wilder", hosts=("*.b.example.org",)),
-            route("host", hosts=("a.example.org",), form=Form.PREFIX, path="/only"),
-            route("first", form=Form.PREFIX, path="/a/b/c", priority=5),
+            route("host", hosts=("a.example.org",), path_form=PathForm.PREFIX, path="/only"),
+            route("first", path_form=PathForm.PREFIX, path="/a/b/c", priority=5),
         ],
-        regex.Set,
+        regex.ExpressionSet,
     )
     assert named(routes, "/a/b") == "exact"
     assert named(routes, "/a/b", method="POST") == "posts"
@@ -143,38 +143,38 @@
 def test_headers_methods_and_what_would_have_been_allowed() -> None:
     routes = Routes(
         [
-            route("v2", path="/a", form=Form.EXACT, headers=(("x-version", "2"),)),
-            route("plain", path="/a", form=Form.EXACT, headers=(("x-version", "!"),)),
-            route("some", path="/a", form=Form.EXACT, headers=(("x-version", "*"),), priority=-1),
-            route("put", path="/p", form=Form.EXACT, methods=frozenset(["PUT", "PATCH"])),
+            route("v2", path="/a", path_form=PathForm.EXACT, headers=(("x-version", "2"),)),
+            route("plain", path="/a", path_form=PathForm.EXACT, headers=(("x-version", "!"),)),
+            route("some", path="/a", path_form=PathForm.EXACT, headers=(("x-version", "*"),), priority=-1),
+            route("put", path="/p", path_form=PathForm.EXACT, methods=frozenset(["PUT", "PATCH"])),
         ]
     )
     assert routes.match("h", "/a", "GET", {"x-version": "2"}).route.name == "v2"  # type: ignore[union-attr]
     assert routes.match("h", "/a", "GET", {"x-version": "3"}).route.name == "some"  # type: ignore[union-attr]
     assert named(routes, "/a") == "plain"
     match = routes.match("h", "/p", "GET", {})
-    assert match.route is None and match.allowed == {"PUT", "PATCH"}
-    assert routes.match("h", "/q", "GET", {}).allowed == frozenset()
+    assert match.route is None and match.allowed_methods == {"PUT", "PATCH"}
+    assert routes.match("h", "/q", "GET", {}).allowed_methods == frozenset()
 
 
 def naive(routes: list[Route], host: str, path: str, method: str) -> str | None:
     """Every route looked at, in the order that the docs state."""
 
     def holds(one: Route) -> tuple[int, ...] | None:
-        hosts = [h for h in one.hosts if h == host or (h.startswith("*") and wildcard_holds(h, host))]
+        hosts = [h for h in one.hosts if h == host or (h.startswith("*") and wildcard_matches(h, host))]
         if one.hosts and not hosts:
             return None
         fits = {
-            Form.EXACT: lambda: path == one.path,
-            Form.PREFIX: lambda: prefix_holds(one.path, path),
-            Form.REGEX: lambda: one.path.strip("^$").split("/")[-1] in path,
-            Form.ANY: lambda: True,
-        }[one.form]()
-        if not fits or not conditions_hold(one, method, {}):
+            PathForm.EXACT: lambda: path == one.path,
+            PathForm.PREFIX: lambda: prefix_matches(one.path, path),
+            PathForm.REGEX: lambda: one.path.strip("^$").split("/")[-1] in path,
+            PathForm.ANY: lambda: True,
+        }[one.path_form]()
+        if not fits or not conditions_match(one, method, {}):
             return None
         best = min((h.startswith("*"), -len(h)) for h in hosts) if hosts else (2, 0)
-        length = -len(one.path) if one.form is Form.PREFIX else 0
-        return -one.priority, *best, one.form, length, -bool(one.methods), routes.index(one)
+        length = -len(one.path) if one.path_form is PathForm.PREFIX else 0
+        return -one.priority, *best, one.path_form, length, -bool(one.methods), routes.index(one)
 
     ranked = [(rank, one.name) for one in routes if (rank := holds(one))]
     return min(ranked)[1] if ranked else None
@@ -188,7 +188,7 @@
 ROUTES = st.lists(
     st.builds(
         lambda form, path, hosts, methods, priority: (form, path, tuple(hosts), methods, priority),
-        st.sampled_from(list(Form)),
+        st.sampled_from(list(PathForm)),
         PATHS,
         st.lists(st.sampled_from(["h", "x.h", "*.h", "*.x.h"]), max_size=2, unique=True),
         st.sampled_from([frozenset(), frozenset(["GET"]), frozenset(["PUT"])]),
@@ -200,26 +200,28 @@
 
 @given(ROUTES, HOSTS, PATHS, st.sampled_from(["GET", "PUT"]))
 def test_matching_agrees_with_a_naive_reference(
-    rows: list[tuple[Form, str, tuple[str, ...], frozenset[str], int]], host: str, path: str, method: str
+    rows: list[tuple[PathForm, str, tuple[str, ...], frozenset[str], int]], host: str, path: str, method: str
 ) -> None:
     routes = []
     for at, (form, text, hosts, methods, priority) in enumerate(rows):
-        if form is Form.REGEX:
+        if form is PathForm.REGEX:
             text = text.strip("/").split("/")[-1] or "a"
-        kept = "" if form is Form.ANY else text
-        routes.append(route(str(at), form=form, path=kept, hosts=hosts, methods=methods, priority=priority))
-    found = Routes(routes, regex.Set).match(host, path, method, {}).route
+        kept = "" if form is PathForm.ANY else text
+        routes.append(
+            route(str(at), path_form=form, path=kept, hosts=hosts, methods=methods, priority=priority)
+        )
+    found = Routes(routes, regex.ExpressionSet).match(host, path, method, {}).route
     assert (found.name if found else None) == naive(routes, host, path, method)
 
 
 def test_an_expression_can_not_stall() -> None:
     """Text that takes a backtracking engine ages; here its length alone counts."""
-    routes = Routes([route("evil", form=Form.REGEX, path=r"^/(a+)+$")], regex.Set)
+    routes = Routes([route("evil", path_form=PathForm.REGEX, path=r"^/(a+)+$")], regex.ExpressionSet)
     assert named(routes, "/" + "a" * 5000 + "!") is None
     assert named(routes, "/" + "a" * 5000) == "evil"
     for bad in (r"(a", r"(?=a)", r"(a)\1", "a{2000}{2000}"):
         with pytest.raises(regex.RegexError):
-            regex.check(bad)
+            regex.check_expression(bad)
 
 
 def test_rewriting() -> None:
@@ -232,31 +234,33 @@
 # --- Accounts --------------------------------------------------------------------------------------
 def accounts(**identity: object) -> Accounts:
     table = {hashlib.sha256(b"key-of-one").digest(): Account(1, 0, "one")}
-    return Accounts(table, Identity(**identity))  # type: ignore[arg-type]
+    return Accounts(table, IdentitySettings(**identity))  # type: ignore[arg-type]
 
 
 def test_keys() -> None:
     book = accounts()
-    assert book.find({"x-api-key": "key-of-one"}, "9.9.9.9") == Account(1, 0, "one")
-    assert book.find({"authorization": "bearer  key-of-one"}, "9.9.9.9") == Account(1, 0, "one")
-    assert book.find({"x-api-key": "key-of-two"}, "9.9.9.9") == Stranger(True)
-    assert book.find({"x-api-key": "x" * 100_000}, "9.9.9.9") == Stranger(True)
-    assert book.find({"authorization": "Basic abc"}, "9.9.9.9") == Stranger(False)
-    assert accounts(bearer=False).find({"authorization": "Bearer key-of-one"}, "") == Stranger(False)
+    assert book.account_of({"x-api-key": "key-of-one"}, "9.9.9.9") == Account(1, 0, "one")
+    assert book.account_of({"authorization": "bearer  key-of-one"}, "9.9.9.9") == Account(1, 0, "one")
+    assert book.account_of({"x-api-key": "key-of-two"}, "9.9.9.9") == UnknownClient(True)
+    assert book.account_of({"x-api-key": "x" * 100_000}, "9.9.9.9") == UnknownClient(True)
+    assert book.account_of({"authorization": "Basic abc"}, "9.9.9.9") == UnknownClient(False)
+    assert accounts(bearer=False).account_of({"authorization": "Bearer key-of-one"}, "") == UnknownClient(
+        False
+    )
     # The header goes first: a wrong one there is not mended by a token.
     both = {"x-api-key": "no", "authorization": "Bearer key-of-one"}
-    assert book.find(both, "") == Stranger(True)
+    assert book.account_of(both, "") == UnknownClient(True)
 
 
 def test_strangers_are_told_by_their_address() -> None:
-    book = accounts(no_key=Missing.ANONYMOUS, anonymous_plan=3)
-    found = book.find({}, "10.0.0.1")
-    assert isinstance(found, Account) and found.plan == 3 and found.number >= ANONYMOUS
-    assert book.find({"x-api-key": "no"}, "10.0.0.1") == Stranger(True)
-    numbers = {anonymous(a) for a in ("10.0.0.1", "10.0.0.2", "2001:db8::1", "2001:db8:0:1::1", "odd")}
+    book = accounts(no_key=KeyPolicy.ANONYMOUS, anonymous_plan=3)
+    found = book.account_of({}, "10.0.0.1")
+    assert isinstance(found, Account) and found.plan == 3 and found.number >= ANONYMOUS_BASE
+    assert book.account_of({"x-api-key": "no"}, "10.0.0.1") == UnknownClient(True)
+    numbers = {anonymous_number(a) for a in ("10.0.0.1", "10.0.0.2", "2001:db8::1", "2001:db8:0:1::1", "odd")}
     assert len(numbers) == 5
-    assert anonymous("2001:db8::1") == anonymous("2001:db8::ffff")  # one network, one client
-    assert anonymous("::ffff:10.0.0.1") == anonymous("10.0.0.1")
+    assert anonymous_number("2001:db8::1") == anonymous_number("2001:db8::ffff")  # one network, one client
+    assert anonymous_number("::ffff:10.0.0.1") == anonymous_number("10.0.0.1")
 
 
 def test_only_trusted_proxies_are_believed() -> None:
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -26,9 +26,9 @@
 from basaltpoint.fronts.platform.config import REUSE_S
 from basaltpoint.interface import Status
 from basaltpoint.policy import fleet
-from basaltpoint.upstream import whole
-from basaltpoint.upstream.servers import Answer, Servers
-from basaltpoint.upstream.whole import WholeAttempt, connection
+from basaltpoint.upstream import buffered
+from basaltpoint.upstream.buffered import BufferedAttempt, platform_connection
+from basaltpoint.upstream.servers import AttemptResult, ServerConnections
 
 DECLINED = "Srv-Declined: 1"
 
@@ -241,7 +241,7 @@
 
 def test_interim_answer_long_before(monkeypatch: pytest.MonkeyPatch) -> None:
     """It says nothing of when the final one begins, and does not count as one that stopped short."""
-    monkeypatch.setattr(whole, "SHORT_S", 0.02)
+    monkeypatch.setattr(buffered, "PARTIAL_RESPONSE_TIMEOUT_S", 0.02)
 
     async def test() -> None:
         async def script(request: Request) -> None:
@@ -286,10 +286,12 @@
     run(test())
 
 
-async def outcome(servers: Servers, number: int, raw: bytes, seconds: float = 20.0) -> Answer:
+async def outcome(
+    servers: ServerConnections, number: int, raw: bytes, seconds: float = 20.0
+) -> AttemptResult:
     loop = asyncio.get_running_loop()
-    ended: asyncio.Future[Answer] = loop.create_future()
-    servers.begin(number, WholeAttempt(raw, loop.time() + seconds, ended.set_result))
+    ended: asyncio.Future[AttemptResult] = loop.create_future()
+    servers.start_attempt(number, BufferedAttempt(raw, loop.time() + seconds, ended.set_result))
     return await ended
 
 
@@ -314,8 +316,8 @@
     """What the socket could not take whole never ran, however it ends."""
 
     async def test() -> None:
-        listener, servers = Listener(), Servers(10, 1.0, REUSE_S, connection)
-        servers.place(1, listener.address, True)
+        listener, servers = Listener(), ServerConnections(10, 1.0, REUSE_S, platform_connection)
+        servers.update_server(1, listener.address, True)
         large = b"POST /fix HTTP/1.1\r\nContent-Length: 64000000\r\n\r\n" + b"x" * 64_000_000
         task = asyncio.create_task(outcome(servers, 1, large, 0.3 if timed_out else 20.0))
         peer = await listener.accept()
@@ -334,18 +336,18 @@
         loop, listener, servers = (
             asyncio.get_running_loop(),
             Listener(),
-            Servers(10, 1.0, REUSE_S, connection),
+            ServerConnections(10, 1.0, REUSE_S, platform_connection),
         )
-        servers.place(1, listener.address, True)
+        servers.update_server(1, listener.address, True)
         first = asyncio.create_task(outcome(servers, 1, REQUEST))
         peer = await listener.accept()
         await loop.sock_recv(peer, 100)
         peer.send(OK)
         assert (await first).status is Status.OK
         peer.close()
-        ended: asyncio.Future[Answer] = loop.create_future()
-        servers.begin(
-            1, WholeAttempt(REQUEST, loop.time() + 20, ended.set_result)
+        ended: asyncio.Future[AttemptResult] = loop.create_future()
+        servers.start_attempt(
+            1, BufferedAttempt(REQUEST, loop.time() + 20, ended.set_result)
         )  # no turn of the loop between
         peer = await listener.accept()
         assert await loop.sock_recv(peer, 100) == REQUEST
@@ -399,11 +401,11 @@
         loop, listener, servers = (
             asyncio.get_running_loop(),
             Listener(),
-            Servers(10, 1.0, REUSE_S, connection),
+            ServerConnections(10, 1.0, REUSE_S, platform_connection),
         )
-        servers.place(1, listener.address, True)
-        ended: asyncio.Future[Answer] = loop.create_future()
-        attempt = servers.begin(1, WholeAttempt(REQUEST, loop.time() + 20, ended.set_result))
+        servers.update_server(1, listener.address, True)
+        ended: asyncio.Future[AttemptResult] = loop.create_future()
+        attempt = servers.start_attempt(1, BufferedAttempt(REQUEST, loop.time() + 20, ended.set_result))
         peer = await listener.accept()
         await loop.sock_recv(peer, 100)
         attempt.cancel()
@@ -416,19 +418,19 @@
 def test_latest_used_first_and_idle_dropped() -> None:
     async def test() -> None:
         async with backend() as server:
-            servers = Servers(10, 1.0, REUSE_S, connection)
+            servers = ServerConnections(10, 1.0, REUSE_S, platform_connection)
             dial, port = server.address.split(":")
-            servers.place(1, (dial, int(port)), True)
+            servers.update_server(1, (dial, int(port)), True)
             tasks = [asyncio.create_task(outcome(servers, 1, REQUEST)) for _ in range(2)]
             held = [await server.arrived.get() for _ in tasks]
             held[0].reply()
             held[1].reply()
             await asyncio.gather(*tasks)
-            servers.sweep()
+            servers.close_expired()
             assert server.connections == 2
             closed = [asyncio.create_task(request.closed()) for request in held]
             while not all(task.done() for task in closed):
-                servers.sweep()
+                servers.close_expired()
                 await asyncio.sleep(0.01)
 
     run(test())
@@ -442,10 +444,10 @@
             request.reply()
 
         async with backend(script) as one, backend() as two:
-            servers = Servers(1, 1.0, REUSE_S, connection)
+            servers = ServerConnections(1, 1.0, REUSE_S, platform_connection)
             for number, server in enumerate((one, two)):
                 name, port = server.address.split(":")
-                servers.place(number, (name, int(port)), True)
+                servers.update_server(number, (name, int(port)), True)
             assert (await outcome(servers, 0, REQUEST)).status is Status.OK
             task = asyncio.create_task(outcome(servers, 1, REQUEST))
             await one.requests[0].closed()
@@ -469,9 +471,9 @@
             request.reply("200 OK", b"", *next(headers))
 
         async with backend(script) as server:
-            servers = Servers(10, 1.0, REUSE_S, connection)
+            servers = ServerConnections(10, 1.0, REUSE_S, platform_connection)
             name, port = server.address.split(":")
-            servers.place(1, (name, int(port)), True)
+            servers.update_server(1, (name, int(port)), True)
             reply = await outcome(servers, 1, REQUEST)
             assert (reply.usage, reply.load) == (85, b'{"inflight":7,"qps":3}')
             reply = await outcome(servers, 1, REQUEST)
@@ -523,9 +525,9 @@
                 watched.tell(listing(2, host("d", server.address)))  # the others are gone in mid-flight
                 assert {(await client.answer()).code for client in made} <= {200, 429, 502}
                 gateway, sockets = rig.limiter.gateway, rig.limiter._servers
-                await until(lambda: not gateway.requests and not rig.limiter.table.entries)
+                await until(lambda: not gateway.requests and not rig.limiter.table.requests)
                 await until(lambda: not sockets._connecting)
-                assert (rig.limiter.open, gateway.pools[0].count, rig.limiter.table.names) == (
+                assert (rig.limiter.open, gateway.pools[0].count, rig.limiter.table.open_keys) == (
                     0,
                     [0, 0],
                     set(),
@@ -562,17 +564,17 @@
 
     async def test() -> None:
         loop, listener = asyncio.get_running_loop(), Listener()
-        servers = Servers(10, 1.0, REUSE_S, connection)
-        servers.place(1, listener.address, True)
-        ended: asyncio.Future[Answer] = loop.create_future()
-        servers.begin(1, WholeAttempt(REQUEST, loop.time() + 20, ended.set_result))
+        servers = ServerConnections(10, 1.0, REUSE_S, platform_connection)
+        servers.update_server(1, listener.address, True)
+        ended: asyncio.Future[AttemptResult] = loop.create_future()
+        servers.start_attempt(1, BufferedAttempt(REQUEST, loop.time() + 20, ended.set_result))
         if how == "drains":
-            servers.place(1, listener.address, False)
+            servers.update_server(1, listener.address, False)
         elif how == "is gone":
-            servers.remove(1)
+            servers.remove_server(1)
         else:
             await asyncio.sleep(0)  # it is on its way to the old address
-            servers.place(1, ("127.0.0.1", 9), True)
+            servers.update_server(1, ("127.0.0.1", 9), True)
         peer = await listener.accept()
         assert (await ended).status is Status.CONNECT_FAILED
         with contextlib.suppress(ConnectionError):
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -16,7 +16,7 @@
 from basaltpoint.fronts.platform import clients
 from basaltpoint.membership.lease import MembershipLease
 from basaltpoint.system.connecting import connect
-from basaltpoint.system.errors import Trouble, accept_trouble, connect_trouble
+from basaltpoint.system.errors import ErrorOrigin, accept_error_origin, connect_error_origin
 
 PENDING = ("EPROTO", "EHOSTUNREACH", "ENETDOWN", "ETIMEDOUT", "ECONNABORTED", "EINTR", "ENONET", "EPERM")
 MACHINE = ("ENFILE", "ENOBUFS", "ENOMEM")
@@ -155,13 +155,13 @@
 
 
 def test_whose_trouble_each_error_is() -> None:
-    assert accept_trouble(failing("EAGAIN")) is Trouble.EMPTY
-    assert accept_trouble(failing("EMFILE")) is Trouble.PROCESS
-    assert accept_trouble(failing("EBADF")) is Trouble.PROGRAM
-    assert connect_trouble(TimeoutError()) is Trouble.PEER
-    assert connect_trouble(failing("ETIMEDOUT")) is Trouble.PEER
-    assert connect_trouble(failing("EHOSTUNREACH")) is Trouble.PEER
-    assert connect_trouble(failing("EADDRNOTAVAIL")) is Trouble.MACHINE
+    assert accept_error_origin(failing("EAGAIN")) is ErrorOrigin.WOULD_BLOCK
+    assert accept_error_origin(failing("EMFILE")) is ErrorOrigin.PROCESS
+    assert accept_error_origin(failing("EBADF")) is ErrorOrigin.PROGRAM
+    assert connect_error_origin(TimeoutError()) is ErrorOrigin.PEER
+    assert connect_error_origin(failing("ETIMEDOUT")) is ErrorOrigin.PEER
+    assert connect_error_origin(failing("EHOSTUNREACH")) is ErrorOrigin.PEER
+    assert connect_error_origin(failing("EADDRNOTAVAIL")) is ErrorOrigin.HOST
 
 
 def test_a_long_body_whose_connection_does_not_come_up_is_answered_in_its_time(
@@ -230,7 +230,7 @@
                     return
                 with pytest.raises(OSError) as raised:
                     await connect(sock, address)
-                assert connect_trouble(raised.value) is Trouble.MACHINE
+                assert connect_error_origin(raised.value) is ErrorOrigin.HOST
 
     run(test())
 
--- a/tests/test_unread_time.py
+++ b/tests/test_unread_time.py
@@ -13,7 +13,7 @@
 from basaltpoint.fronts.platform.client_connection import ClientConnection
 from basaltpoint.fronts.unread import FULL_WINDOW, unread_bytes, unread_s
 from basaltpoint.system.accepting import Acceptor
-from basaltpoint.system.listening import listener
+from basaltpoint.system.listening import open_listener
 
 LAY_S = 0.4
 SLACK_S = 0.15  # by which the time told to a server may pass what the client has left (STANDING)
@@ -170,7 +170,7 @@
             sock.close()
             adopted.put_nowait(since)
 
-        sock = listener(("127.0.0.1", 0), 10)
+        sock = open_listener(("127.0.0.1", 0), 10)
         acceptor = Acceptor(sock, adopt, lambda: True, lambda: False, monotonic() - 3.0)
         early = socket.create_connection(acceptor.address)
         acceptor.listen()
@@ -181,7 +181,9 @@
         early.close()
         late.close()
 
-        acceptor = Acceptor(listener(("127.0.0.1", 0), 10), adopt, lambda: True, lambda: False, monotonic())
+        acceptor = Acceptor(
+            open_listener(("127.0.0.1", 0), 10), adopt, lambda: True, lambda: False, monotonic()
+        )
         acceptor.listen()
         await asyncio.sleep(0)
         late = socket.create_connection(acceptor.address)
