--- a/basaltpoint/daemon/store_side.py
+++ b/basaltpoint/daemon/store_side.py
@@ -112,7 +112,7 @@
         """Light-load latencies of each pool: in a jam at the start they can't be measured."""
         names = {number: name for name, number in self._limiter.setup.pools.items()}
         return {
-            names[number]: (tuple(pool.low), pool.fleet.mean_ms)
+            names[number]: (tuple(pool.light_latencies_ms), pool.servers.mean_latency_ms)
             for number, pool in self._limiter.relay.gateway.pools.items()
-            if number in names and min(pool.low) < math.inf
+            if number in names and min(pool.light_latencies_ms) < math.inf
         }
--- a/basaltpoint/handover/state.py
+++ b/basaltpoint/handover/state.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from basaltpoint.policy import Gateway
-from basaltpoint.policy.quota import DEBT, LAG_STEPS, Customer, TokenBucket
+from basaltpoint.policy.quota import LAG_STEPS, MAX_DEBT_FRACTION, Customer, TokenBucket
 
 HALF = 0.5  # of what two processes share
 
@@ -34,7 +34,12 @@
     """The module's state at `now`, which its clock tells in ms; JSON's types, with infinities."""
     clock = gateway.clock
     return {
-        "clock": {"errors": clock.errors, "sine": clock.sine, "cosine": clock.cosine, "begun": clock.begun},
+        "clock": {
+            "errors": clock.errors,
+            "sine": clock.sine,
+            "cosine": clock.cosine,
+            "begun": clock.first_request_ms,
+        },
         "waits": {name: list(waits) for name, waits in gateway.waits.items()},
         "pools": [_pool(number, pool) for number, pool in gateway.pools.items()],
         "servers": _servers(gateway),
@@ -43,20 +48,20 @@
 
 
 def _pool(number: int, pool: Any) -> dict[str, Any]:
-    fleet = pool.fleet
+    servers = pool.servers
     return {
         "number": number,
-        "low": pool.low,
+        "low": pool.light_latencies_ms,
         "caps": list(pool.caps),
-        "mean_out": pool.mean_out,
-        "begun": pool.begun,
+        "mean_out": pool.mean_outstanding,
+        "begun": pool.first_arrival_ms,
         "latencies": [list(row) for row in pool.latencies],
         "arrivals": [list(row) for row in pool.arrivals],
-        "lost": [list(row) for row in pool.lost],
-        "mean_ms": fleet.mean_ms,
-        "median_ms": fleet.median_ms,
-        "usual": fleet.mean_load,
-        "let_in": list(fleet.admitted),
+        "lost": [list(row) for row in pool.timeouts],
+        "mean_ms": servers.mean_latency_ms,
+        "median_ms": servers.median_latency_ms,
+        "usual": servers.mean_load,
+        "let_in": list(servers.admission_times_ms),
     }
 
 
@@ -75,7 +80,7 @@
             **{name: getattr(peer.health, name) for name in HEALTH},
         }
         for pool in gateway.pools.values()
-        for ident, peer in pool.fleet.peers.items()
+        for ident, peer in pool.servers.records.items()
     ]
 
 
@@ -83,12 +88,12 @@
     return {
         "ident": ident,
         "plan": customer.plan.name,
-        "doors": customer.doors,
-        "store": customer.store.refill(now),
+        "doors": customer.limiter_count,
+        "store": customer.quota_bucket.refill(now),
         "ceiling": customer.ceiling.refill(now),
-        "mine": customer.mine.refill(now),
+        "mine": customer.local_bucket.refill(now),
         "at": now,
-        "log": [list(row) for row in customer.log],
+        "log": [list(row) for row in customer.draw_log],
         "anchor": list(customer.anchor),
         "usage": customer.usage,
         **{name: getattr(customer, name) for name in LEARNED},
@@ -106,7 +111,7 @@
         raise ValueError(f"{len(errors)} steps of lag, where there are {LAG_STEPS}")
     sine, cosine, begun = _number(raw["sine"]), _number(raw["cosine"]), _number(raw["begun"])
     clock = gateway.clock
-    clock.errors, clock.sine, clock.cosine, clock.begun = errors, sine, cosine, begun
+    clock.errors, clock.sine, clock.cosine, clock.first_request_ms = errors, sine, cosine, begun
 
 
 def put_waits(gateway: Gateway, raw: Any, now: float) -> None:
@@ -127,20 +132,25 @@
         mean, median = _number(told["mean_ms"], 0.0), _number(told["median_ms"], 0.0)
         out, begun, usual = (_number(told[name]) for name in ("mean_out", "begun", "usual"))
         admitted = [_number(each, high=now) for each in told["let_in"]]
-        pool.low, pool.caps, pool.begun = low, (caps[0], caps[1]), begun
-        pool.mean_out, pool.out_ms = max(0.0, out), now
+        pool.light_latencies_ms, pool.caps, pool.first_arrival_ms = low, (caps[0], caps[1]), begun
+        pool.mean_outstanding, pool.mean_updated_ms = max(0.0, out), now
         pool.latencies = deque((at, int(lane), took) for at, lane, took in rows["latencies"])
         pool.arrivals = deque((at, int(lane), units) for at, lane, units in rows["arrivals"])
-        pool.lost = deque((at, int(lane), took) for at, lane, took in rows["lost"])
-        fleet = pool.fleet
-        fleet.mean_ms, fleet.median_ms, fleet.mean_load, fleet.admitted = mean, median, usual, deque(admitted)
+        pool.timeouts = deque((at, int(lane), took) for at, lane, took in rows["lost"])
+        servers = pool.servers
+        servers.mean_latency_ms, servers.median_latency_ms, servers.mean_load, servers.admission_times_ms = (
+            mean,
+            median,
+            usual,
+            deque(admitted),
+        )
 
 
 def put_servers(gateway: Gateway, raw: Any, now: float) -> None:
     """Only of processes that run still: a restart is another one."""
     for told in raw:
         for pool in gateway.pools.values():
-            peer = pool.fleet.peers.get(told["number"])
+            peer = pool.servers.records.get(told["number"])
             if peer is None or peer.entry.started_ms != told["started_ms"]:
                 continue
             peer.allowance = _number(told["allowance"], high=1.0)
@@ -151,7 +161,7 @@
                 setattr(health, name, _number(told[name]))
             health.backoff, health.errors = int(_number(told["backoff"])), int(_number(told["errors"]))
             health.suspect, health.down = told["suspect"] is True, told["down"] is True
-            pool.fleet.health_changed(peer.entry.id)
+            pool.servers.health_changed(peer.entry.id)
 
 
 def put_customer(gateway: Gateway, raw: Any, now: float) -> None:
@@ -166,7 +176,7 @@
         raise ValueError(f"no plan {raw['plan']!r}")
     at, doors = _number(raw["at"], high=now), int(_number(raw["doors"], 1, gateway.settings.gateways))
     customer = Customer(plan, doors, at)
-    customer.store.level = _number(raw["store"], -DEBT * plan.burst, plan.burst)
+    customer.quota_bucket.level = _number(raw["store"], -MAX_DEBT_FRACTION * plan.burst, plan.burst)
     customer.ceiling = TokenBucket(
         customer.ceiling.rate,
         customer.ceiling.depth,
@@ -175,14 +185,14 @@
     )
     for name in LEARNED:
         setattr(customer, name, _number(raw[name], high=max(now, 1e15)))
-    part = customer.part()
-    customer.mine = TokenBucket(
+    part = customer.local_share()
+    customer.local_bucket = TokenBucket(
         part * plan.rate, part * plan.burst, min(part * plan.burst, _number(raw["mine"], 0.0)), at
     )
     log, (level, then) = _rows(raw["log"], 3), (_number(each) for each in raw["anchor"])
     if not log or any(one[0] > two[0] for one, two in pairwise(log)):
         raise ValueError("a log out of order")
-    customer.log = [(row[0], row[1], row[2]) for row in log]
+    customer.draw_log = [(row[0], row[1], row[2]) for row in log]
     customer.anchor = (min(plan.burst, level), then)
     customer.usage = None if raw["usage"] is None else int(_number(raw["usage"], 0))
     return customer
@@ -194,11 +204,11 @@
     for customer in gateway.customers.values():
         ceiling, plan = customer.ceiling, customer.plan
         ceiling.level = ceiling.refill(now) * HALF
-        ceiling.rate = plan.ceiling_rate / customer.doors * HALF
-        ceiling.depth = plan.ceiling_depth / customer.doors * HALF
-        customer.mine.level = customer.mine.refill(now) * HALF
+        ceiling.rate = plan.ceiling_rate / customer.limiter_count * HALF
+        ceiling.depth = plan.ceiling_depth / customer.limiter_count * HALF
+        customer.local_bucket.level = customer.local_bucket.refill(now) * HALF
     for pool in gateway.pools.values():
-        for peer in pool.fleet.peers.values():
+        for peer in pool.servers.records.values():
             peer.allowance *= HALF
 
 
@@ -207,7 +217,10 @@
     for customer in gateway.customers.values():
         ceiling, plan = customer.ceiling, customer.plan
         ceiling.refill(now)
-        ceiling.rate, ceiling.depth = plan.ceiling_rate / customer.doors, plan.ceiling_depth / customer.doors
+        ceiling.rate, ceiling.depth = (
+            plan.ceiling_rate / customer.limiter_count,
+            plan.ceiling_depth / customer.limiter_count,
+        )
 
 
 def spend(gateway: Gateway, now: float, for_ms: float) -> None:
@@ -215,7 +228,7 @@
     for customer in gateway.customers.values():
         ceiling = customer.ceiling
         if math.isfinite(ceiling.depth):
-            ceiling.level, ceiling.at = -ceiling.depth - ceiling.rate * for_ms / 1000.0, now
+            ceiling.level, ceiling.updated_ms = -ceiling.depth - ceiling.rate * for_ms / 1000.0, now
 
 
 def join(gateway: Gateway, rows: Any, now: float, since: float) -> int:
@@ -239,18 +252,23 @@
 
 def _join(mine: Customer, old: Customer, now: float, since: float) -> None:
     """In place: requests that are out point at this customer."""
-    own = [(b[0], b[1] - a[1], b[2] - a[2]) for a, b in pairwise(mine.log) if b[0] > since]
+    own = [(b[0], b[1] - a[1], b[2] - a[2]) for a, b in pairwise(mine.draw_log) if b[0] > since]
     plan = mine.plan
-    level = old.store.refill(now) - sum(taken for *_, taken in own)
-    mine.store.level, mine.store.at = min(plan.burst, max(-DEBT * plan.burst, level)), now
-    depth = plan.ceiling_depth / mine.doors
+    level = old.quota_bucket.refill(now) - sum(taken for *_, taken in own)
+    mine.quota_bucket.level, mine.quota_bucket.updated_ms = (
+        min(plan.burst, max(-MAX_DEBT_FRACTION * plan.burst, level)),
+        now,
+    )
+    depth = plan.ceiling_depth / mine.limiter_count
     mine.ceiling.level = min(depth, mine.ceiling.refill(now) + old.ceiling.refill(now))
-    mine.mine.level = min(mine.mine.depth, mine.mine.refill(now) + old.mine.refill(now))
-    steps = [(b[0], b[1] - a[1], b[2] - a[2]) for a, b in pairwise(old.log)]
-    log = [old.log[0]]
+    mine.local_bucket.level = min(
+        mine.local_bucket.depth, mine.local_bucket.refill(now) + old.local_bucket.refill(now)
+    )
+    steps = [(b[0], b[1] - a[1], b[2] - a[2]) for a, b in pairwise(old.draw_log)]
+    log = [old.draw_log[0]]
     for at, units, taken in sorted([*steps, *own]):
         log.append((at, log[-1][1] + units, log[-1][2] + taken))
-    mine.log = log
+    mine.draw_log = log
     if old.read_at >= mine.read_at:
         for name in ("seen", "used", "heard_at", "read_at", "own", "whole", "usage", "anchor"):
             setattr(mine, name, getattr(old, name))
--- a/basaltpoint/policy/gateway.py
+++ b/basaltpoint/policy/gateway.py
@@ -15,8 +15,8 @@
 
 from basaltpoint import interface as api
 from basaltpoint.interface import Effect, Status, Why
-from basaltpoint.policy.pool import FEWEST, LATE, Pool
-from basaltpoint.policy.quota import LIGHT_MS, Customer, MeterClock
+from basaltpoint.policy.pool import FIRST_ATTEMPT_FRACTION, MIN_COMPLETIONS, Pool
+from basaltpoint.policy.quota import FORGET_LIGHT_IDLE_MS, Customer, MeterClock
 from basaltpoint.policy.requests import Attempt, Request
 from basaltpoint.policy.send_rules import (
     Denial,
@@ -25,7 +25,7 @@
     may_repeat_at,
     remembered_until,
 )
-from basaltpoint.policy.server_health import Health
+from basaltpoint.policy.server_health import ServerHealth
 from basaltpoint.policy.thresholds import INF
 
 # --- Constants: unit, reason -------------------------------------------------------------------
@@ -45,7 +45,7 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.healths: dict[int, Health] = {}
+        self.healths: dict[int, ServerHealth] = {}
         self.pools: dict[int, Pool] = {}
         self.customers: dict[int, Customer] = {}
         self.clock = MeterClock(settings.meter_ms, INF)
@@ -110,13 +110,13 @@
         """What is left of a customer's quota; None for one that nothing is known of."""
         if (customer := self.customers.get(ident)) is None or customer.plan.rate <= 0:
             return None
-        plan, left = customer.plan, customer.store.refill(now)
+        plan, left = customer.plan, customer.quota_bucket.refill(now)
         full, ceiling = (plan.burst - left) / plan.rate * 1000.0, customer.ceiling.refill(now)
         return api.Standing(plan.rate, plan.burst, max(0.0, left), full, max(0.0, ceiling))
 
     def avoided(self, now: float) -> set[int]:
         """The servers of all pools that nothing ordinary is sent to now."""
-        return {ident for pool in self.pools.values() for ident in pool.fleet.avoided(now)}
+        return {ident for pool in self.pools.values() for ident in pool.servers.avoided_servers(now)}
 
     def asked_since(self, then: float) -> Iterable[int]:
         """The customers that have asked since, the latest first."""
@@ -127,27 +127,27 @@
 
     def _learn(self, now: float, event: api.Learned) -> None:
         pool = self._pool(event.pool)
-        pool.low, pool.fleet.mean_ms = list(event.light), event.mean_ms
+        pool.light_latencies_ms, pool.servers.mean_latency_ms = list(event.light), event.mean_ms
 
     def _tidy(self, now: float) -> None:
         """Forget customers that have been idle for longest, and what the flow no longer counts."""
         for number, pool in list(self.pools.items()):
-            pool.fleet.trim(now)
-            if number and not pool.fleet.peers:  # a peer stays while it has work
+            pool.servers.trim_admissions(now)
+            if number and not pool.servers.records:  # a peer stays while it has work
                 del self.pools[number]
         over = len(self.customers) - MOST_CUSTOMERS
         gone: list[int] = []
         for ident, customer in self.customers.items():  # the longest idle first
             pressed = len(gone) < over
-            if not pressed and now - customer.asked_at < LIGHT_MS:
+            if not pressed and now - customer.asked_at < FORGET_LIGHT_IDLE_MS:
                 break
-            if customer.forgettable(now, pressed):
+            if customer.can_be_forgotten(now, pressed):
                 gone.append(ident)
         for ident in gone:
             del self.customers[ident]
 
     def _listed(self, now: float, event: api.ServerList) -> None:
-        self._pool(event.pool).fleet.update(now, event)
+        self._pool(event.pool).servers.apply_list(now, event)
         self.born = min(self.born, now)
         if self.settings.must_subscribe and event.kind in (api.ListKind.CACHED, api.ListKind.FAILED):
             self.actions.append(api.Subscribe(True))
@@ -158,7 +158,7 @@
     def _told(self, now: float, event: api.NewSettings) -> None:
         self._settle(event.settings)
         for pool in self.pools.values():
-            pool.retune(event.settings)
+            pool.update_settings(event.settings)
 
     def _checked(self, now: float, event: api.Checked) -> None:
         if health := self.healths.get(event.server):
@@ -167,22 +167,25 @@
     def _arrive(self, now: float, event: api.Arrival) -> None:
         """The ordinary path: let-in share, lane cap, server choice; what fails is refused at once."""
         cls, pool = self.settings.classes[event.cls], self._pool(event.pool)
-        pool.begun, self.clock.begun = min(pool.begun, now), min(self.clock.begun, now)
+        pool.first_arrival_ms, self.clock.first_request_ms = (
+            min(pool.first_arrival_ms, now),
+            min(self.clock.first_request_ms, now),
+        )
         customer, worth = self._customer(now, event), cls.worth / self.dearest
         # Where a late answer earns little, an attempt past the aim is waste and feeds a jam.
         in_time = cls.late_worth <= LITTLE_WORTH and cls.aim_stretch <= 0 and not cls.stream
         end = min(event.deadline_ms, now + cls.aim_ms) if in_time else event.deadline_ms
         request = Request(event, cls, pool, pool.lanes[event.cls], end, customer)
         self.requests[event.request] = request
-        if in_time and self._late(now, event, pool) and not customer.spares(now, event.units):
+        if in_time and self._late(now, event, pool) and not customer.has_spare_units(now, event.units):
             request.why = Why.LATE
-        elif why := customer.bars(now, event.units, self.rng.random(), worth, self.settings.sole):
+        elif why := customer.refusal_reason(now, event.units, self.rng.random(), worth, self.settings.sole):
             request.why = why
         else:
             pool.arrivals.append((now, request.lane, event.units))
-            pool.fleet.admitted.append(now)
+            pool.servers.admission_times_ms.append(now)
             # Below the cap by less than one: by chance, which mixes the two whole thresholds beside it.
-            if self.rng.random() < pool.room(request.lane) and self._send(now, request, set()):
+            if self.rng.random() < pool.remaining_capacity(request.lane) and self._send(now, request, set()):
                 return
         self._answer(now, request)
 
@@ -194,16 +197,16 @@
             if self.recalled:
                 self._restore(event.customer, customer)
         elif self.settings.sole and customer.plan is not plan:
-            customer.change(now, plan)
+            customer.change_plan(now, plan)
         self.customers[event.customer] = customer
         return customer
 
     def _restore(self, ident: int, customer: Customer) -> None:
         """Go on from what an earlier life left; both stores have filled since that was told."""
         if known := self.recalled.pop(ident, None):
-            store, ceiling = customer.store, customer.ceiling
-            store.level, store.at = min(store.depth, known[1].left), known[0]
-            ceiling.level, ceiling.at = min(ceiling.depth, known[1].ceiling), known[0]
+            store, ceiling = customer.quota_bucket, customer.ceiling
+            store.level, store.updated_ms = min(store.depth, known[1].left), known[0]
+            ceiling.level, ceiling.updated_ms = min(ceiling.depth, known[1].ceiling), known[0]
 
     def _late(self, now: float, event: api.Arrival, pool: Pool) -> bool:
         """Whether this is a repeat that can hardly be answered within the aim, counted from the first try.
@@ -216,7 +219,7 @@
         cls, waits, wait = self.settings.classes[event.cls], self.wait_of[event.cls], event.deadline_ms - now
         waits.append(wait)
         left = cls.aim_ms - (cls.deadline_ms - wait)
-        if left >= min(pool.fleet.mean_ms, LATEST * cls.aim_ms) or len(waits) < FEWEST:
+        if left >= min(pool.servers.mean_latency_ms, LATEST * cls.aim_ms) or len(waits) < MIN_COMPLETIONS:
             return False
         # First tries wait alike, repeats for what is left of their time; last ones may wait for longer.
         groups = Counter(round(each / WAIT_STEP_MS) for each in waits)
@@ -227,7 +230,7 @@
     def _send(self, now: float, request: Request, avoid: set[int]) -> bool:
         """Begin an attempt where the rules and a server allow it; whether one has begun."""
         event, first, pool = request.event, not request.attempts, request.pool
-        customer, usual, number = request.customer, pool.fleet.median_ms, len(request.attempts)
+        customer, usual, number = request.customer, pool.servers.median_latency_ms, len(request.attempts)
         if denial := attempt_denial(now, request, self.settings, self.lease_until_ms):
             if denial is Denial.MEMBERSHIP:
                 request.why = Why.MEMBERSHIP
@@ -236,26 +239,32 @@
             request.why = Why.CEILING
             return False
         allowed = None if first else partial(may_repeat_at, now, request)  # the first repeats nothing
-        peer = pool.fleet.choose(now, allowed, avoid)
+        peer = pool.servers.choose_server(now, allowed, avoid)
         if peer is None:
             request.why = Why.SERVERS
             return False
         whole = INF if first else remembered_until(request)
         request.attempts.append(Attempt(number, peer.entry, now))
-        peer.waiting += 1
+        peer.outstanding += 1
         peer.allowance -= 1.0
         if peer.health.suspect:  # a trial; the next one waits for its outcome
-            pool.fleet.mark_suspect(peer, now)
-        pool.count[request.lane] += 1
-        request.customer.out += 1
+            pool.servers.mark_suspect(peer, now)
+        pool.lane_outstanding[request.lane] += 1
+        request.customer.outstanding += 1
         if first:
             request.customer.draw(now, event.units)
         until = request.end_ms
-        part = EARLY if pool.lossy else LATE if pool.strays and first else 1.0
+        part = (
+            EARLY
+            if pool.losing_responses
+            else FIRST_ATTEMPT_FRACTION
+            if pool.has_stray_losses and first
+            else 1.0
+        )
         rest = (1.0 - part) * (until - now)  # for another try
         if request.cls.effect is not Effect.UNSAFE and number + 1 < self.settings.max_attempts:
             until -= rest if rest >= usual else 0.0
-        pool.out[event.request, number] = now, request.lane, until, peer.entry.id
+        pool.attempts_outstanding[event.request, number] = now, request.lane, until, peer.entry.id
         self.actions.append(api.Send(event.request, peer.entry.id, until, whole))
         return True
 
@@ -273,8 +282,8 @@
     def _advice(self, now: float, request: Request) -> float:
         """When to come back, in ms: once what is out has mostly ended, or where the meter says that the
         quota is used up, once the store holds the units again."""
-        customer, wait = request.customer, request.pool.fleet.mean_ms
-        short = request.event.units - customer.store.refill(now)
+        customer, wait = request.customer, request.pool.servers.mean_latency_ms
+        short = request.event.units - customer.quota_bucket.refill(now)
         known = self.settings.sole or (customer.usage or 0) >= 100
         if known and short > 0 and customer.plan.rate > 0:
             wait = max(wait, short / customer.plan.rate * 1000.0)
@@ -295,12 +304,12 @@
         """The answer is the client's now: neither sent again, withdrawn nor ended here."""
         if request := self.requests.get(event.request):
             request.streaming = True
-            request.pool.out.pop((event.request, event.attempt), None)
+            request.pool.attempts_outstanding.pop((event.request, event.attempt), None)
 
     def _uploading(self, now: float, event: api.Uploading) -> None:
         """Its time is its client's for now: a slow one would look like a jam."""
         if request := self.requests.get(event.request):
-            request.pool.out.pop((event.request, event.attempt), None)
+            request.pool.attempts_outstanding.pop((event.request, event.attempt), None)
 
     def _cancel(self, request: Request) -> None:
         if self.settings.may_cancel and not request.streaming:
@@ -311,25 +320,25 @@
         """Book an attempt's end, learn from it, then close, retry or answer the request."""
         request = self.requests.get(event.request)
         pool = request.pool if request else self.pools[0]
-        peer = pool.fleet.peers.get(event.server)
-        was_suspect = peer is not None and peer.health.suspect and not pool.fleet.all_slow()
-        pool.fleet.attempt_ended(now, event)
+        peer = pool.servers.records.get(event.server)
+        was_suspect = peer is not None and peer.health.suspect and not pool.servers.most_are_suspect()
+        pool.servers.record_outcome(now, event)
         if request is None or not (attempt := request.attempts[event.attempt]).out:
             return
         attempt.out = False
         attempt.may_have_run = event.status not in NEVER_RAN
-        pool.count[request.lane] -= 1
-        pool.out.pop((event.request, event.attempt), None)
-        request.customer.out -= 1
+        pool.lane_outstanding[request.lane] -= 1
+        pool.attempts_outstanding.pop((event.request, event.attempt), None)
+        request.customer.outstanding -= 1
         if event.usage is not None and self.settings.meter_ms > 0:
-            request.customer.meter(now, event.usage, self.clock)
+            request.customer.apply_reading(now, event.usage, self.clock)
         if self.settings.post_paid and event.status is Status.OK and event.units:
             request.customer.settle(now, event.units - request.event.units)
         # Work lost at a suspect says nothing of the back end's load; elsewhere a time-out is a latency.
         if event.status is Status.OK:
             pool.latencies.append((now, request.lane, event.elapsed_ms))
         elif event.status is Status.TIMEOUT and not was_suspect:
-            pool.lost.append((now, request.lane, event.elapsed_ms))
+            pool.timeouts.append((now, request.lane, event.elapsed_ms))
         if event.closed:
             request.open = False
             self._cancel(request)
--- a/basaltpoint/policy/send_rules.py
+++ b/basaltpoint/policy/send_rules.py
@@ -11,8 +11,8 @@
 
 from basaltpoint import interface as api
 from basaltpoint.interface import Effect, Scope
-from basaltpoint.policy.fleet import Peer
 from basaltpoint.policy.requests import Request
+from basaltpoint.policy.server_set import ServerRecord
 from basaltpoint.policy.thresholds import INF
 
 # A process may be held up for so long between reading its clock and writing (STANDING); bounds allow for it.
@@ -46,7 +46,7 @@
         return Denial.MEMBERSHIP
     if not request.attempts:
         return Denial.DEADLINE if now >= request.end_ms else None
-    if now >= request.end_ms - SCANT * request.pool.fleet.median_ms:
+    if now >= request.end_ms - SCANT * request.pool.servers.median_latency_ms:
         return Denial.DEADLINE
     if len(request.attempts) >= settings.max_attempts:
         return Denial.ATTEMPTS
@@ -55,7 +55,7 @@
     return None
 
 
-def repeat_denial(now: float, request: Request, peer: Peer) -> Denial | None:
+def repeat_denial(now: float, request: Request, peer: ServerRecord) -> Denial | None:
     """What keeps a further attempt from going to this server; a first one repeats nothing."""
     if peer.health.avoid_ms > now:
         return Denial.FULL
@@ -76,7 +76,7 @@
     return None if known else Denial.SCOPE
 
 
-def may_repeat_at(now: float, request: Request, peer: Peer) -> bool:
+def may_repeat_at(now: float, request: Request, peer: ServerRecord) -> bool:
     """Whether a further attempt may go to this server."""
     return repeat_denial(now, request, peer) is None
 
--- a/basaltpoint/policy/server_health.py
+++ b/basaltpoint/policy/server_health.py
@@ -16,14 +16,14 @@
 
 
 @dataclass(slots=True, eq=False)
-class Health:
+class ServerHealth:
     """What is known of a process, in whatever pools it serves."""
 
     started_ms: float
     heard_ms: float = -INF
     suspect: bool = False
     retest_ms: float = 0.0
-    doubted_ms: float = -INF  # when last; what was sent before that tells nothing new
+    last_suspected_ms: float = -INF  # when last; what was sent before that tells nothing new
     backoff: int = 0
     errors: int = 0  # since its last good answer
     avoid_ms: float = -INF
--- a/basaltpoint/policy/server_index.py
+++ b/basaltpoint/policy/server_index.py
@@ -45,7 +45,7 @@
         self._most = most
         self._next = 0
 
-    def take(self, items: list[T]) -> list[T]:
+    def next_items(self, items: list[T]) -> list[T]:
         """All of a short list; of a longer one the next items: in ceil(len / most) calls each comes once."""
         if len(items) <= self._most:
             return items
--- a/tests/standalone.py
+++ b/tests/standalone.py
@@ -103,7 +103,7 @@
         relay = self.limiter.relay
         pools = relay.gateway.pools.values()
         left = relay.table.entries or relay._passages or relay._attempts or relay.gateway.requests
-        return not left and not relay._held and all(pool.count == [0, 0] for pool in pools)
+        return not left and not relay._held and all(pool.lane_outstanding == [0, 0] for pool in pools)
 
 
 @contextlib.asynccontextmanager
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -211,12 +211,12 @@
             born = time.time() * 1000 - 3000
             async with limiter(host("a", "127.0.0.1:1", born_ms=born), watched=watched) as rig:
                 await watched.watches.get()
-                fleet = rig.limiter.gateway.pools[0].fleet
-                before = fleet.peers[0]
+                fleet = rig.limiter.gateway.pools[0].servers
+                before = fleet.records[0]
                 for seq in range(2, 50):
                     watched.tell(listing(seq, host("a", "127.0.0.1:1", born_ms=born)))
                 await until(lambda: rig.watch.seq == 49)
-                assert fleet.peers[0] is before
+                assert fleet.records[0] is before
                 assert 2500 < rig.limiter.now() - before.entry.started_ms < 30_000
 
     run(test())
@@ -284,7 +284,7 @@
     async def test() -> None:
         async with backend() as server, agent() as watched:
             async with limiter(host("s-0", server.address), watched=watched) as rig:
-                fleet, numbers = rig.limiter.gateway.pools[0].fleet, set[int]()
+                fleet, numbers = rig.limiter.gateway.pools[0].servers, set[int]()
                 await watched.watches.get()
                 client = await rig.connect()
                 client.send(message("fix", "held"))
@@ -298,12 +298,12 @@
                         watched.tell(listing(n + 1, new, left, whole=False))
                     await until(lambda n=n: rig.watch.seq == n + 1)  # type: ignore[misc]
                     assert len(rig.limiter.listed_servers.numbers) == len(rig.limiter._servers._servers) == 1
-                    assert len(fleet.peers) == 2  # and the one with work out
+                    assert len(fleet.records) == 2  # and the one with work out
                     numbers |= set(rig.limiter.listed_servers.numbers.values())
                 assert len(numbers) == 199
                 await echo(held)
                 assert (await client.answer()).body == b"held"
-                assert len(fleet.peers) == 1
+                assert len(fleet.records) == 1
 
     run(test())
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -645,7 +645,7 @@
                 had = len(going.requests)
                 assert rig.reload(config(going.address, staying.address, drain=(0,)))
                 # Not only turned away at its door: the module does not choose it any more.
-                fleet = rig.limiter.relay.gateway.pools[1].fleet
+                fleet = rig.limiter.relay.gateway.pools[1].servers
                 assert [peer.entry.id for peer in fleet.ready] == [2]
                 for _ in range(30):
                     client = await rig.connect()
@@ -679,7 +679,7 @@
                     assert (await clients[2].ask(request("POST", "/b"))).code == 200
                 assert shared.connections == 2 and len(shared.requests) == 2
                 fleets = rig.limiter.relay.gateway.pools
-                assert fleets[1].fleet.peers[1].health is fleets[2].fleet.peers[1].health
+                assert fleets[1].servers.records[1].health is fleets[2].servers.records[1].health
 
     run(test())
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -182,12 +182,14 @@
     now += 1.0
     for ident, one in enumerate((old, new, old, new, new), 2):
         ask(one, now, ident)
-    before = old.customers[7].store.refill(now)
+    before = old.customers[7].quota_bucket.refill(now)
     finish(old, new, now, now - 1.0)
     joined = new.customers[7]
-    assert joined.log[-1][1] == 6.0 and [row[0] for row in joined.log] == sorted(row[0] for row in joined.log)
-    drawn = joined.log[-1][2] - old.customers[7].log[-1][2]
-    assert drawn >= 3.0 and joined.store.level == pytest.approx(before - drawn)
+    assert joined.draw_log[-1][1] == 6.0 and [row[0] for row in joined.draw_log] == sorted(
+        row[0] for row in joined.draw_log
+    )
+    drawn = joined.draw_log[-1][2] - old.customers[7].draw_log[-1][2]
+    assert drawn >= 3.0 and joined.quota_bucket.level == pytest.approx(before - drawn)
 
 
 def test_a_cold_servers_ramp_passes_over() -> None:
@@ -197,14 +199,14 @@
         peers(one, 1e9, started=1e9)
         one.handle(1e9, api.Checked(0, True))
     for n in range(3):
-        old.pools[0].fleet.peers[n].allowance = 0.9
-        old.pools[0].fleet.peers[n].health.suspect = n == 1
+        old.pools[0].servers.records[n].allowance = 0.9
+        old.pools[0].servers.records[n].health.suspect = n == 1
     passed(old, new, 1e9 + 1.0)
     for n in range(3):
-        one, two = (each.pools[0].fleet.peers[n] for each in (old, new))
+        one, two = (each.pools[0].servers.records[n] for each in (old, new))
         assert one.allowance + two.allowance == pytest.approx(0.9)
         assert two.health.suspect is (n == 1)
-    assert new.pools[0].fleet.suspects == {1}
+    assert new.pools[0].servers.suspects == {1}
 
 
 def estate(**changes: Any) -> bytes:
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -51,11 +51,11 @@
 
 def test_one_health_and_two_loads() -> None:
     rig = Rig()
-    first, second = rig.gateway.pools[1].fleet, rig.gateway.pools[2].fleet
-    assert first.peers[2].health is second.peers[2].health
+    first, second = rig.gateway.pools[1].servers, rig.gateway.pools[2].servers
+    assert first.records[2].health is second.records[2].health
     held = [sends(rig.arrive(10.0, 1))[0] for _ in range(6)]
-    assert sum(peer.waiting for peer in first.peers.values()) == 6
-    assert second.peers[2].waiting == 0
+    assert sum(peer.outstanding for peer in first.records.values()) == 6
+    assert second.records[2].outstanding == 0
     # What the one pool learns of the server the other knows, too.
     for sent in held:
         rig.done(20.0, sent, "connect_failed" if sent.server == 2 else "ok")
@@ -69,9 +69,9 @@
         rig.done(20.0, sent, "connect_failed")
     rig.listed(50.0, 1, server(1), server(2, started=40.0))
     rig.listed(50.0, 2, server(2, started=40.0), server(3))
-    first, second = rig.gateway.pools[1].fleet, rig.gateway.pools[2].fleet
-    assert first.peers[2].health is second.peers[2].health
-    assert not first.peers[2].health.suspect and len(first.peers[2].health.listeners) == 2
+    first, second = rig.gateway.pools[1].servers, rig.gateway.pools[2].servers
+    assert first.records[2].health is second.records[2].health
+    assert not first.records[2].health.suspect and len(first.records[2].health.listeners) == 2
     assert 2 not in first.suspects and 2 not in second.suspects
 
 
@@ -130,11 +130,11 @@
     for _ in range(3):
         rig.arrive(5000.0, 1)
     customer = rig.gateway.customers[1]
-    assert customer.store.level == 7.0 and customer.ceiling.level == 1.0
+    assert customer.quota_bucket.level == 7.0 and customer.ceiling.level == 1.0
     wider = api.Plan(rate=4.0, burst=20.0, ceiling_rate=8.0, ceiling_depth=16.0)
     rig.gateway.handle(5000.0, api.NewSettings(replace(rig.settings, plans=(wider,))))
     rig.arrive(5000.0, 1)
-    assert customer.store.level == 13.0  # 7 of 10 became 14 of 20, less this one
+    assert customer.quota_bucket.level == 13.0  # 7 of 10 became 14 of 20, less this one
     assert customer.ceiling.level == 0.0  # never granted anew
 
 
@@ -144,6 +144,10 @@
     rig.gateway.handle(1000.0, api.Checked(2, good=False))
     assert {sends(rig.arrive(1000.0, 1))[0].server for _ in range(6)} == {1}
     rig.gateway.handle(9000.0, api.Checked(2, good=True))
-    fleet = rig.gateway.pools[1].fleet
-    assert fleet.warmth(fleet.peers[2], 10_000.0) < 1.0 == fleet.warmth(fleet.peers[1], 10_000.0)
+    fleet = rig.gateway.pools[1].servers
+    assert (
+        fleet.warm_fraction(fleet.records[2], 10_000.0)
+        < 1.0
+        == fleet.warm_fraction(fleet.records[1], 10_000.0)
+    )
     assert rig.gateway.handle(9000.0, api.Checked(77, good=False)) == []  # it has left meanwhile
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -8,7 +8,7 @@
 from helpers import Rig, sends
 
 from basaltpoint import interface as api
-from basaltpoint.policy import fleet, gateway
+from basaltpoint.policy import gateway, server_set
 from basaltpoint.policy.quota import Customer, MeterClock
 
 PLAN = api.Plan(rate=10, burst=20)
@@ -31,14 +31,14 @@
             customer.draw(now, 1.0)
             end = (now + 60.0 - lag) // 1000.0 * 1000.0
             used = sum(1 for at in both if end - 1000.0 <= at < end)
-            customer.meter(now + 60.0, round(used / PLAN.rate * 100), clock)
+            customer.apply_reading(now + 60.0, round(used / PLAN.rate * 100), clock)
     return clock, customer
 
 
 @pytest.mark.parametrize("lag", [400.0, 900.0, 1500.0])
 def test_the_clock_finds_the_period_a_reading_speaks_of(lag: float) -> None:
     clock, _ = play(lag)
-    _, end = clock.window(60000.0)
+    _, end = clock.reading_period(60000.0)
     true_end = (60000.0 - lag) // 1000.0 * 1000.0
     assert abs((end - true_end + 500) % 1000 - 500) < 200
     assert abs(end - true_end) < 1200
@@ -46,7 +46,7 @@
 
 def test_our_part_is_learned() -> None:
     _, customer = play(700.0)
-    assert 0.3 < customer.part() < 0.7
+    assert 0.3 < customer.local_share() < 0.7
 
 
 def test_what_was_metered_before_our_start_says_nothing_of_our_part() -> None:
@@ -54,15 +54,15 @@
 
     Held against us, they halved our part of every customer, and customers inside their quotas were refused.
     """
-    clock, customer = MeterClock(1000.0, begun=5000.0), Customer(PLAN, 2, 5000.0)
+    clock, customer = MeterClock(1000.0, first_request_ms=5000.0), Customer(PLAN, 2, 5000.0)
     for step in range(3):
         customer.draw(5000.0 + step * 100.0, 1.0)
-        customer.meter(5010.0 + step * 700.0, 90 + step, clock)
-    assert customer.part() == 0.5 and customer.whole == 0.0
+        customer.apply_reading(5010.0 + step * 700.0, 90 + step, clock)
+    assert customer.local_share() == 0.5 and customer.whole == 0.0
     for step in range(6):
         customer.draw(7500.0 + step * 1000.0, 1.0)
-        customer.meter(9000.0 + step * 1000.0, 80 + step, clock)
-    assert customer.part() < 0.45  # of what was metered since, it does
+        customer.apply_reading(9000.0 + step * 1000.0, 80 + step, clock)
+    assert customer.local_share() < 0.45  # of what was metered since, it does
 
 
 def part_after(usage: int, own: int, periods: int) -> float:
@@ -71,8 +71,8 @@
     for step in range(periods):
         for n in range(own):
             customer.draw(step * 1000.0 + 10.0 + n, 1.0)
-        customer.meter(step * 1000.0 + 1400.0, usage + step % 2, clock)
-    return customer.part()
+        customer.apply_reading(step * 1000.0 + 1400.0, usage + step % 2, clock)
+    return customer.local_share()
 
 
 def test_a_quota_that_is_used_up_teaches_nothing_of_our_part() -> None:
@@ -86,30 +86,30 @@
     assert part_after(50, 1, 20) < 0.42
     clock, customer = MeterClock(1000.0), Customer(PLAN, 2, 0.0)
     customer.own, customer.whole = 60.0, 60.0
-    before = customer.part()
+    before = customer.local_share()
     for step in range(20):
-        customer.meter(step * 1000.0 + 10.0, 120 + step % 2, clock)
-    assert before > 0.75 and customer.part() < 0.56
+        customer.apply_reading(step * 1000.0 + 10.0, 120 + step % 2, clock)
+    assert before > 0.75 and customer.local_share() < 0.56
 
 
 def test_a_gateway_starts_with_its_first_request() -> None:
     rig = Rig()
-    assert rig.gateway.clock.begun > 1e9
+    assert rig.gateway.clock.first_request_ms > 1e9
     rig.arrive(300.0)
     rig.arrive(700.0)
-    assert rig.gateway.clock.begun == 300.0
+    assert rig.gateway.clock.first_request_ms == 300.0
 
 
 def test_units_settled_after_the_answer_count_when_the_meter_counts_them() -> None:
     """At their answer, not at their sending: else the two sides of a period would not balance."""
     customer = Customer(PLAN, 1, 0.0)
     customer.draw(100.0, 4.0)
-    left = customer.store.level
+    left = customer.quota_bucket.level
     customer.settle(1200.0, -3.0)
-    assert customer.store.level == pytest.approx(min(PLAN.burst, left + 3.0 + 11.0))
-    assert customer.drawn(1000.0)[0] == 4.0 and customer.drawn(1300.0)[0] == 1.0
+    assert customer.quota_bucket.level == pytest.approx(min(PLAN.burst, left + 3.0 + 11.0))
+    assert customer.units_drawn_until(1000.0)[0] == 4.0 and customer.units_drawn_until(1300.0)[0] == 1.0
     customer.settle(1300.0, 2.0)
-    assert customer.drawn(1300.0)[0] == 3.0
+    assert customer.units_drawn_until(1300.0)[0] == 3.0
 
 
 def test_a_period_in_which_more_was_given_back_than_drawn_leaves_a_part() -> None:
@@ -121,8 +121,8 @@
             customer.settle(now + 10.0, -30.0)
         else:
             customer.draw(now + 10.0, 31.0)
-        customer.meter(now + 20.0, 30 + step % 2, clock)
-        assert 0.0 < customer.part() <= 1.0
+        customer.apply_reading(now + 20.0, 30 + step % 2, clock)
+        assert 0.0 < customer.local_share() <= 1.0
 
 
 @pytest.mark.parametrize("attempt", [0, 1])
@@ -132,9 +132,9 @@
     customer = rig.gateway.customers[1]
     if attempt:
         [sent] = sends(rig.done(20.0, sent, "connect_failed"))
-    before = customer.drawn(1e9)[0]
+    before = customer.units_drawn_until(1e9)[0]
     rig.done(60.0, sent, "ok", attempt, units=4.0)
-    assert customer.drawn(1e9)[0] == before + 3.0
+    assert customer.units_drawn_until(1e9)[0] == before + 3.0
 
 
 def test_nothing_is_settled_where_quotas_go_by_the_guess_or_nothing_was_told() -> None:
@@ -142,61 +142,61 @@
         rig = Rig(plans=(PLAN,), post_paid=post_paid)
         [sent] = sends(rig.arrive(10.0))
         rig.done(60.0, sent, "ok", units=units)
-        assert rig.gateway.customers[1].drawn(1e9)[0] == 1.0
+        assert rig.gateway.customers[1].units_drawn_until(1e9)[0] == 1.0
 
 
 def test_repeating_a_reading_does_not_wind_the_share_down() -> None:
     clock, customer = MeterClock(1000.0), Customer(PLAN, 2, 0.0)
-    customer.meter(10.0, 200, clock)
-    once = customer.share(250.0)
+    customer.apply_reading(10.0, 200, clock)
+    once = customer.admitted_fraction(250.0)
     for step in range(1, 12):
-        customer.meter(10.0 + step * 20, 200, clock)
-    assert customer.share(250.0) == pytest.approx(once, abs=0.01) and once < 0.6
+        customer.apply_reading(10.0 + step * 20, 200, clock)
+    assert customer.admitted_fraction(250.0) == pytest.approx(once, abs=0.01) and once < 0.6
 
 
 def test_no_use_restores_the_share() -> None:
     clock, customer = MeterClock(1000.0), Customer(PLAN, 1, 0.0)
-    customer.meter(10.0, 300, clock)
-    assert customer.share(20.0) < 0.5
+    customer.apply_reading(10.0, 300, clock)
+    assert customer.admitted_fraction(20.0) < 0.5
     for step in range(1, 9):
-        customer.meter(10.0 + 1000.0 * step, 0, clock)
-    assert customer.share(8020.0) == 1.0
+        customer.apply_reading(10.0 + 1000.0 * step, 0, clock)
+    assert customer.admitted_fraction(8020.0) == 1.0
 
 
 def test_old_readings_yield_to_the_guess() -> None:
     """big-1 of cca-main-later: a reading a door heard a minute ago bound a rarely seen customer."""
     clock, customer = MeterClock(1000.0), Customer(PLAN, 300, 0.0)
-    customer.meter(10.0, 500, clock)
-    assert customer.share(1000.0) < 0.4
-    assert customer.share(150000.0) > 0.9
+    customer.apply_reading(10.0, 500, clock)
+    assert customer.admitted_fraction(1000.0) < 0.4
+    assert customer.admitted_fraction(150000.0) > 0.9
 
 
 def test_behind_many_doors_repeated_tries_weigh_and_a_first_one_passes() -> None:
     """big-1 of cca-main-later: with a reading a minute, own tries are what tells a runaway account."""
     customer = Customer(api.Plan(rate=1, burst=4), 300, 0.0)
-    assert not customer.bars(1000.0, 1.0, 0.9)
-    assert customer.bars(2000.0, 1.0, 0.9)
-    assert customer.share(120000.0) > 0.9
+    assert not customer.refusal_reason(1000.0, 1.0, 0.9)
+    assert customer.refusal_reason(2000.0, 1.0, 0.9)
+    assert customer.admitted_fraction(120000.0) > 0.9
 
 
 def test_a_plan_without_a_rate_goes_by_its_meter() -> None:
     clock, customer = MeterClock(1000.0), Customer(api.Plan(rate=0, burst=0, parallel=4), 3, 0.0)
-    assert not customer.bars(5.0, 1.0, 0.99)
-    customer.meter(10.0, 400, clock)
-    assert customer.bars(20.0, 1.0, 0.5)
+    assert not customer.refusal_reason(5.0, 1.0, 0.99)
+    customer.apply_reading(10.0, 400, clock)
+    assert customer.refusal_reason(20.0, 1.0, 0.5)
 
 
 def test_the_store_of_a_plan_without_a_rate_rests() -> None:
     clock, customer = MeterClock(1000.0), Customer(api.Plan(rate=0, burst=8, parallel=4), 3, 0.0)
-    customer.meter(3000.0, 400, clock)
-    assert customer.anchor == (8, 0.0) and customer.store.level == 8
+    customer.apply_reading(3000.0, 400, clock)
+    assert customer.anchor == (8, 0.0) and customer.quota_bucket.level == 8
 
 
 def test_own_sends_past_the_whole_quota_are_beyond() -> None:
     customer = Customer(PLAN, 1, 0.0)
     passed = 0
     for step in range(200):
-        if not customer.bars(step * 5.0, 1.0, 0.0):
+        if not customer.refusal_reason(step * 5.0, 1.0, 0.0):
             customer.draw(step * 5.0, 1.0)
             passed += 1
     assert passed <= PLAN.burst * 1.3 + PLAN.rate
@@ -204,9 +204,9 @@
 
 def test_a_wholly_refused_customer_recovers_without_a_meter() -> None:
     customer = Customer(PLAN, 1, 0.0)
-    customer.store.level, customer.mine.level = -5.0, 0.0
-    assert customer.bars(0.0, 1.0, 0.5)
-    assert not customer.bars(2500.0, 1.0, 0.5)
+    customer.quota_bucket.level, customer.local_bucket.level = -5.0, 0.0
+    assert customer.refusal_reason(0.0, 1.0, 0.5)
+    assert not customer.refusal_reason(2500.0, 1.0, 0.5)
 
 
 def test_idle_customers_are_forgotten() -> None:
@@ -230,7 +230,7 @@
         rig.done(step * 50.0 + 20.0, sent, "ok")
     assert kept and 1_000_000 in rig.gateway.customers
     assert len(rig.gateway.customers) < 1000
-    assert len(rig.gateway.pools[0].fleet.admitted) < 200
+    assert len(rig.gateway.pools[0].servers.admission_times_ms) < 200
 
 
 def test_a_flood_of_customers_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -254,9 +254,9 @@
         [sent] = sends(rig.arrive(step * 50.0))
         rig.done(step * 50.0 + 20.0, sent, "ok")
     [customer] = rig.gateway.customers.values()
-    assert 200 <= len(customer.log) <= 450
+    assert 200 <= len(customer.draw_log) <= 450
     end = 5000 * 50.0
-    assert customer.drawn(end)[0] - customer.drawn(end - 5025.0)[0] == 100.0
+    assert customer.units_drawn_until(end)[0] - customer.units_drawn_until(end - 5025.0)[0] == 100.0
 
 
 def test_a_ceiling_fills_from_the_start_of_the_gateway() -> None:
@@ -274,12 +274,12 @@
     """Soon where the quota has room; beyond it once the store holds the units, within the bound."""
     rig = Rig([], plans=(api.Plan(rate=5, burst=1),), advice_ms=500)
     [refused] = rig.arrive(1.0, customer=1)
-    assert isinstance(refused, api.Refuse) and refused.retry_in_ms == fleet.REFERENCE_MS
+    assert isinstance(refused, api.Refuse) and refused.retry_in_ms == server_set.INITIAL_LATENCY_MS
     beyond = rig.gateway.customers[1]
-    beyond.usage, beyond.store.level = 300, -0.5
+    beyond.usage, beyond.quota_bucket.level = 300, -0.5
     [refused] = rig.arrive(1.0, customer=1)
     assert isinstance(refused, api.Refuse) and refused.retry_in_ms == pytest.approx(300.0)
-    beyond.store.level = -9.0
+    beyond.quota_bucket.level = -9.0
     [refused] = rig.arrive(1.0, customer=1)
     assert isinstance(refused, api.Refuse) and refused.retry_in_ms == 500.0
 
@@ -302,9 +302,9 @@
             when, door = answers.pop(0)
             end = (when - lag) // 1000.0 * 1000.0
             used = sum(units for then, units in sent if end - 1000.0 <= then < end)
-            limiters[door].meter(when, round(used / plan.rate * 100.0), clocks[door])
+            limiters[door].apply_reading(when, round(used / plan.rate * 100.0), clocks[door])
         door, units = int(rng.random() < 0.4), rng.choice([1.0, 1.0, 2.0, 4.0])
-        if limiters[door].bars(now, units, rng.random()):
+        if limiters[door].refusal_reason(now, units, rng.random()):
             continue
         limiters[door].draw(now, units)
         store, at = min(plan.burst, store + plan.rate * (now - at) / 1000.0), now
@@ -326,19 +326,19 @@
 
 def test_a_limiter_may_send_on_its_own_part_whatever_it_believes_of_the_others() -> None:
     customer = Customer(PLAN, 2, 0.0)
-    customer.store.level = 0.0
+    customer.quota_bucket.level = 0.0
     for _ in range(10):  # half of the burst
-        assert not customer.bars(0.0, 1.0, 0.99)
+        assert not customer.refusal_reason(0.0, 1.0, 0.99)
         customer.draw(0.0, 1.0)
-    assert customer.bars(0.0, 1.0, 0.99)
-    assert not customer.bars(250.0, 1.0, 0.99)  # half of the rate, and a little for the margin
+    assert customer.refusal_reason(0.0, 1.0, 0.99)
+    assert not customer.refusal_reason(250.0, 1.0, 0.99)  # half of the rate, and a little for the margin
 
 
 def test_where_nobody_else_draws_the_store_alone_counts() -> None:
     """A balance that an earlier life left would be passed otherwise."""
     customer = Customer(PLAN, 1, 0.0)
-    customer.store.level = 0.0
-    assert customer.bars(0.0, 1.0, 0.0, exact=True)
+    customer.quota_bucket.level = 0.0
+    assert customer.refusal_reason(0.0, 1.0, 0.0, exact=True)
 
 
 def beyond(over_cost: float, seed: int) -> tuple[float, float]:
@@ -360,7 +360,7 @@
             customer = seen.setdefault(door, Customer(plan, doors, now))
             level, at = min(plan.burst, level + plan.rate * (now - at) / 1000.0), now
             asked_inside += level >= 1.0
-            if customer.bars(now, 1.0, rng.random()):
+            if customer.refusal_reason(now, 1.0, rng.random()):
                 continue
             customer.draw(now, 1.0)
             log.append(now)
@@ -369,7 +369,7 @@
             level -= 1.0 if level >= 1.0 else 0.0
             end = now // 1000.0 * 1000.0 - 1000.0
             used = sum(1 for each in log if end - 1000.0 <= each < end)
-            customer.meter(now + 100.0, round(used / plan.rate * 100), clocks[door])
+            customer.apply_reading(now + 100.0, round(used / plan.rate * 100), clocks[door])
     return excess / sent, sent / max(1, asked_inside)
 
 
@@ -384,4 +384,4 @@
 def test_care_is_what_excess_costs_beside_what_it_earns() -> None:
     for worth, cost, care in ((0.0, 0.5, 0.5), (0.3, 0.0, 0.0), (0.0, 2.0, 1.0), (0.2, 0.6, 0.4)):
         plan = api.Plan(rate=1, burst=4, over_worth=worth, over_cost=cost)
-        assert Customer(plan, 3, 0.0).care == pytest.approx(care)
+        assert Customer(plan, 3, 0.0).excess_cost == pytest.approx(care)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -156,8 +156,8 @@
     rig = Rig()
     for sent in [sends(rig.arrive(1.0 + n))[0] for n in range(30)]:
         rig.done(1100.0, sent, "timeout", elapsed=1000.0)
-    assert not rig.gateway.pools[0].fleet.suspects
-    assert len(rig.gateway.pools[0].lost) == 30
+    assert not rig.gateway.pools[0].servers.suspects
+    assert len(rig.gateway.pools[0].timeouts) == 30
 
 
 def test_a_jam_brings_lane_caps_though_every_latency_is_long() -> None:
@@ -167,11 +167,11 @@
         now = 10.0 * step + 1
         elapsed = 60.0 + 60.0 * (step % 4) if step < 200 else 900.0
         for sent in sends(rig.arrive(now)):
-            rig.gateway.pools[0].count[0] += 1  # as if it stayed out for its latency
+            rig.gateway.pools[0].lane_outstanding[0] += 1  # as if it stayed out for its latency
             rig.done(now + 1, sent, "ok", elapsed=elapsed)
-            rig.gateway.pools[0].count[0] -= 1
+            rig.gateway.pools[0].lane_outstanding[0] -= 1
         if step % 5 == 0:
-            rig.gateway.pools[0].mean_out = 9.0
+            rig.gateway.pools[0].mean_outstanding = 9.0
             rig.tick(now)
     assert rig.gateway.pools[0].caps[0] < float("inf")
 
@@ -265,13 +265,13 @@
 def test_a_missing_report_is_not_idleness() -> None:
     """big-1 of tacoma-east-later: servers not heard of lately were taken for idle ones."""
     rig = Rig([server(n) for n in range(1, 4)], report_fields=("inflight",), gateways=300)
-    fleet = rig.gateway.pools[0].fleet
+    fleet = rig.gateway.pools[0].servers
     for now in range(1, 40):
-        fleet.report(float(now), 1, (9.0,))
-        fleet.report(float(now), 2, (2.0,))
-    idle, busy, unheard = (fleet.cost(fleet.peers[n], 50.0) for n in (2, 1, 3))
+        fleet.record_report(float(now), 1, (9.0,))
+        fleet.record_report(float(now), 2, (2.0,))
+    idle, busy, unheard = (fleet.cost(fleet.records[n], 50.0) for n in (2, 1, 3))
     assert idle < unheard < busy
-    assert fleet.cost(fleet.peers[1], 60000.0) == fleet.cost(fleet.peers[3], 60000.0)
+    assert fleet.cost(fleet.records[1], 60000.0) == fleet.cost(fleet.records[3], 60000.0)
 
 
 def test_a_server_that_fails_at_once_draws_no_traffic() -> None:
@@ -286,7 +286,7 @@
             failed += bad
             rig.done(now + 1.0, sent, "error" if bad or step % 50 == 0 else "ok", elapsed=1.0)
     assert failed < 20
-    assert not rig.gateway.pools[0].fleet.suspects
+    assert not rig.gateway.pools[0].servers.suspects
 
 
 @pytest.mark.parametrize(("strays", "late"), [(0, 0), (4, 0), (4, 8)])
@@ -308,7 +308,7 @@
 
 def test_one_reset_is_the_connections_own_and_two_are_the_servers() -> None:
     rig = Rig([server(1)])
-    fleet = rig.gateway.pools[0].fleet
+    fleet = rig.gateway.pools[0].servers
     for now, suspects in ((10.0, 0), (20.0, 1)):
         [sent] = sends(rig.arrive(now, UNSAFE))
         rig.done(now + 1.0, sent, "reset", elapsed=1.0)
@@ -336,7 +336,7 @@
 def test_a_gateway_whose_own_servers_are_lost_goes_on_with_the_others() -> None:
     own = set(range(1, 13))  # the first gateway's; they stand in one zone, which is lost
     rig = Rig([server(n, zone=n in own) for n in range(1, 61)], gateways=40, me=0)
-    assert {peer.entry.id for peer in rig.gateway.pools[0].fleet.subset} == own
+    assert {peer.entry.id for peer in rig.gateway.pools[0].servers.subset} == own
     served = 0
     for now in range(0, 4000, 50):
         attempt, due = 0, sends(rig.arrive(float(now)))
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -10,14 +10,14 @@
 
 import pytest
 
-from basaltpoint.policy.thresholds import BOUND, j_sums, sole_caller, thresholds
+from basaltpoint.policy.thresholds import MAX_THRESHOLD, find_thresholds, j_sums, measures_at_m1_one
 
 TABLE_1 = [(0.80, 32, 5), (0.85, 23, 5), (0.90, 20, 5), (1.00, 18, 5), (1.20, 16, 5), (1.50, 15, 5)]
 
 
 @pytest.mark.parametrize(("lambda1", "m1", "m2"), TABLE_1)
 def test_table_1(lambda1: float, m1: int, m2: int) -> None:
-    assert thresholds(lambda1, 0.3, 20.0, 0.2 / 0.3) == (m1, m2)
+    assert find_thresholds(lambda1, 0.3, 20.0, 0.2 / 0.3) == (m1, m2)
 
 
 def measures(rho1: float, rho2: float, m1: int, m2: int) -> tuple[float, float, float]:
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize("sojourn", [2.0, 4.0])
 @pytest.mark.parametrize("floor", [0.3, 0.6, 0.9])
 def test_brute_force(rho1: float, rho2: float, sojourn: float, floor: float) -> None:
-    found = thresholds(rho1, rho2, sojourn, floor)
+    found = find_thresholds(rho1, rho2, sojourn, floor)
     top = 0.0
     for m1 in range(1, 22):
         for m2 in range(22):
@@ -52,13 +52,13 @@
 
 
 def test_light_load_has_no_cap() -> None:
-    assert thresholds(0.2, 0.2, 2.0, 0.9) == (math.inf, math.inf)
+    assert find_thresholds(0.2, 0.2, 2.0, 0.9) == (math.inf, math.inf)
 
 
 def test_whole_floor_leaves_lane_two_free_or_is_infeasible() -> None:
-    found = thresholds(0.8, 0.3, 4.0, 1.0)
+    found = find_thresholds(0.8, 0.3, 4.0, 1.0)
     assert found is not None and found[1] == math.inf and found[0] < math.inf
-    assert thresholds(0.8, 1.3, 4.0, 1.0) is None
+    assert find_thresholds(0.8, 1.3, 4.0, 1.0) is None
 
 
 def test_infinite_sums_are_limits() -> None:
@@ -74,7 +74,7 @@
 
 def test_sole_caller_agrees_with_product_form() -> None:
     _, wait, second = measures(0.7, 0.4, 1, 3)
-    assert sole_caller(0.7, 0.4, 3) == pytest.approx((wait, second))
+    assert measures_at_m1_one(0.7, 0.4, 3) == pytest.approx((wait, second))
 
 
 def test_cost_is_bounded() -> None:
@@ -90,7 +90,7 @@
     sys.settrace(count)
     try:
         for rho in (0.5, 0.99, 1.5, 4.0):
-            thresholds(rho, rho, BOUND * 4.0, 0.5)
+            find_thresholds(rho, rho, MAX_THRESHOLD * 4.0, 0.5)
     finally:
         sys.settrace(before)
     assert 0 < lines < 400_000
--- a/tests/test_server_index.py
+++ b/tests/test_server_index.py
@@ -14,9 +14,9 @@
 
 from basaltpoint import interface as api
 from basaltpoint.interface import ListKind, ServerState
-from basaltpoint.policy.fleet import TRUSTED_LOOKS, Fleet
-from basaltpoint.policy.server_health import Health
+from basaltpoint.policy.server_health import ServerHealth
 from basaltpoint.policy.server_index import RotatingWindow, SortedItems
+from basaltpoint.policy.server_set import TRUSTED_SCAN_SIZE, ServerSet
 
 WITHIN = 1.5  # times the lines that a change or a choice runs through, from 200 servers to 10,000
 
@@ -25,9 +25,9 @@
     return replace(server(ident, state=state, started=started), mark=ident * 2654435761 % 2**32)
 
 
-def fleet_of(count: int, gateways: int = 100) -> Fleet:
-    made = Fleet(replace(BASE, gateways=gateways), random.Random(7), {})
-    made.update(0.0, api.ServerList(ListKind.FULL, tuple(named(n) for n in range(count))))
+def fleet_of(count: int, gateways: int = 100) -> ServerSet:
+    made = ServerSet(replace(BASE, gateways=gateways), random.Random(7), {})
+    made.apply_list(0.0, api.ServerList(ListKind.FULL, tuple(named(n) for n in range(count))))
     return made
 
 
@@ -48,9 +48,9 @@
     return count
 
 
-def check(fleet: Fleet) -> None:
+def check(fleet: ServerSet) -> None:
     """Compare what is kept up with what a scan of all finds."""
-    ready = [peer for peer in fleet.peers.values() if peer.entry.state is ServerState.READY]
+    ready = [peer for peer in fleet.records.values() if peer.entry.state is ServerState.READY]
     assert fleet.ready == ready
     assert fleet.ring == sorted(ready, key=lambda peer: (peer.entry.mark, peer.entry.id))
     assert fleet.suspects == {peer.entry.id for peer in ready if peer.health.suspect}
@@ -60,29 +60,31 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_what_is_kept_up_is_what_a_scan_would_find(seed: int) -> None:
     rng, now = random.Random(seed), 0.0
-    healths: dict[int, Health] = {}
-    fleets = [Fleet(replace(BASE, gateways=3), rng, healths) for _ in range(2)]  # two pools of one process
+    healths: dict[int, ServerHealth] = {}
+    fleets = [
+        ServerSet(replace(BASE, gateways=3), rng, healths) for _ in range(2)
+    ]  # two pools of one process
     for _ in range(300):
         now += 100.0
         fleet = rng.choice(fleets)
         match rng.randrange(5):
             case 0:
                 entries = tuple(named(n, started=rng.choice((0.0, now))) for n in rng.sample(range(40), 25))
-                fleet.update(now, api.ServerList(ListKind.FULL, entries))
+                fleet.apply_list(now, api.ServerList(ListKind.FULL, entries))
             case 1 | 2:
                 states = ("ready", "draining", "gone")
                 entries = tuple(
                     named(rng.randrange(40), rng.choice(states), rng.choice((0.0, now)))
                     for _ in range(rng.randrange(1, 6))
                 )
-                fleet.update(now, api.ServerList(ListKind.DELTA, entries))
+                fleet.apply_list(now, api.ServerList(ListKind.DELTA, entries))
             case 3 if fleet.ready:
-                rng.choice(fleet.ready).waiting += 1
-            case _ if fleet.peers:
-                peer = rng.choice(list(fleet.peers.values()))
+                rng.choice(fleet.ready).outstanding += 1
+            case _ if fleet.records:
+                peer = rng.choice(list(fleet.records.values()))
                 status = rng.choice((api.Status.OK, api.Status.CONNECT_FAILED, api.Status.ERROR))
-                if peer.waiting:
-                    fleet.attempt_ended(now, api.Outcome(1, 0, peer.entry.id, status, 50.0, False))
+                if peer.outstanding:
+                    fleet.record_outcome(now, api.Outcome(1, 0, peer.entry.id, status, 50.0, False))
         for each in fleets:
             check(each)
 
@@ -92,7 +94,7 @@
     def cost(count: int) -> int:
         fleet = fleet_of(count)
         event = api.ServerList(ListKind.DELTA, (named(count // 2, state),))
-        return lines_run(lambda: fleet.update(1.0, event))
+        return lines_run(lambda: fleet.apply_list(1.0, event))
 
     assert cost(10_000) <= WITHIN * cost(200)
 
@@ -102,7 +104,7 @@
 def test_a_choice_costs_the_same_before_200_and_10_000_servers(fits: bool, gateways: int) -> None:
     def cost(count: int) -> int:
         fleet = fleet_of(count, gateways)
-        return lines_run(lambda: fleet.choose(1.0, lambda peer: fits, set()))
+        return lines_run(lambda: fleet.choose_server(1.0, lambda peer: fits, set()))
 
     assert cost(10_000) <= WITHIN * cost(200)
 
@@ -111,38 +113,38 @@
     fleet = fleet_of(3_200)
     for peer in [*fleet.subset, *fleet.ready[:1_800]]:
         fleet.mark_suspect(peer, 0.0)
-    assert not fleet.all_slow()
-    chosen = [fleet.choose(1.0, None, set()) for _ in range(50)]
+    assert not fleet.most_are_suspect()
+    chosen = [fleet.choose_server(1.0, None, set()) for _ in range(50)]
     assert all(peer is not None and not peer.health.suspect for peer in chosen)
 
 
 def test_the_one_server_that_does_not_drain_is_chosen() -> None:
     fleet = fleet_of(3_200)
     draining = tuple(named(n, "draining") for n in range(3_200) if n != 1_500)
-    fleet.update(1.0, api.ServerList(ListKind.DELTA, draining))
-    assert fleet.choose(2.0, None, set()) is fleet.peers[1_500]
+    fleet.apply_list(1.0, api.ServerList(ListKind.DELTA, draining))
+    assert fleet.choose_server(2.0, None, set()) is fleet.records[1_500]
 
 
 def test_a_server_that_fits_is_found_within_a_round_of_calls() -> None:
     fleet = fleet_of(3_200)
     only = fleet.ready[2_345]
-    rounds = -(-len(fleet.ready) // TRUSTED_LOOKS)
-    assert only in [fleet.choose(1.0, lambda peer: peer is only, set()) for _ in range(rounds)]
+    rounds = -(-len(fleet.ready) // TRUSTED_SCAN_SIZE)
+    assert only in [fleet.choose_server(1.0, lambda peer: peer is only, set()) for _ in range(rounds)]
 
 
 def test_a_list_that_replaces_all_servers_leaves_none_of_the_old_ones() -> None:
     fleet = fleet_of(3_200)
-    fleet.update(1.0, api.ServerList(ListKind.FULL, tuple(named(n) for n in range(5_000, 8_200))))
+    fleet.apply_list(1.0, api.ServerList(ListKind.FULL, tuple(named(n) for n in range(5_000, 8_200))))
     check(fleet)
-    assert len(fleet.ready) == len(fleet.peers) == len(fleet.healths) == 3_200
+    assert len(fleet.ready) == len(fleet.records) == len(fleet.healths) == 3_200
 
 
 def test_a_server_that_leaves_and_comes_back_in_one_list_is_there_once() -> None:
     fleet = fleet_of(300)
     back = (named(7, "gone"), named(7, started=5.0))
-    fleet.update(10.0, api.ServerList(ListKind.DELTA, back))
+    fleet.apply_list(10.0, api.ServerList(ListKind.DELTA, back))
     check(fleet)
-    assert fleet.ready[-1] is fleet.peers[7] and len(fleet.ready) == 300
+    assert fleet.ready[-1] is fleet.records[7] and len(fleet.ready) == 300
 
 
 def test_items_are_kept_in_order() -> None:
@@ -164,6 +166,6 @@
 def test_a_window_comes_round_to_each_item_as_often(size: int) -> None:
     window: RotatingWindow[int] = RotatingWindow(5)
     items = list(range(size))
-    seen = [item for _ in range(size) for item in window.take(items)]
+    seen = [item for _ in range(size) for item in window.next_items(items)]
     assert all(seen.count(item) == 5 for item in items)
     assert set(seen[: 5 * -(-size // 5)]) == set(items)
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -25,7 +25,7 @@
 
 from basaltpoint.fronts.platform.config import REUSE_S
 from basaltpoint.interface import Status
-from basaltpoint.policy import fleet
+from basaltpoint.policy import server_set
 from basaltpoint.upstream import whole
 from basaltpoint.upstream.servers import Answer, Servers
 from basaltpoint.upstream.whole import WholeAttempt, connection
@@ -72,7 +72,7 @@
     monkeypatch: pytest.MonkeyPatch, status: str, cls: str
 ) -> None:
     """It never ran, whatever its class; no server is asked again that has just said that it is full."""
-    monkeypatch.setattr(fleet, "FULL_MS", 1e6)
+    monkeypatch.setattr(server_set, "FULL_SERVER_PAUSE_MS", 1e6)
 
     async def test() -> None:
         async def declines(request: Request) -> None:
@@ -212,7 +212,7 @@
         async with backend(script) as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             assert (await client.ask(message("fix", "spoilt"))).code == 502
-            assert not rig.limiter.gateway.pools[0].fleet.suspects
+            assert not rig.limiter.gateway.pools[0].servers.suspects
             assert (await client.ask(message("fix", "next"))).body == b"good"
             assert len(server.requests) == 2
 
@@ -525,13 +525,13 @@
                 gateway, sockets = rig.limiter.gateway, rig.limiter._servers
                 await until(lambda: not gateway.requests and not rig.limiter.table.entries)
                 await until(lambda: not sockets._connecting)
-                assert (rig.limiter.open, gateway.pools[0].count, rig.limiter.table.names) == (
+                assert (rig.limiter.open, gateway.pools[0].lane_outstanding, rig.limiter.table.names) == (
                     0,
                     [0, 0],
                     set(),
                 )
-                assert all(customer.out == 0 for customer in gateway.customers.values())
-                assert [peer.waiting for peer in gateway.pools[0].fleet.peers.values()] == [0]
+                assert all(customer.outstanding == 0 for customer in gateway.customers.values())
+                assert [peer.outstanding for peer in gateway.pools[0].servers.records.values()] == [0]
                 sockets.close()
                 await until(lambda: sockets._open == 0)
 
--- a/tests/test_store_daemon.py
+++ b/tests/test_store_daemon.py
@@ -514,10 +514,10 @@
             path = tmp_path / "l.toml"
             async with limiter(path, config(server.address, extra=ALONE)) as rig:
                 pool = rig.limiter.relay.gateway.pools[rig.limiter.setup.pools["main"]]
-                pool.low, pool.fleet.mean_ms = [3.0, math.inf, 3.0], 7.0
+                pool.light_latencies_ms, pool.servers.mean_latency_ms = [3.0, math.inf, 3.0], 7.0
             async with limiter(path) as rig:
                 pool = rig.limiter.relay.gateway.pools[rig.limiter.setup.pools["main"]]
-                assert pool.low == [3.0, math.inf, 3.0] and pool.fleet.mean_ms == 7.0
+                assert pool.light_latencies_ms == [3.0, math.inf, 3.0] and pool.servers.mean_latency_ms == 7.0
                 store = store_of(rig)
                 value = await store.get("learned/basaltpoint")
                 assert value
@@ -527,7 +527,7 @@
             path.write_text(path.read_text().replace('dir = "store"', 'dir = "store"\nlearned_s = 0'))
             async with limiter(path) as rig:
                 pool = rig.limiter.relay.gateway.pools[rig.limiter.setup.pools["main"]]
-                assert pool.low == [math.inf] * 3
+                assert pool.light_latencies_ms == [math.inf] * 3
 
     run(test())
 
