--- a/basaltpoint/daemon/fleet.py
+++ b/basaltpoint/daemon/fleet.py
@@ -17,15 +17,15 @@
 from basaltpoint.config.fleets import FleetSetting
 from basaltpoint.daemon.fleet_look import ask
 from basaltpoint.handover.upgrade_state import Place
-from basaltpoint.links.frames import VERSION, FrameError, Greeting
+from basaltpoint.links.connection_pool import ConnectionPool
+from basaltpoint.links.frames import PROTOCOL_VERSION, FrameError, Greeting
 from basaltpoint.links.listening import LinkListener
-from basaltpoint.links.pool import Pool
 from basaltpoint.links.transport import Link, Tls
 from basaltpoint.peers import actions as act
 from basaltpoint.peers import messages as m
-from basaltpoint.peers.machine import Peers
-from basaltpoint.peers.messages import Row, State
-from basaltpoint.peers.options import Options
+from basaltpoint.peers.messages import MemberRecord, MemberState
+from basaltpoint.peers.options import MembershipOptions
+from basaltpoint.peers.state_machine import MembershipStateMachine
 from basaltpoint.system.listening import listener_when_free
 
 log = logging.getLogger("basaltpoint")
@@ -46,10 +46,12 @@
     ) -> None:
         self.setting = setting
         self._changed, self._ended = changed, ended
-        self._tls = Tls.of(setting.files)
+        self._tls = Tls.from_files(setting.files)
         self.address = setting.table.advertise
-        self.peers: Peers
-        self._pool = Pool(self, self._greeting, self._tls, m.PEERS, setting.table.connections)
+        self.peers: MembershipStateMachine
+        self._pool = ConnectionPool(
+            self, self._greeting, self._tls, m.PEER_PROTOCOL, setting.table.connections
+        )
         self._server: LinkListener | None = None
         self._sock: socket.socket
         self._timer: asyncio.TimerHandle | None = None
@@ -63,7 +65,7 @@
         self._loop: asyncio.AbstractEventLoop
 
     def _greeting(self) -> Greeting:
-        return Greeting(VERSION, self.setting.cluster, self.setting.name, self.address)
+        return Greeting(PROTOCOL_VERSION, self.setting.cluster, self.setting.name, self.address)
 
     def _now(self) -> float:
         return time.monotonic() * 1000.0  # the loop's own clock tells whole milliseconds: no round trip
@@ -87,12 +89,14 @@
         self._sock = sock
         if not self.address:
             self.address = f"{table.listen.rpartition(':')[0]}:{sock.getsockname()[1]}"
-        context = self._tls.server() if self._tls else None
-        self._server = LinkListener(sock, self._pool.make, context)
+        context = self._tls.server_context() if self._tls else None
+        self._server = LinkListener(sock, self._pool.accept_link, context)
         if self.setting.journal:
             self._journal = open(self.setting.journal, "a", buffering=1)  # noqa: SIM115 - until close
-        options = Options(probe_ms=table.probe_ms, silent_ms=table.silent_ms, most=table.most)
-        self.peers = Peers(
+        options = MembershipOptions(
+            probe_ms=table.probe_ms, silent_ms=table.silent_ms, max_members=table.most
+        )
+        self.peers = MembershipStateMachine(
             self.setting.name,
             self.address,
             secrets.randbits(53),
@@ -103,7 +107,7 @@
             self._now(),
         )
         if place:
-            self.peers.inherit(self._now(), (place.row, *place.rows), place.age_ms)
+            self.peers.take_over(self._now(), (place.row, *place.rows), place.age_ms)
         if row := self.peers.view.get(self.setting.name):
             self._note("start", row)
         self._turn()
@@ -120,8 +124,8 @@
         """Pass the listening socket and this member's place on; None where it has none, or can't."""
         if not self._server or self.peers.ended or not self._joined.is_set() or not send(self._sock.fileno()):
             return None
-        own, *rows = self.peers.retire()
-        return Place(own, tuple(rows), self._now() - self.peers.began)
+        own, *rows = self.peers.hand_over()
+        return Place(own, tuple(rows), self._now() - self.peers.started_ms)
 
     async def leave(self) -> None:
         """Tell the others that this one goes."""
@@ -138,7 +142,7 @@
             self._timer.cancel()
         if self._asking:
             self._asking.cancel()
-        self._pool.close()
+        self._pool.close_all()
         if self._journal:
             self._journal.close()
             self._journal = None
@@ -146,7 +150,7 @@
     def reseed(self, setting: FleetSetting) -> None:
         """Other seeds from now on."""
         self.setting = setting
-        self.peers.reseed([*setting.seeds, *self._present])
+        self.peers.set_seeds([*setting.seeds, *self._present])
 
     def present(self, members: Sequence[tuple[str, str]]) -> None:
         """Members that the store tells of, to be asked like the file's seeds: names and addresses."""
@@ -156,31 +160,31 @@
 
     # --- The machine's turn -----------------------------------------------------------------------------
     def _turn(self) -> None:
-        for action in self.peers.take():
+        for action in self.peers.take_actions():
             match action:
                 case act.Send():
-                    self._pool.send(action.to, action.address, action.message)
-                case act.Changed():
+                    self._pool.send(action.member, action.address, action.message)
+                case act.MemberChanged():
                     self._saw(action)
-                case act.Rival():
+                case act.CheckNameConflict():
                     self._asking = self._loop.create_task(self._rival(action.address))
-                case act.Named():
-                    self._named(action.name, action.text)
-                case act.Paused():
-                    log.warning("fleet: this process stood still for %.1f s", action.for_ms / 1000)
-                case act.End():
+                case act.ProtocolViolation():
+                    self._named(action.member, action.problem)
+                case act.PauseDetected():
+                    log.warning("fleet: this process stood still for %.1f s", action.duration_ms / 1000)
+                case act.Terminate():
                     log.error("fleet: %s", action.reason)
                     self._ended(action.reason)
-        if self.peers.state is not State.JOINING and not self._joined.is_set():
+        if self.peers.state is not MemberState.JOINING and not self._joined.is_set():
             self._joined.set()
             self._live = 0
-        if self._joined.is_set() and self.peers.live != self._live and not self.peers.leaving:
-            self._live = self.peers.live
+        if self._joined.is_set() and self.peers.live_count != self._live and not self.peers.leaving:
+            self._live = self.peers.live_count
             self._changed(self._live)
         if self._timer:
             self._timer.cancel()
             self._timer = None
-        due = self.peers.next_ms
+        due = self.peers.next_timer_ms
         if due < float("inf"):
             wait_s = max(0.0, (due - self._now()) / 1000.0)
             self._timer = self._loop.call_later(wait_s + TIMER_S, self._tick)
@@ -190,17 +194,21 @@
         self.peers.tick(self._now())
         self._turn()
 
-    def _saw(self, change: act.Changed) -> None:
+    def _saw(self, change: act.MemberChanged) -> None:
         row, before = change.after, change.before
         if before is None or (before.state, before.incarnation) != (row.state, row.incarnation):
-            why = f", says {row.by}" if row.by and row.state > State.ALIVE else ""
-            level = logging.INFO if row.state in (State.JOINING, State.ALIVE, State.LEFT) else logging.WARNING
+            why = f", says {row.reported_by}" if row.reported_by and row.state > MemberState.ALIVE else ""
+            level = (
+                logging.INFO
+                if row.state in (MemberState.JOINING, MemberState.ALIVE, MemberState.LEFT)
+                else logging.WARNING
+            )
             log.log(level, "fleet: %s is %s%s", row.name, row.state.name.lower(), why)
             self._note("saw", row)
-        if not row.live and row.name != self.setting.name:
-            self._pool.end(row.name)
+        if not row.is_live and row.name != self.setting.name:
+            self._pool.close_member(row.name)
 
-    def _note(self, what: str, row: Row) -> None:
+    def _note(self, what: str, row: MemberRecord) -> None:
         if self._journal:
             line = {
                 "at_s": time.monotonic(),
@@ -222,22 +230,30 @@
             log.warning("fleet: %s sent what it may not: %s", name, text)
 
     # --- What connections report --------------------------------------------------------------------------
-    def came(self, link: Link, frame: Any) -> None:
-        now, name = self._now(), link.name
+    def frame_received(self, link: Link, frame: Any) -> None:
+        now, name = self._now(), link.peer_name
         match frame:
-            case m.Look() if not name:
-                looked = self.peers.looked(now, frame.ident)
-                link.send(m.Looked(looked.ident, looked.me, looked.seen, looked.doubt, self._told()))
-            case m.Remove() if not name:
-                link.send(m.Removed(frame.ident, self.peers.remove(now, frame.name, frame.force)))
+            case m.ViewRequest() if not name:
+                looked = self.peers.describe_view(now, frame.request_id)
+                link.send(
+                    m.ViewResponse(
+                        looked.request_id, looked.member, looked.members, looked.health_score, self._told()
+                    )
+                )
+            case m.RemoveRequest() if not name:
+                link.send(
+                    m.RemoveResponse(frame.request_id, self.peers.remove_member(now, frame.name, frame.force))
+                )
             case m.Ping() if name == self.setting.name:
                 # Another process of this name asks who is here.
-                age = now - self.peers.began
-                link.send(m.Ack((), frame.seq, self.peers.life, age))
-            case m.Unknown():
+                age = now - self.peers.started_ms
+                link.send(m.Ack((), frame.seq, self.peers.instance_id, age))
+            case m.UnknownMessage():
                 return
-            case m.Message() if name and link.other and not isinstance(frame, m.Look | m.Remove):
-                self.peers.heard(now, name, link.other.address, frame)
+            case m.Message() if (
+                name and link.peer_greeting and not isinstance(frame, m.ViewRequest | m.RemoveRequest)
+            ):
+                self.peers.message_received(now, name, link.peer_greeting.address, frame)
             case _:
                 raise FrameError(f"a {type(frame).__name__} that is not allowed here")
         self._turn()
@@ -245,29 +261,29 @@
     def _told(self) -> tuple[str, ...]:
         return tuple(f"{name}: {text}" for name, text in list(self._problems.items())[:8])
 
-    def linked(self, name: str) -> None:
-        self.peers.linked(self._now(), name)
+    def member_connected(self, name: str) -> None:
+        self.peers.member_connected(self._now(), name)
         self._turn()
 
-    def lost(self, name: str) -> None:
-        self.peers.lost(self._now(), name)
+    def connection_lost(self, name: str) -> None:
+        self.peers.connection_lost(self._now(), name)
         self._turn()
 
-    def unlinked(self, name: str) -> None:
-        self.peers.unlinked(name)
+    def connection_evicted(self, name: str) -> None:
+        self.peers.connection_evicted(name)
 
-    def refused(self, name: str) -> None:
-        self.peers.refused(self._now(), name)
+    def connection_refused(self, name: str) -> None:
+        self.peers.connection_refused(self._now(), name)
         self._turn()
 
     # --- A name that another process has ------------------------------------------------------------------
     async def _rival(self, address: str) -> None:
-        within_s = self.peers.options.rival_ms / 1000
+        within_s = self.peers.options.name_check_timeout_ms / 1000
         try:
             ack = await ask(
                 self._tls, self._greeting(), self.setting.name, address, m.Ping(), m.Ack, within_s
             )
         except (OSError, TimeoutError):
             return
-        self.peers.rival(self._now(), ack.life, ack.age_ms)
+        self.peers.name_conflict_found(self._now(), ack.instance_id, ack.age_ms)
         self._turn()
--- a/basaltpoint/daemon/fleet_command.py
+++ b/basaltpoint/daemon/fleet_command.py
@@ -18,7 +18,7 @@
 from basaltpoint.peers import messages as m
 
 WATCH_S = 0.5
-Views = dict[str, m.Looked | str]  # by member: its view, or why it told none
+Views = dict[str, m.ViewResponse | str]  # by member: its view, or why it told none
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -51,7 +51,7 @@
     return code
 
 
-async def _one(setting: FleetSetting, name: str, address: str) -> m.Looked | str:
+async def _one(setting: FleetSetting, name: str, address: str) -> m.ViewResponse | str:
     try:
         return await look(setting, name, address)
     except (OSError, TimeoutError) as error:
@@ -67,23 +67,24 @@
         told = await asyncio.gather(*(_one(setting, name, known[name]) for name in missing))
         found.update(zip(missing, told, strict=True))
         for looked in told:
-            if isinstance(looked, m.Looked):
-                for seen in looked.seen:
-                    if seen.row.live:
-                        known.setdefault(seen.row.name, seen.row.address)
+            if isinstance(looked, m.ViewResponse):
+                for seen in looked.members:
+                    if seen.record.is_live:
+                        known.setdefault(seen.record.name, seen.record.address)
     return found
 
 
 def differences(found: Views) -> list[str]:
     """Where two members' views differ, and who could not be asked though others hold it alive."""
-    told = {name: looked for name, looked in found.items() if isinstance(looked, m.Looked)}
+    told = {name: looked for name, looked in found.items() if isinstance(looked, m.ViewResponse)}
     states = {
-        name: {s.row.name: (s.row.state, s.row.incarnation) for s in v.seen} for name, v in told.items()
+        name: {s.record.name: (s.record.state, s.record.incarnation) for s in v.members}
+        for name, v in told.items()
     }
     wrong = []
     for name in sorted({other for view in states.values() for other in view}):
         seen = {by: view.get(name) for by, view in states.items()}
-        live = {by: bool(state and state[0] in m.LIVE) for by, state in seen.items()}
+        live = {by: bool(state and state[0] in m.LIVE_STATES) for by, state in seen.items()}
         if len(set(live.values())) > 1 or len({state for by, state in seen.items() if live[by]}) > 1:
             each = ", ".join(f"{by} {_word(state)}" for by, state in sorted(seen.items()))
             wrong.append(f"{name}: {each}")
@@ -92,7 +93,7 @@
     return wrong
 
 
-def _word(state: tuple[m.State, int] | None) -> str:
+def _word(state: tuple[m.MemberState, int] | None) -> str:
     return f"{state[0].name.lower()} {state[1]}" if state else "does not know it"
 
 
@@ -100,10 +101,10 @@
     """Links that can't be used, each with who says so."""
     wrong = []
     for name, looked in sorted(found.items()):
-        if isinstance(looked, m.Looked):
-            for seen in looked.seen:
-                if seen.row.name == name:
-                    for other in seen.row.unreached:
+        if isinstance(looked, m.ViewResponse):
+            for seen in looked.members:
+                if seen.record.name == name:
+                    for other in seen.record.unreachable:
                         way = "hears it, is not heard" if other.startswith(">") else "no word either way"
                         wrong.append(f"{name} can't reach {other.removeprefix('>')} ({way}); others can")
     return wrong
@@ -115,7 +116,8 @@
     from rich.table import Table
 
     names = sorted(
-        {s.row.name for v in found.values() if isinstance(v, m.Looked) for s in v.seen} | set(found)
+        {s.record.name for v in found.values() if isinstance(v, m.ViewResponse) for s in v.members}
+        | set(found)
     )
     made = Table("seen by", *names, "doubts itself")
     for by in sorted(found):
@@ -123,17 +125,17 @@
         if isinstance(looked, str):
             made.add_row(by, *[""] * len(names), looked)
             continue
-        cells = {s.row.name: _cell(s) for s in looked.seen}
-        made.add_row(by, *(cells.get(name, "-") for name in names), str(looked.doubt))
+        cells = {s.record.name: _cell(s) for s in looked.members}
+        made.add_row(by, *(cells.get(name, "-") for name in names), str(looked.health_score))
     console = Console(width=max(100, 24 * (len(names) + 2)), record=False)
     with console.capture() as captured:
         console.print(made)
     return captured.get()
 
 
-def _cell(seen: m.Seen) -> str:
+def _cell(seen: m.MemberView) -> str:
     rtt = f" {seen.rtt_ms:.1f} ms" if seen.rtt_ms >= 0 else ""
-    return f"{seen.row.state.name.lower()} {_span(seen.since_ms / 1000)}{rtt}\n{seen.row.incarnation}"
+    return f"{seen.record.state.name.lower()} {_span(seen.since_ms / 1000)}{rtt}\n{seen.record.incarnation}"
 
 
 def _span(seconds: float) -> str:
@@ -145,7 +147,7 @@
 
 async def _status(setting: FleetSetting, args: argparse.Namespace) -> int:
     found = await views(setting)
-    answered = [looked for looked in found.values() if isinstance(looked, m.Looked)]
+    answered = [looked for looked in found.values() if isinstance(looked, m.ViewResponse)]
     wrong, cut = differences(found), cuts(found)
     if args.json:
         each = {
@@ -158,7 +160,7 @@
             print(f"cut: {line}")
         for looked in answered:
             for problem in looked.problems:
-                print(f"{looked.me} was sent what may not be: {problem}")
+                print(f"{looked.member} was sent what may not be: {problem}")
         for line in wrong:
             print(f"differs: {line}")
     if not answered:
@@ -166,21 +168,21 @@
     return 1 if wrong or not answered else 0
 
 
-def _plain(looked: m.Looked) -> dict[str, Any]:
+def _plain(looked: m.ViewResponse) -> dict[str, Any]:
     seen = [
         {
-            "name": s.row.name,
-            "address": s.row.address,
-            "state": s.row.state.name.lower(),
-            "incarnation": s.row.incarnation,
+            "name": s.record.name,
+            "address": s.record.address,
+            "state": s.record.state.name.lower(),
+            "incarnation": s.record.incarnation,
             "since_s": s.since_ms / 1000,
-            "heard_s": s.heard_ms / 1000 if s.heard_ms >= 0 else None,
+            "heard_s": s.last_heard_ms / 1000 if s.last_heard_ms >= 0 else None,
             "rtt_ms": s.rtt_ms if s.rtt_ms >= 0 else None,
-            "unreached": [name.removeprefix(">") for name in s.row.unreached],
+            "unreached": [name.removeprefix(">") for name in s.record.unreachable],
         }
-        for s in looked.seen
+        for s in looked.members
     ]
-    return {"doubt": looked.doubt, "problems": list(looked.problems), "seen": seen}
+    return {"doubt": looked.health_score, "problems": list(looked.problems), "seen": seen}
 
 
 async def _watch(setting: FleetSetting, args: argparse.Namespace) -> int:
@@ -192,11 +194,11 @@
         await asyncio.sleep(WATCH_S)
 
 
-def _news(by: str, looked: m.Looked | str, before: dict[str, Any]) -> Iterable[str]:
+def _news(by: str, looked: m.ViewResponse | str, before: dict[str, Any]) -> Iterable[str]:
     now: dict[str, str] = (
         {"": looked}
         if isinstance(looked, str)
-        else {s.row.name: _word((s.row.state, s.row.incarnation)) for s in looked.seen}
+        else {s.record.name: _word((s.record.state, s.record.incarnation)) for s in looked.members}
     )
     for name in sorted({*now, *before}):
         if now.get(name) != before.get(name):
--- a/basaltpoint/daemon/fleet_look.py
+++ b/basaltpoint/daemon/fleet_look.py
@@ -6,7 +6,7 @@
 from typing import Any, TypeVar
 
 from basaltpoint.config.fleets import FleetSetting
-from basaltpoint.links.frames import VERSION, Greeting, Part
+from basaltpoint.links.frames import PROTOCOL_VERSION, Frame, Greeting
 from basaltpoint.links.transport import Link, Tls, connect
 from basaltpoint.peers import messages as m
 
@@ -18,20 +18,20 @@
 class _Question:
     """One frame sent, one answer."""
 
-    def __init__(self, part: Part, kind: type[Any]) -> None:
+    def __init__(self, part: Frame, kind: type[Any]) -> None:
         self._part, self._kind = part, kind
         self.answer: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
 
-    def greeted(self, link: Link) -> bool:
+    def greeting_received(self, link: Link) -> bool:
         return link.send(self._part)
 
-    def came(self, link: Link, frame: Any) -> None:
+    def frame_received(self, link: Link, frame: Any) -> None:
         if isinstance(frame, self._kind) and not self.answer.done():
             self.answer.set_result(frame)
 
-    def lost(self, link: Link) -> None:
+    def link_closed(self, link: Link) -> None:
         if not self.answer.done():
-            self.answer.set_exception(ConnectionResetError(link.why or "it ended the connection"))
+            self.answer.set_exception(ConnectionResetError(link.close_reason or "it ended the connection"))
             self.answer.exception()  # read by whoever waits, or by nobody
 
 
@@ -40,13 +40,15 @@
     greeting: Greeting,
     name: str,
     address: str,
-    part: Part,
+    part: Frame,
     kind: type[T],
     within_s: float = ANSWER_S,
 ) -> T:
     """Ask the member `name`; OSError, TimeoutError where no answer of the kind comes."""
     asked = _Question(part, kind)
-    link = await connect(lambda: Link(asked, greeting, False, m.PEERS, tls is None), address, name, tls)
+    link = await connect(
+        lambda: Link(asked, greeting, False, m.PEER_PROTOCOL, tls is None), address, name, tls
+    )
     try:
         async with asyncio.timeout(within_s):
             answer: T = await asked.answer
@@ -55,14 +57,16 @@
         link.close()
 
 
-async def look(setting: FleetSetting, name: str, address: str) -> m.Looked:
+async def look(setting: FleetSetting, name: str, address: str) -> m.ViewResponse:
     """A member's view; OSError, TimeoutError where it does not answer."""
-    greeting = Greeting(VERSION, setting.cluster)
-    return await ask(Tls.of(setting.files), greeting, name, address, m.Look((), 1), m.Looked)
+    greeting = Greeting(PROTOCOL_VERSION, setting.cluster)
+    return await ask(
+        Tls.from_files(setting.files), greeting, name, address, m.ViewRequest((), 1), m.ViewResponse
+    )
 
 
 async def remove(setting: FleetSetting, gone: str, force: bool) -> str:
     """Have this file's member declare another gone for good; the reason why not, or nothing."""
-    greeting, part = Greeting(VERSION, setting.cluster), m.Remove((), 1, gone, force)
-    tls = Tls.of(setting.files)
-    return (await ask(tls, greeting, setting.name, setting.address, part, m.Removed)).problem
+    greeting, part = Greeting(PROTOCOL_VERSION, setting.cluster), m.RemoveRequest((), 1, gone, force)
+    tls = Tls.from_files(setting.files)
+    return (await ask(tls, greeting, setting.name, setting.address, part, m.RemoveResponse)).problem
--- a/basaltpoint/handover/upgrade_state.py
+++ b/basaltpoint/handover/upgrade_state.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from basaltpoint.handover import platform_state
-from basaltpoint.peers.messages import Row
+from basaltpoint.peers.messages import MemberRecord
 from basaltpoint.policy import Gateway
 
 VERSION = 1  # another one is not read: what it says is not known
@@ -32,8 +32,8 @@
 class Place(msgspec.Struct, frozen=True):
     """A member's place among the others, as one process passes it to the next."""
 
-    row: Row  # its own
-    rows: tuple[Row, ...]  # of the others
+    row: MemberRecord  # its own
+    rows: tuple[MemberRecord, ...]  # of the others
     age_ms: float  # of the member, over all its processes
 
 
--- a/basaltpoint/links/frames.py
+++ b/basaltpoint/links/frames.py
@@ -13,17 +13,19 @@
 
 import msgspec
 
-VERSION = 1
-LENGTH = struct.Struct("<I")
-FRAME = 8 << 20  # bytes of the longest frame; more is an error of the other side, and ends the connection
-BUFFER = 16 << 20  # bytes waiting for one slow reader; beyond, messages to it are dropped
+PROTOCOL_VERSION = 1
+LENGTH_PREFIX = struct.Struct("<I")
+MAX_FRAME_BYTES = (
+    8 << 20
+)  # bytes of the longest frame; more is an error of the other side, and ends the connection
+MAX_BUFFER_BYTES = 16 << 20  # bytes waiting for one slow reader; beyond, messages to it are dropped
 
 
-class Part(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class Frame(msgspec.Struct, frozen=True, array_like=True, tag=True):
     """Any frame. New fields come last, with a default: those of a newer version are left unread."""
 
 
-class Greeting(Part, frozen=True, tag="hi"):
+class Greeting(Frame, frozen=True, tag="hi"):
     """Who speaks. `name` is a replica's or member's, empty for a client; `address` is where it listens."""
 
     version: int
@@ -37,64 +39,64 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Speech:
+class WireProtocol:
     """What may be said over connections of one kind."""
 
-    what: str  # for the log
+    log_name: str  # for the log
     decode: Callable[[memoryview], Any]  # msgspec.DecodeError, ValueError where it is no frame
-    frame: int = FRAME  # bytes of the longest
-    buffer: int = BUFFER
+    max_frame_bytes: int = MAX_FRAME_BYTES  # bytes of the longest
+    max_buffer_bytes: int = MAX_BUFFER_BYTES
 
 
 _encoder = msgspec.msgpack.Encoder()
 
 
-def pack(part: Part, longest: int = FRAME) -> bytes:
+def encode_frame(frame: Frame, max_bytes: int = MAX_FRAME_BYTES) -> bytes:
     """A whole frame; FrameError where it is too long."""
-    body = _encoder.encode(part)
-    if len(body) > longest:
-        raise FrameError(f"a frame of {len(body)} bytes; allowed: {longest}")
-    return LENGTH.pack(len(body)) + body
+    body = _encoder.encode(frame)
+    if len(body) > max_bytes:
+        raise FrameError(f"a frame of {len(body)} bytes; allowed: {max_bytes}")
+    return LENGTH_PREFIX.pack(len(body)) + body
 
 
 _greeting = msgspec.msgpack.Decoder(Greeting).decode
 
 
-def greeting_of(frame: bytes) -> Greeting | None:
+def decode_greeting(frame: bytes) -> Greeting | None:
     """The greeting that a whole frame is, for one who stands between two others."""
     try:
-        return _greeting(frame[LENGTH.size :])
+        return _greeting(frame[LENGTH_PREFIX.size :])
     except msgspec.DecodeError:
         return None
 
 
-class Parser:
+class FrameParser:
     """Cuts what comes into frames."""
 
-    def __init__(self, speech: Speech) -> None:
-        self._decode, self._longest = speech.decode, speech.frame
+    def __init__(self, speech: WireProtocol) -> None:
+        self._decode, self._longest = speech.decode, speech.max_frame_bytes
         self._held = bytearray()
         self._at = 0
 
     def feed(self, data: bytes) -> None:
         self._held += data
 
-    def next(self) -> Any:
+    def next_frame(self) -> Any:
         """The next whole frame, None where none is whole; FrameError where it can't be one."""
         at, held = self._at, self._held
-        if len(held) - at < LENGTH.size:
+        if len(held) - at < LENGTH_PREFIX.size:
             self._rest()
             return None
-        (length,) = LENGTH.unpack_from(held, at)
+        (length,) = LENGTH_PREFIX.unpack_from(held, at)
         if length > self._longest:
             raise FrameError(f"a frame of {length} bytes; allowed: {self._longest}")
-        end = at + LENGTH.size + length
+        end = at + LENGTH_PREFIX.size + length
         if len(held) < end:
             self._rest()
             return None
         with memoryview(held) as view:
             try:
-                frame = self._decode(view[at + LENGTH.size : end])
+                frame = self._decode(view[at + LENGTH_PREFIX.size : end])
             except (msgspec.DecodeError, ValueError) as error:
                 raise FrameError(f"a frame that can't be read: {error}") from None
         self._at = end
--- a/basaltpoint/peers/actions.py
+++ b/basaltpoint/peers/actions.py
@@ -4,53 +4,53 @@
 
 from dataclasses import dataclass
 
-from basaltpoint.peers.messages import Message, Row
+from basaltpoint.peers.messages import MemberRecord, Message
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
     """Send to a member; a message that can't go out is lost."""
 
-    to: str
+    member: str
     address: str
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
+class MemberChanged:
     """A member is seen otherwise than before; None where it was not known."""
 
-    before: Row | None
-    after: Row
+    before: MemberRecord | None
+    after: MemberRecord
 
 
 @dataclass(frozen=True, slots=True)
-class Rival:
+class CheckNameConflict:
     """Ask who answers there under this member's own name, over a connection apart; tell `rival` of it."""
 
     address: str
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class Terminate:
     """This process can't be a member; the reason is the operator's to read."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Named:
+class ProtocolViolation:
     """A member sent what it may not; for the log."""
 
-    name: str
-    text: str
+    member: str
+    problem: str
 
 
 @dataclass(frozen=True, slots=True)
-class Paused:
+class PauseDetected:
     """This process stood still; for the log."""
 
-    for_ms: float
+    duration_ms: float
 
 
-Action = Send | Changed | Rival | End | Named | Paused
+Action = Send | MemberChanged | CheckNameConflict | Terminate | ProtocolViolation | PauseDetected
--- a/basaltpoint/peers/spread.py
+++ b/basaltpoint/peers/dissemination.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from basaltpoint.peers.messages import Row
-from basaltpoint.peers.view import order
+from basaltpoint.peers.messages import MemberRecord
+from basaltpoint.peers.view import precedence
 
 TIMES = 3  # of the binary logarithm of the members: at a fifth of messages lost, and more, all still hear
 HEARD = 8  # tellings that one hearing stands for: whoever tells it knows it, and tells others, too
@@ -14,30 +14,30 @@
     """Rows waiting to be told on; the least told go first."""
 
     def __init__(self) -> None:
-        self._waiting: dict[str, tuple[Row, int]] = {}
+        self._waiting: dict[str, tuple[MemberRecord, int]] = {}
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def add(self, row: Row) -> None:
+    def add(self, row: MemberRecord) -> None:
         """Tell a row, instead of any older one about the same member."""
         self._waiting[row.name] = row, 0
         if len(self._waiting) > MOST:
             del self._waiting[max(self._waiting, key=lambda name: self._waiting[name][1])]
 
-    def heard(self, row: Row, members: int) -> None:
+    def heard(self, row: MemberRecord, members: int) -> None:
         """Another tells what waits here: so much less is left to tell."""
         waiting, told = self._waiting.get(row.name, (None, 0))
-        if waiting is not None and order(waiting) == order(row):
+        if waiting is not None and precedence(waiting) == precedence(row):
             self._count(row.name, waiting, told + HEARD, members)
 
-    def _count(self, name: str, row: Row, told: int, members: int) -> None:
+    def _count(self, name: str, row: MemberRecord, told: int, members: int) -> None:
         if told >= TIMES * max(1, members).bit_length():
             del self._waiting[name]
         else:
             self._waiting[name] = row, told
 
-    def take(self, most: int, members: int) -> tuple[Row, ...]:
+    def take(self, most: int, members: int) -> tuple[MemberRecord, ...]:
         """Up to `most` rows for one message; what was told often enough is forgotten."""
         if not self._waiting:
             return ()
--- a/basaltpoint/peers/messages.py
+++ b/basaltpoint/peers/messages.py
@@ -11,15 +11,17 @@
 
 import msgspec
 
-from basaltpoint.links.frames import Greeting, Part, Speech
+from basaltpoint.links.frames import Frame, Greeting, WireProtocol
 
-FRAME = 64 << 10  # bytes of the longest message; a longer one ends the connection
-BUFFER = 256 << 10  # bytes waiting for a member that reads slowly; beyond, messages to it are dropped
-ROWS = 128  # of one message; a view that has more goes in several
-LAST = 1 << 53  # incarnations stay below it: beyond, a row is refused
+MAX_MESSAGE_BYTES = 64 << 10  # bytes of the longest message; a longer one ends the connection
+MAX_SEND_BUFFER_BYTES = (
+    256 << 10
+)  # bytes waiting for a member that reads slowly; beyond, messages to it are dropped
+MAX_RECORDS_PER_MESSAGE = 128  # of one message; a view that has more goes in several
+INCARNATION_LIMIT = 1 << 53  # incarnations stay below it: beyond, a row is refused
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     """A member's; within one incarnation the higher wins."""
 
     JOINING = 0  # it has not heard yet whether its name is free
@@ -29,31 +31,35 @@
     LEFT = 4  # it said so, or an operator did
 
 
-LIVE = (State.JOINING, State.ALIVE, State.SUSPECT)
+LIVE_STATES = (MemberState.JOINING, MemberState.ALIVE, MemberState.SUSPECT)
 
 
-class Row(msgspec.Struct, frozen=True, array_like=True):
+class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
     """What is said of one member."""
 
     name: str
     address: str  # HOST:PORT for the others
     incarnation: int  # only the member itself raises it
-    state: State
-    life: int  # drawn anew by each process: tells two of one name apart
-    by: str = ""  # of a suspicion: who suspects
-    refused: bool = False  # of a suspicion: its host refuses connections, it does not merely keep silent
-    report: int = 0  # counts what the member says of itself within an incarnation
-    unreached: tuple[str, ...] = ()  # living members that it can't reach itself; > before those that it hears
+    state: MemberState
+    instance_id: int  # drawn anew by each process: tells two of one name apart
+    reported_by: str = ""  # of a suspicion: who suspects
+    connection_refused: bool = (
+        False  # of a suspicion: its host refuses connections, it does not merely keep silent
+    )
+    self_report: int = 0  # counts what the member says of itself within an incarnation
+    unreachable: tuple[
+        str, ...
+    ] = ()  # living members that it can't reach itself; > before those that it hears
 
     @property
-    def live(self) -> bool:
-        return self.state in LIVE
+    def is_live(self) -> bool:
+        return self.state in LIVE_STATES
 
 
-class Message(Part, frozen=True):
+class Message(Frame, frozen=True):
     """Any message; `rows` ride along."""
 
-    rows: tuple[Row, ...] = ()
+    records: tuple[MemberRecord, ...] = ()
 
 
 class Ping(Message, frozen=True, tag="p"):
@@ -69,12 +75,12 @@
     """The answer: it lives under this life, for so long."""
 
     seq: int = 0
-    life: int = 0
+    instance_id: int = 0
     age_ms: float = 0.0
-    direct: bool = True  # False: passed on by another
+    is_direct: bool = True  # False: passed on by another
 
 
-class Ask(Message, frozen=True, tag="q"):
+class PingRequest(Message, frozen=True, tag="q"):
     """Ping another for me."""
 
     seq: int = 0
@@ -86,70 +92,81 @@
     """I could not reach it in time, but you reach me; `refused`: its host refuses."""
 
     seq: int = 0
-    refused: bool = False
+    connection_refused: bool = False
 
 
 class Gossip(Message, frozen=True, tag="g"):
     """Rows alone."""
 
 
-class Sync(Message, frozen=True, tag="s"):
+class PushPull(Message, frozen=True, tag="s"):
     """A full exchange. The asker tells its view's digest; one whose view differs answers with all its rows,
     and the asker then tells those of its own that differ. The last message has `last`."""
 
     digest: int = 0
     step: int = 0  # 0 asked, 1 answered, 2 told back
-    last: bool = True
+    is_last: bool = True
 
 
-class Look(Message, frozen=True, tag="l"):
+class ViewRequest(Message, frozen=True, tag="l"):
     """An operator asks for a member's view."""
 
-    ident: int = 0
+    request_id: int = 0
 
 
-class Seen(msgspec.Struct, frozen=True, array_like=True):
+class MemberView(msgspec.Struct, frozen=True, array_like=True):
     """One member as another sees it."""
 
-    row: Row
+    record: MemberRecord
     since_ms: float  # how long it has been in this state here
-    heard_ms: float  # how long ago its own word came, directly; -1: never
+    last_heard_ms: float  # how long ago its own word came, directly; -1: never
     rtt_ms: float  # of the last answer; -1: none
 
 
-class Looked(Part, frozen=True, tag="L"):
+class ViewResponse(Frame, frozen=True, tag="L"):
     """The answer to it."""
 
-    ident: int
-    me: str
-    seen: tuple[Seen, ...]
-    doubt: int  # how far it doubts itself, 0 to 8
+    request_id: int
+    member: str
+    members: tuple[MemberView, ...]
+    health_score: int  # how far it doubts itself, 0 to 8
     problems: tuple[str, ...] = ()  # members that were named for what they sent
 
 
-class Remove(Message, frozen=True, tag="r"):
+class RemoveRequest(Message, frozen=True, tag="r"):
     """An operator declares a member gone for good."""
 
-    ident: int = 0
+    request_id: int = 0
     name: str = ""
     force: bool = False
 
 
-class Removed(Part, frozen=True, tag="R"):
+class RemoveResponse(Frame, frozen=True, tag="R"):
     """The answer to it; `problem` says why not."""
 
-    ident: int
+    request_id: int
     problem: str = ""
 
 
-class Unknown(Part, frozen=True, tag="?"):
+class UnknownMessage(Frame, frozen=True, tag="?"):
     """A message of a kind that this version does not know."""
 
 
-Any_ = Ping | Ack | Ask | Nack | Gossip | Sync | Look | Looked | Remove | Removed
-_decode = msgspec.msgpack.Decoder(Greeting | Any_).decode
+AnyMessage = (
+    Ping
+    | Ack
+    | PingRequest
+    | Nack
+    | Gossip
+    | PushPull
+    | ViewRequest
+    | ViewResponse
+    | RemoveRequest
+    | RemoveResponse
+)
+_decode = msgspec.msgpack.Decoder(Greeting | AnyMessage).decode
 _kind = msgspec.msgpack.Decoder(list[Any]).decode
-KINDS = frozenset(["hi", "p", "a", "q", "n", "g", "s", "l", "L", "r", "R"])
+KNOWN_TAGS = frozenset(["hi", "p", "a", "q", "n", "g", "s", "l", "L", "r", "R"])
 
 
 def decode(data: memoryview) -> Any:
@@ -158,9 +175,9 @@
         return _decode(data)
     except msgspec.ValidationError:
         parts = _kind(data)
-        if parts and isinstance(parts[0], str) and parts[0] not in KINDS:
-            return Unknown()
+        if parts and isinstance(parts[0], str) and parts[0] not in KNOWN_TAGS:
+            return UnknownMessage()
         raise
 
 
-PEERS = Speech("fleet", decode, FRAME, BUFFER)
+PEER_PROTOCOL = WireProtocol("fleet", decode, MAX_MESSAGE_BYTES, MAX_SEND_BUFFER_BYTES)
--- a/basaltpoint/peers/prober.py
+++ b/basaltpoint/peers/prober.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from basaltpoint.peers.messages import Ack, Ask, Message, Nack, Ping
-from basaltpoint.peers.options import Options
-from basaltpoint.peers.view import UNREACHED, View
+from basaltpoint.peers.messages import Ack, Message, Nack, Ping, PingRequest
+from basaltpoint.peers.options import MembershipOptions
+from basaltpoint.peers.view import UNREACHED, MembershipView
 
 INF = float("inf")
 RELAYS = 256  # probes for others under way at once; a flood of them costs no more
@@ -56,8 +56,8 @@
 
     def __init__(
         self,
-        view: View,
-        options: Options,
+        view: MembershipView,
+        options: MembershipOptions,
         rng: random.Random,
         now: float,
         tell: Tell,
@@ -65,7 +65,7 @@
     ) -> None:
         self._view, self._options, self._rng = view, options, rng
         self._tell, self._failed = tell, failed
-        self.doubt = 0  # of oneself (Lifeguard's local health): 0 to `doubt_most`
+        self.health_score = 0  # of oneself (Lifeguard's local health): 0 to `doubt_most`
         self.probes: dict[int, Probe] = {}
         self.relays: dict[int, Relay] = {}
         self._seq = 0
@@ -82,10 +82,10 @@
     @property
     def factor(self) -> float:
         """By how much times are stretched while this member doubts itself."""
-        return 1.0 + self.doubt if self._options.lifeguard else 1.0
+        return 1.0 + self.health_score if self._options.lifeguard else 1.0
 
-    def doubts(self, by: int) -> None:
-        self.doubt = min(self._options.doubt_most, max(0, self.doubt + by))
+    def adjust_health_score(self, by: int) -> None:
+        self.health_score = min(self._options.max_health_score, max(0, self.health_score + by))
 
     @property
     def next_ms(self) -> float:
@@ -120,17 +120,19 @@
     def _next(self) -> str:
         """The next in turn: those watched, now and then any other, so that rings that differ still meet."""
         self._turn += 1
-        live = self._view.known
-        if self._options.ring and self._turn % 8 == 0 and (others := self._view.others()):
+        live = self._view.members
+        if self._options.probe_on_ring and self._turn % 8 == 0 and (others := self._view.other_members()):
             return self._rng.choice(others)
         while True:
             while self._round:
                 name = self._round.pop()
-                if name in live and live[name].row.live:
+                if name in live and live[name].record.is_live:
                     return name
-            fresh = self._view.watched() if self._options.ring else self._view.others()
+            fresh = self._view.probe_targets() if self._options.probe_on_ring else self._view.other_members()
             fresh += [
-                name for name in self._misses if name in live and live[name].row.live and name not in fresh
+                name
+                for name in self._misses
+                if name in live and live[name].record.is_live and name not in fresh
             ]
             if not fresh:
                 return ""
@@ -144,17 +146,17 @@
             self._urgent_at = min(self._urgent_at, now)
 
     def _probe(self, now: float, name: str) -> None:
-        known = self._view.known.get(name)
-        if known is None or not known.row.live or name == self._view.me:
+        known = self._view.members.get(name)
+        if known is None or not known.record.is_live or name == self._view.own_name:
             return
         self._seq += 1
-        self.probes[self._seq] = Probe(name, now, now + self._options.answer_ms * self.factor)
-        self._tell(name, known.row.address, Ping((known.row,), self._seq))
+        self.probes[self._seq] = Probe(name, now, now + self._options.ack_timeout_ms * self.factor)
+        self._tell(name, known.record.address, Ping((known.record,), self._seq))
 
     def _stage(self, now: float, seq: int, probe: Probe) -> None:
         """No direct answer: ask others. None of them either: it failed."""
-        known = self._view.known.get(probe.target)
-        if known is None or not known.row.live:
+        known = self._view.members.get(probe.target)
+        if known is None or not known.record.is_live:
             del self.probes[seq]
             return
         if probe.indirect:
@@ -162,13 +164,16 @@
             return
         probe.indirect = True
         probe.until = max(
-            now + self._options.answer_ms * self.factor, probe.began + self._options.probe_ms * self.factor
+            now + self._options.ack_timeout_ms * self.factor,
+            probe.began + self._options.probe_ms * self.factor,
         )
-        helpers = [name for name in self._view.others() if name != probe.target]
-        for name in self._rng.sample(helpers, min(self._options.helpers, len(helpers))):
+        helpers = [name for name in self._view.other_members() if name != probe.target]
+        for name in self._rng.sample(helpers, min(self._options.indirect_probes, len(helpers))):
             probe.asked[name] = None
             self._tell(
-                name, self._view.known[name].row.address, Ask((), seq, probe.target, known.row.address)
+                name,
+                self._view.members[name].record.address,
+                PingRequest((), seq, probe.target, known.record.address),
             )
         if probe.sure:  # there was nobody to ask
             self._end(now, seq, probe)
@@ -178,7 +183,7 @@
         unheard = sum(refused is None for refused in probe.asked.values())
         if self._options.lifeguard:
             # Helpers that say nothing are a sign that this member is at fault, not the target.
-            self.doubts(unheard if probe.asked else 1)
+            self.adjust_health_score(unheard if probe.asked else 1)
         self._failed(now, probe.target, probe.sure)
 
     def refused(self, now: float, name: str) -> None:
@@ -197,17 +202,19 @@
         """An answer, to an own probe or to one for another."""
         if relay := self.relays.pop(ack.seq, None):
             self._tell(
-                relay.asker, relay.address, Ack(ack.rows, relay.seq, ack.life, ack.age_ms, direct=False)
+                relay.asker,
+                relay.address,
+                Ack(ack.records, relay.seq, ack.instance_id, ack.age_ms, is_direct=False),
             )
             return
         probe = self.probes.pop(ack.seq, None)
         if probe is None:
-            if ack.direct:
+            if ack.is_direct:
                 self._reached(sender)
             return
-        self.doubts(-1)
-        if ack.direct and sender == probe.target:
-            self._view.known[sender].rtt = now - probe.began
+        self.adjust_health_score(-1)
+        if ack.is_direct and sender == probe.target:
+            self._view.members[sender].rtt_ms = now - probe.began
             self._reached(sender)
             return
         misses = self._misses.get(probe.target, 0) + 1
@@ -235,18 +242,18 @@
         probe = self.probes.get(nack.seq)
         if probe is None or sender not in probe.asked:
             return
-        probe.asked[sender] = nack.refused
+        probe.asked[sender] = nack.connection_refused
         if probe.sure:
             self._end(now, nack.seq, probe)
 
     # --- For others -----------------------------------------------------------------------------------
-    def ask(self, now: float, sender: str, address: str, ask: Ask) -> None:
+    def ask(self, now: float, sender: str, address: str, ask: PingRequest) -> None:
         """Another asks for a probe."""
-        if len(self.relays) >= RELAYS or ask.target == self._view.me:
+        if len(self.relays) >= RELAYS or ask.target == self._view.own_name:
             return
         self._seq += 1
         self.relays[self._seq] = Relay(
-            ask.target, sender, address, ask.seq, now + 0.8 * self._options.answer_ms
+            ask.target, sender, address, ask.seq, now + 0.8 * self._options.ack_timeout_ms
         )
         row = self._view.get(ask.target)
         self._tell(ask.target, ask.address, Ping((row,) if row else (), self._seq, sender, address, ask.seq))
--- a/basaltpoint/peers/machine.py
+++ b/basaltpoint/peers/state_machine.py
@@ -15,14 +15,14 @@
 
 from basaltpoint.peers import actions as act
 from basaltpoint.peers import messages as m
-from basaltpoint.peers.exchange import Exchange
-from basaltpoint.peers.messages import LAST, Row, State
-from basaltpoint.peers.options import Options
+from basaltpoint.peers.dissemination import Spread
+from basaltpoint.peers.messages import INCARNATION_LIMIT, MemberRecord, MemberState
+from basaltpoint.peers.name_conflicts import Rivals
+from basaltpoint.peers.options import MembershipOptions
 from basaltpoint.peers.prober import Prober
-from basaltpoint.peers.rivals import Rivals
-from basaltpoint.peers.spread import Spread
+from basaltpoint.peers.push_pull import Exchange
 from basaltpoint.peers.suspicion import Suspicion
-from basaltpoint.peers.view import View, join, order, sound
+from basaltpoint.peers.view import MembershipView, merge, precedence, validation_error
 
 INF = math.inf
 GONE = 1_000_000  # by which a removal stands above a member's incarnation; a later process goes above that
@@ -30,7 +30,7 @@
 FORGET_MS = 10_000.0  # between two looks for rows that are old enough to go
 
 
-class Peers:
+class MembershipStateMachine:
     """One member of the fleet."""
 
     def __init__(
@@ -40,20 +40,20 @@
         life: int,
         incarnation: int,
         seeds: Sequence[tuple[str, str]],
-        options: Options,
+        options: MembershipOptions,
         rng: random.Random,
         now: float,
     ) -> None:
         """`life`: drawn anew by each process. `incarnation`: any start above those before it; what others
         hold of the name raises it further. `seeds`: names and addresses."""
-        self.me, self.address, self.life, self.options = name, address, life, options
+        self.name, self.address, self.instance_id, self.options = name, address, life, options
         self.seeds = [(other, at) for other, at in seeds if other != name]
-        self.view = View(name)
+        self.view = MembershipView(name)
         self.leaving = self.ended = False
-        self._rng, self.began = rng, now
-        self._row = Row(name, address, incarnation, State.JOINING, life)
-        self.view.put(now, self._row)
-        self._out: list[act.Action] = []
+        self._rng, self.started_ms = rng, now
+        self._own_record = MemberRecord(name, address, incarnation, MemberState.JOINING, life)
+        self.view.put(now, self._own_record)
+        self._actions: list[act.Action] = []
         self._spread = Spread()
         self.prober = Prober(self.view, options, rng, now, self._send, self._unreached)
         self._suspicions: dict[str, Suspicion] = {}
@@ -62,7 +62,7 @@
         self._exchange = Exchange(self.view, options, rng, self._send)
         self._gossip_at = INF
         self._sync_at = now + self._exchange.wait_ms()
-        self._recall_at = now + options.recall_ms
+        self._recall_at = now + options.reconnect_interval_ms
         self._forget_at = now + FORGET_MS
         self._join_at = now
         self._sure_at, self._word = -INF, True  # after a pause: nobody is held dead before, unless word came
@@ -70,19 +70,19 @@
         self.late_ms = 0.0  # by how much the last call came too late
 
     # --- What the shell calls ---------------------------------------------------------------------------
-    def take(self) -> list[act.Action]:
+    def take_actions(self) -> list[act.Action]:
         """What is to be done now; to be asked for after each of the calls below."""
-        taken, self._out = self._out, []
+        taken, self._actions = self._actions, []
         # What fell due in the past by an event of now, as a shorter doubt does, is not late.
-        self._due = max(self._now, self.next_ms)
+        self._due = max(self._now, self.next_timer_ms)
         return taken
 
     @property
-    def state(self) -> State:
-        return self._row.state
+    def state(self) -> MemberState:
+        return self._own_record.state
 
     @property
-    def next_ms(self) -> float:
+    def next_timer_ms(self) -> float:
         """When `tick` is due."""
         if self.ended or self.leaving:
             return INF
@@ -94,7 +94,7 @@
             self._forget_at,
             self._rivals.next_ms,
         )
-        if self.state is State.JOINING:
+        if self.state is MemberState.JOINING:
             due = min(due, self._join_at)
         live = len(self.view.ring)
         for suspicion in self._suspicions.values():
@@ -104,10 +104,10 @@
         return due
 
     def tick(self, now: float) -> None:
-        self._wake(now)
+        self._detect_pause(now)
         if self.ended or self.leaving:
             return
-        if self.state is State.JOINING and now >= self._join_at:
+        if self.state is MemberState.JOINING and now >= self._join_at:
             self._join(now)
         if self._rivals.due(now):
             self._rival_asked(now)
@@ -122,65 +122,65 @@
             if row := self.view.get(next(iter(self._some(1)), "")):
                 self._exchange.ask(row.name, row.address)
         if now >= self._recall_at:
-            self._recall_at = now + self.options.recall_ms
+            self._recall_at = now + self.options.reconnect_interval_ms
             self._recall()
         if now >= self._forget_at:
             self._forget_at = now + FORGET_MS
             self._forget(now)
 
-    def heard(self, now: float, sender: str, address: str, message: m.Message) -> None:
+    def message_received(self, now: float, sender: str, address: str, message: m.Message) -> None:
         """A message over a connection that greeted under this name and address."""
-        self._wake(now)
-        if self.ended or self.leaving or sender == self.me:
+        self._detect_pause(now)
+        if self.ended or self.leaving or sender == self.name:
             return
         self._word = True
-        if known := self.view.known.get(sender):
-            known.heard = now
-        for row in message.rows[: m.ROWS]:
+        if known := self.view.members.get(sender):
+            known.last_heard_ms = now
+        for row in message.records[: m.MAX_RECORDS_PER_MESSAGE]:
             self._row_came(now, row, sender)
         match message:
             case m.Ping():
                 self._pinged(sender, address, message)
             case m.Ack():
                 self.prober.acked(now, sender, message)
-            case m.Ask():
+            case m.PingRequest():
                 self.prober.ask(now, sender, address, message)
             case m.Nack():
                 self.prober.nacked(now, sender, message)
-            case m.Sync():
+            case m.PushPull():
                 if self._exchange.came(sender, address, message):
                     self._joined(now)
         if self.prober.news:
             self._report(now)
 
-    def linked(self, now: float, name: str) -> None:
+    def member_connected(self, now: float, name: str) -> None:
         """A connection with a member is there."""
-        self._wake(now)
+        self._detect_pause(now)
         self._linked[name] = None
 
-    def lost(self, now: float, name: str) -> None:
+    def connection_lost(self, now: float, name: str) -> None:
         """It has ended, though nobody wanted it to: a reason to look at once."""
-        self._wake(now)
+        self._detect_pause(now)
         self._linked.pop(name, None)
-        if (row := self.view.get(name)) and row.live and name != self.me:
+        if (row := self.view.get(name)) and row.is_live and name != self.name:
             self.prober.soon(now, name)
 
-    def unlinked(self, name: str) -> None:
+    def connection_evicted(self, name: str) -> None:
         """It was ended here, as others are used more."""
         self._linked.pop(name, None)
 
-    def refused(self, now: float, name: str) -> None:
+    def connection_refused(self, now: float, name: str) -> None:
         """The member's host refused a connection, or ended it before any greeting."""
-        self._wake(now)
+        self._detect_pause(now)
         self.prober.refused(now, name)
 
-    def rival(self, now: float, life: int, age_ms: float) -> None:
+    def name_conflict_found(self, now: float, life: int, age_ms: float) -> None:
         """Another process answered under this member's name."""
-        self._wake(now)
-        if life == self.life or self.ended:
+        self._detect_pause(now)
+        if life == self.instance_id or self.ended:
             return
-        if (age_ms, life) >= (now - self.began, self.life):
-            self._end(f"the name {self.me} is in use at {self._rivals.address}, for {age_ms / 1000:.1f} s")
+        if (age_ms, life) >= (now - self.started_ms, self.instance_id):
+            self._end(f"the name {self.name} is in use at {self._rivals.address}, for {age_ms / 1000:.1f} s")
         else:
             self._rivals.settled()
             self._above(now, self._rivals.incarnation)
@@ -189,152 +189,164 @@
         """Tell the others that this member goes; nothing is answered any more."""
         if self.ended or self.leaving:
             return
-        self._own(now, State.LEFT)
+        self._update_own_record(now, MemberState.LEFT)
         self.leaving = True
-        for name in dict.fromkeys([*self.view.watched(), *self._linked, *self._some(FANOUT)]):
-            self._send_rows(name, (self._row,))
+        for name in dict.fromkeys([*self.view.probe_targets(), *self._linked, *self._some(FANOUT)]):
+            self._send_rows(name, (self._own_record,))
 
-    def retire(self) -> tuple[Row, ...]:
+    def hand_over(self) -> tuple[MemberRecord, ...]:
         """Pass this member's place on to the next process of it: nothing is said or answered any more.
 
         What is known of all members, this one's row first.
         """
         self.leaving = True
-        return self._row, *(row for row in self.view.rows if row.name != self.me)
+        return self._own_record, *(row for row in self.view.records if row.name != self.name)
 
-    def inherit(self, now: float, rows: Sequence[Row], age_ms: float) -> None:
+    def take_over(self, now: float, rows: Sequence[MemberRecord], age_ms: float) -> None:
         """Go on in the place that another process of this member had: the others see no change."""
         own, *others = rows
-        self.life, self.began = own.life, now - age_ms
-        self._row = msgspec.structs.replace(own, address=self.address)
-        for row in (self._row, *others):
+        self.instance_id, self.started_ms = own.instance_id, now - age_ms
+        self._own_record = msgspec.structs.replace(own, address=self.address)
+        for row in (self._own_record, *others):
             self.view.put(now, row)
-            self._out.append(act.Changed(None, row))
+            self._actions.append(act.MemberChanged(None, row))
             # A doubt goes on here: it is asked anew, as by one that has just heard of it.
-            if row.state is State.SUSPECT:
+            if row.state is MemberState.SUSPECT:
                 self._doubt(now, row)
 
-    def remove(self, now: float, name: str, force: bool) -> str:
+    def remove_member(self, now: float, name: str, force: bool) -> str:
         """An operator declares a member gone for good; the reason why not, or nothing."""
         row = self.view.get(name)
         if row is None:
-            return f"found the member {name!r}; known are {', '.join(sorted(self.view.known))}"
-        if name == self.me:
+            return f"found the member {name!r}; known are {', '.join(sorted(self.view.members))}"
+        if name == self.name:
             return f"{name} is the member that is asked; SIGTERM ends it"
-        if row.state is State.LEFT:
+        if row.state is MemberState.LEFT:
             return f"{name} has left already"
-        if row.live and not force:
+        if row.is_live and not force:
             state = row.state.name.lower()
             return f"{name} is {state}: somebody may still reach it; --force declares it gone all the same"
         # Above whatever that process may yet say against doubts, which it hears first when it wakes.
-        above = min(LAST - 1, row.incarnation + GONE)
-        self._accept(now, msgspec.structs.replace(row, incarnation=above, state=State.LEFT, by=self.me))
+        above = min(INCARNATION_LIMIT - 1, row.incarnation + GONE)
+        self._accept(
+            now,
+            msgspec.structs.replace(row, incarnation=above, state=MemberState.LEFT, reported_by=self.name),
+        )
         return ""
 
-    def looked(self, now: float, ident: int) -> m.Looked:
+    def describe_view(self, now: float, ident: int) -> m.ViewResponse:
         """This member's view, for an operator."""
-        known = sorted(self.view.known.values(), key=lambda one: (not one.row.live, -one.since))
+        known = sorted(
+            self.view.members.values(), key=lambda one: (not one.record.is_live, -one.state_since_ms)
+        )
         seen = tuple(
-            m.Seen(one.row, now - one.since, now - one.heard if one.heard >= 0 else -1.0, one.rtt)
-            for one in known[: self.options.most]
+            m.MemberView(
+                one.record,
+                now - one.state_since_ms,
+                now - one.last_heard_ms if one.last_heard_ms >= 0 else -1.0,
+                one.rtt_ms,
+            )
+            for one in known[: self.options.max_members]
         )
-        return m.Looked(ident, self.me, seen, self.prober.doubt)
+        return m.ViewResponse(ident, self.name, seen, self.prober.health_score)
 
-    def reseed(self, seeds: Sequence[tuple[str, str]]) -> None:
+    def set_seeds(self, seeds: Sequence[tuple[str, str]]) -> None:
         """Other seeds from now on; members that are known stay."""
-        self.seeds = [(other, at) for other, at in seeds if other != self.me]
+        self.seeds = [(other, at) for other, at in seeds if other != self.name]
 
     @property
-    def live(self) -> int:
+    def live_count(self) -> int:
         """Members that are there or on their way: what a quota is divided by."""
         return len(self.view.ring)
 
     # --- Pauses -----------------------------------------------------------------------------------------
-    def _wake(self, now: float) -> None:
+    def _detect_pause(self, now: float) -> None:
         """Notice by the own clock that this process stood still; nothing that fell into it counts."""
         self.late_ms, self._due, self._now = max(0.0, now - self._due), max(self._due, now), now
-        if self.late_ms <= self.options.pause_ms or not self.options.lifeguard:
+        if self.late_ms <= self.options.min_pause_ms or not self.options.lifeguard:
             return
-        self._out.append(act.Paused(self.late_ms))
+        self._actions.append(act.PauseDetected(self.late_ms))
         grace = 2 * self.options.probe_ms
         self.prober.stood_still()
-        self.prober.doubts(1)
+        self.prober.adjust_health_score(1)
         self._sure_at, self._word = now + grace, False
         for suspicion in self._suspicions.values():
             suspicion.held += self.late_ms + grace
             suspicion.asked, suspicion.ask_at = False, now
         self._sync_at = now
-        if self.late_ms > self.options.keep_ms:
+        if self.late_ms > self.options.dead_retention_ms:
             # Others may have forgotten that somebody died; whoever is there will tell.
-            for name in [name for name in self.view.known if name != self.me]:
+            for name in [name for name in self.view.members if name != self.name]:
                 self.view.forget(name)
             self._suspicions.clear()
-            self._own(now, State.JOINING, raised=True)
-            self._join_at = self.began = now
+            self._update_own_record(now, MemberState.JOINING, raised=True)
+            self._join_at = self.started_ms = now
 
     # --- Rows ---------------------------------------------------------------------------------------------
-    def _row_came(self, now: float, row: Row, sender: str) -> None:
-        if problem := sound(row):
-            self._out.append(act.Named(sender, problem))
-        elif row.name == self.me:
+    def _row_came(self, now: float, row: MemberRecord, sender: str) -> None:
+        if problem := validation_error(row):
+            self._actions.append(act.ProtocolViolation(sender, problem))
+        elif row.name == self.name:
             self._about_me(now, row)
         else:
             self._accept(now, row)
 
-    def _accept(self, now: float, row: Row) -> None:
+    def _accept(self, now: float, row: MemberRecord) -> None:
         """Take a row in, and tell it on where it is news."""
         held = self.view.get(row.name)
         if held is None:
-            if len(self.view.known) >= 4 * self.options.most or (
-                row.live and len(self.view.ring) >= self.options.most
+            if len(self.view.members) >= 4 * self.options.max_members or (
+                row.is_live and len(self.view.ring) >= self.options.max_members
             ):
-                self._out.append(act.Named(row.name, f"more than {self.options.most} members"))
+                self._actions.append(
+                    act.ProtocolViolation(row.name, f"more than {self.options.max_members} members")
+                )
                 return
-        elif order(join(held, row)) == order(held):
-            self._spread.heard(row, self.live)
-            same = row.state is State.SUSPECT and order(row) == order(held)
+        elif precedence(merge(held, row)) == precedence(held):
+            self._spread.heard(row, self.live_count)
+            same = row.state is MemberState.SUSPECT and precedence(row) == precedence(held)
             suspicion = self._suspicions.get(row.name)
             if (
                 same
                 and suspicion
                 and len(suspicion.by) <= self.options.confirmations
-                and suspicion.confirm(row.by, row.refused)
+                and suspicion.confirm(row.reported_by, row.connection_refused)
             ):
                 self._news(now, row)
             return
-        if held and held.live and row.state is State.DEAD and not self._asked(now, row):
+        if held and held.is_live and row.state is MemberState.DEAD and not self._asked(now, row):
             return
         self.view.put(now, row)
-        self._out.append(act.Changed(held, row))
+        self._actions.append(act.MemberChanged(held, row))
         self._suspicions.pop(row.name, None)
-        if row.state is State.SUSPECT:
+        if row.state is MemberState.SUSPECT:
             self._doubt(now, row)
-        elif not row.live:
+        elif not row.is_live:
             self.prober.gone(row.name)
-        if held is not None or row.live:
+        if held is not None or row.is_live:
             self._news(now, row)
 
-    def _doubt(self, now: float, row: Row) -> None:
+    def _doubt(self, now: float, row: MemberRecord) -> None:
         """Begin to doubt a member.
 
         Each asks for itself before it holds one dead, at some time before: whoever reaches it tells it of the
         doubt. In a fleet cut up at random that may be a single member.
         """
         suspicion = self._suspicions[row.name] = Suspicion(row.incarnation, now, False)
-        suspicion.confirm(row.by, row.refused)
-        suspicion.asked = row.by == self.me or not self.options.lifeguard
+        suspicion.confirm(row.reported_by, row.connection_refused)
+        suspicion.asked = row.reported_by == self.name or not self.options.lifeguard
         suspicion.asked_at = now if self.options.lifeguard else INF  # SWIM asks once
         if not suspicion.asked:
             half = (suspicion.end(self.options, len(self.view.ring)) - now) / 2
             suspicion.ask_at = now + self._rng.uniform(0.0, min(half, 4 * self.options.probe_ms))
 
-    def _asked(self, now: float, row: Row) -> bool:
+    def _asked(self, now: float, row: MemberRecord) -> bool:
         """Whether this member has asked one that is to be held dead, and lately; if not, it does so now."""
         suspicion = self._suspicions.get(row.name)
         if suspicion is None or suspicion.incarnation != row.incarnation:
             if not self.options.lifeguard:
                 return True
-            self._accept(now, msgspec.structs.replace(row, state=State.SUSPECT))
+            self._accept(now, msgspec.structs.replace(row, state=MemberState.SUSPECT))
             suspicion = self._suspicions.get(row.name)
         if suspicion and (not suspicion.asked or suspicion.stale(now)):
             suspicion.asked, suspicion.verdict = False, row
@@ -342,85 +354,96 @@
             return False
         return True
 
-    def _news(self, now: float, row: Row) -> None:
+    def _news(self, now: float, row: MemberRecord) -> None:
         self._spread.add(row)
-        self._gossip_at = min(self._gossip_at, now + self._rng.uniform(0.0, self.options.gossip_ms))
+        self._gossip_at = min(self._gossip_at, now + self._rng.uniform(0.0, self.options.gossip_interval_ms))
 
-    def _own(self, now: float, state: State, raised: bool = False, above: int = 0) -> None:
+    def _update_own_record(
+        self, now: float, state: MemberState, raised: bool = False, above: int = 0
+    ) -> None:
         """This member's own row has changed."""
-        before = self._row
+        before = self._own_record
         incarnation = max(before.incarnation, above) + raised
-        report = 0 if incarnation != before.incarnation else before.report
-        self._row = msgspec.structs.replace(before, state=state, incarnation=incarnation, report=report)
-        self.view.put(now, self._row)
-        self._out.append(act.Changed(before, self._row))
-        self._news(now, self._row)
+        report = 0 if incarnation != before.incarnation else before.self_report
+        self._own_record = msgspec.structs.replace(
+            before, state=state, incarnation=incarnation, self_report=report
+        )
+        self.view.put(now, self._own_record)
+        self._actions.append(act.MemberChanged(before, self._own_record))
+        self._news(now, self._own_record)
 
     def _report(self, now: float) -> None:
         """Which links this member can't use has changed."""
         self.prober.news = False
         told = tuple(sorted((">" if heard else "") + name for name, heard in self.prober.unreached.items()))
-        self._row = msgspec.structs.replace(self._row, unreached=told, report=self._row.report + 1)
-        self.view.put(now, self._row)
-        self._news(now, self._row)
+        self._own_record = msgspec.structs.replace(
+            self._own_record, unreachable=told, self_report=self._own_record.self_report + 1
+        )
+        self.view.put(now, self._own_record)
+        self._news(now, self._own_record)
 
-    def _about_me(self, now: float, row: Row) -> None:
+    def _about_me(self, now: float, row: MemberRecord) -> None:
         """What others say of this member: contradict it, or find out who else has its name."""
-        if row.life == self.life:
-            if row.state is State.LEFT:
-                self._end(f"{row.by or 'an operator'} declared this member gone")
-            elif row.incarnation > self._row.incarnation or (
-                row.incarnation == self._row.incarnation and row.state in (State.SUSPECT, State.DEAD)
+        if row.instance_id == self.instance_id:
+            if row.state is MemberState.LEFT:
+                self._end(f"{row.reported_by or 'an operator'} declared this member gone")
+            elif row.incarnation > self._own_record.incarnation or (
+                row.incarnation == self._own_record.incarnation
+                and row.state in (MemberState.SUSPECT, MemberState.DEAD)
             ):
                 if self.options.lifeguard:
-                    self.prober.doubts(1)
+                    self.prober.adjust_health_score(1)
                 self._above(now, row.incarnation)
-        elif row.live and row.address != self.address:
+        elif row.is_live and row.address != self.address:
             if self._rivals.met(now, row):
                 self._rival_asked(now)
-        elif row.incarnation >= self._row.incarnation:
+        elif row.incarnation >= self._own_record.incarnation:
             self._above(now, row.incarnation)  # an earlier life of this member
 
     def _above(self, now: float, incarnation: int) -> None:
-        if incarnation >= self._row.incarnation:
-            self._own(now, self.state, raised=True, above=incarnation)
+        if incarnation >= self._own_record.incarnation:
+            self._update_own_record(now, self.state, raised=True, above=incarnation)
 
     # --- A name that another process has --------------------------------------------------------------------
     def _rival_asked(self, now: float) -> None:
         if self._rivals.ask(now):
-            self._out.append(act.Rival(self._rivals.address))
+            self._actions.append(act.CheckNameConflict(self._rivals.address))
         else:  # it answers no more: an earlier life at another address
             self._above(now, self._rivals.incarnation)
 
     def _end(self, reason: str) -> None:
         self.ended = True
-        self._out.append(act.End(reason))
+        self._actions.append(act.Terminate(reason))
 
     # --- Joining --------------------------------------------------------------------------------------------
     def _join(self, now: float) -> None:
         if self._rivals.pending:
             self._join_at = self._rivals.next_ms
-        elif not self.seeds or now - self.began >= self.options.alone_ms:
-            self._own(now, State.ALIVE)
+        elif not self.seeds or now - self.started_ms >= self.options.join_timeout_ms:
+            self._update_own_record(now, MemberState.ALIVE)
         else:
-            self._join_at = min(now + self.options.join_ms, self.began + self.options.alone_ms)
+            self._join_at = min(
+                now + self.options.join_retry_ms, self.started_ms + self.options.join_timeout_ms
+            )
             for name, address in self.seeds:
                 self._exchange.ask(name, address)
 
     def _joined(self, now: float) -> None:
         """Somebody has told all that it knows."""
-        if self.state is State.JOINING:
+        if self.state is MemberState.JOINING:
             if self._rivals.pending:
                 self._join_at = self._rivals.next_ms
             else:
-                self._own(now, State.ALIVE)
+                self._update_own_record(now, MemberState.ALIVE)
 
     # --- Doubts ---------------------------------------------------------------------------------------------
     def _unreached(self, now: float, name: str, refused: bool) -> None:
         """Neither this member nor those it asked could reach one."""
         row = self.view.get(name)
-        if row and row.live:
-            doubt = msgspec.structs.replace(row, state=State.SUSPECT, by=self.me, refused=refused)
+        if row and row.is_live:
+            doubt = msgspec.structs.replace(
+                row, state=MemberState.SUSPECT, reported_by=self.name, connection_refused=refused
+            )
             self._accept(now, doubt)
             if suspicion := self._suspicions.get(name):
                 suspicion.asked, suspicion.asked_at = True, now
@@ -447,48 +470,56 @@
                 if suspicion.ask_at == INF:
                     suspicion.ask_at = now + self.options.probe_ms
             else:
-                self._accept(now, msgspec.structs.replace(row, state=State.DEAD, by=self.me))
+                self._accept(now, msgspec.structs.replace(row, state=MemberState.DEAD, reported_by=self.name))
 
     # --- Messages -----------------------------------------------------------------------------------------
     def _send(self, to: str, address: str, message: m.Message) -> None:
         """Send, with news and this member's own row riding along where they matter."""
-        rows = dict.fromkeys(message.rows)
-        if isinstance(message, m.Ping | m.Ack) and self.state is not State.JOINING:
-            rows[self._row] = None
-        if isinstance(message, m.Ping | m.Ack | m.Ask | m.Nack):
-            rows.update(dict.fromkeys(self._spread.take(self.options.told, len(self.view.ring))))
-        self._out.append(act.Send(to, address, msgspec.structs.replace(message, rows=tuple(rows))))
-
-    def _send_rows(self, name: str, rows: tuple[Row, ...]) -> None:
+        rows = dict.fromkeys(message.records)
+        if isinstance(message, m.Ping | m.Ack) and self.state is not MemberState.JOINING:
+            rows[self._own_record] = None
+        if isinstance(message, m.Ping | m.Ack | m.PingRequest | m.Nack):
+            rows.update(
+                dict.fromkeys(self._spread.take(self.options.max_piggybacked_records, len(self.view.ring)))
+            )
+        self._actions.append(act.Send(to, address, msgspec.structs.replace(message, records=tuple(rows))))
+
+    def _send_rows(self, name: str, rows: tuple[MemberRecord, ...]) -> None:
         if row := self.view.get(name):
-            self._out.append(act.Send(name, row.address, m.Gossip(rows)))
+            self._actions.append(act.Send(name, row.address, m.Gossip(rows)))
 
     def _some(self, most: int) -> list[str]:
-        others = self.view.others()
+        others = self.view.other_members()
         return self._rng.sample(others, min(most, len(others)))
 
     def _gossip(self, now: float) -> None:
-        near = list(dict.fromkeys([*self.view.watched(), *self._linked])) if self.options.ring else []
-        near = [name for name in near if (row := self.view.get(name)) and row.live] or self._some(FANOUT)
+        near = (
+            list(dict.fromkeys([*self.view.probe_targets(), *self._linked]))
+            if self.options.probe_on_ring
+            else []
+        )
+        near = [name for name in near if (row := self.view.get(name)) and row.is_live] or self._some(FANOUT)
         for name in self._rng.sample(near, min(FANOUT, len(near))):
-            if rows := self._spread.take(self.options.told, len(self.view.ring)):
+            if rows := self._spread.take(self.options.max_piggybacked_records, len(self.view.ring)):
                 self._send_rows(name, rows)
-        self._gossip_at = now + self.options.gossip_ms if len(self._spread) and near else INF
+        self._gossip_at = now + self.options.gossip_interval_ms if len(self._spread) and near else INF
 
     def _pinged(self, sender: str, address: str, ping: m.Ping) -> None:
-        age = self._now - self.began
+        age = self._now - self.started_ms
         row = self.view.get(sender)
-        doubted = (row,) if row and row.state is not State.ALIVE else ()
-        self._send(sender, address, m.Ack(doubted, ping.seq, self.life, age))
+        doubted = (row,) if row and row.state is not MemberState.ALIVE else ()
+        self._send(sender, address, m.Ack(doubted, ping.seq, self.instance_id, age))
         if ping.origin and ping.origin != sender:
             self._send(
-                ping.origin, ping.origin_address, m.Ack((), ping.origin_seq, self.life, age, direct=False)
+                ping.origin,
+                ping.origin_address,
+                m.Ack((), ping.origin_seq, self.instance_id, age, is_direct=False),
             )
 
     def _recall(self) -> None:
         self._exchange.recall(self.seeds)
 
     def _forget(self, now: float) -> None:
-        for name, known in list(self.view.known.items()):
-            if not known.row.live and now - known.since > self.options.keep_ms:
+        for name, known in list(self.view.members.items()):
+            if not known.record.is_live and now - known.state_since_ms > self.options.dead_retention_ms:
                 self.view.forget(name)
--- a/basaltpoint/peers/view.py
+++ b/basaltpoint/peers/view.py
@@ -6,102 +6,112 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from basaltpoint.peers.messages import LAST, Row
+from basaltpoint.peers.messages import INCARNATION_LIMIT, MemberRecord
 
 NAMES = 64  # characters of a name, and twice that of an address
 UNREACHED = 8  # names that a row tells of at most
 
 
-def order(row: Row) -> tuple[int, int, int, int]:
+def precedence(row: MemberRecord) -> tuple[int, int, int, int]:
     """What of two rows about one name the higher wins by: a total order but for who accuses."""
-    return row.incarnation, row.state, row.life, row.report
+    return row.incarnation, row.state, row.instance_id, row.self_report
 
 
-def join(one: Row, other: Row) -> Row:
+def merge(one: MemberRecord, other: MemberRecord) -> MemberRecord:
     """The one of two rows about a name that holds. Commutative, associative, idempotent."""
-    return max(one, other, key=lambda row: (order(row), not row.refused, row.address, row.by, row.unreached))
-
-
-def sound(row: Row) -> str:
+    return max(
+        one,
+        other,
+        key=lambda row: (
+            precedence(row),
+            not row.connection_refused,
+            row.address,
+            row.reported_by,
+            row.unreachable,
+        ),
+    )
+
+
+def validation_error(row: MemberRecord) -> str:
     """What is wrong with a row from elsewhere; nothing where it may be taken."""
-    if not 0 < row.incarnation < LAST:
-        return f"an incarnation of {row.incarnation}; allowed: 1 to {LAST - 1}"
-    if not row.name or len(row.name) > NAMES or len(row.address) > 2 * NAMES or len(row.by) > NAMES:
+    if not 0 < row.incarnation < INCARNATION_LIMIT:
+        return f"an incarnation of {row.incarnation}; allowed: 1 to {INCARNATION_LIMIT - 1}"
+    if not row.name or len(row.name) > NAMES or len(row.address) > 2 * NAMES or len(row.reported_by) > NAMES:
         return f"a name or address that is empty or longer than {NAMES} and {2 * NAMES} characters"
-    if len(row.unreached) > UNREACHED or any(len(name) > NAMES + 1 for name in row.unreached):
+    if len(row.unreachable) > UNREACHED or any(len(name) > NAMES + 1 for name in row.unreachable):
         return f"more than {UNREACHED} names that it can't reach"
     return ""
 
 
-def point(name: str) -> int:
+def ring_position(name: str) -> int:
     """Where a name stands on the ring: the same for all, and unlike the names' own order."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "little")
 
 
 @dataclass(slots=True)
-class Known:
+class KnownMember:
     """A row, and what this member alone knows of it. Times are its own clock's."""
 
-    row: Row
-    since: float
-    heard: float = -1.0  # its own word came directly; -1: never
-    rtt: float = -1.0
+    record: MemberRecord
+    state_since_ms: float
+    last_heard_ms: float = -1.0  # its own word came directly; -1: never
+    rtt_ms: float = -1.0
 
 
-class View:
+class MembershipView:
     """All members that are known of, this one included."""
 
     def __init__(self, me: str) -> None:
-        self.me = me
-        self.known: dict[str, Known] = {}
+        self.own_name = me
+        self.members: dict[str, KnownMember] = {}
         self._ring: list[str] | None = None  # the living, by their points
         self._points: dict[str, int] = {}
 
-    def get(self, name: str) -> Row | None:
-        known = self.known.get(name)
-        return known.row if known else None
+    def get(self, name: str) -> MemberRecord | None:
+        known = self.members.get(name)
+        return known.record if known else None
 
-    def put(self, now: float, row: Row) -> None:
+    def put(self, now: float, row: MemberRecord) -> None:
         """Take a row as it is."""
-        known = self.known.get(row.name)
+        known = self.members.get(row.name)
         if known is None:
-            self.known[row.name] = Known(row, now)
-            self._points[row.name] = point(row.name)
+            self.members[row.name] = KnownMember(row, now)
+            self._points[row.name] = ring_position(row.name)
             self._ring = None
             return
-        if known.row.live != row.live:
+        if known.record.is_live != row.is_live:
             self._ring = None
-        if (known.row.state, known.row.incarnation) != (row.state, row.incarnation):
-            known.since = now
-        known.row = row
+        if (known.record.state, known.record.incarnation) != (row.state, row.incarnation):
+            known.state_since_ms = now
+        known.record = row
 
     def forget(self, name: str) -> None:
-        del self.known[name], self._points[name]
+        del self.members[name], self._points[name]
         self._ring = None
 
     @property
-    def rows(self) -> tuple[Row, ...]:
-        return tuple(known.row for known in self.known.values())
+    def records(self) -> tuple[MemberRecord, ...]:
+        return tuple(known.record for known in self.members.values())
 
     @property
     def ring(self) -> list[str]:
         """The living, in an order that is the same for all who see the same."""
         if self._ring is None:
-            living = (name for name, known in self.known.items() if known.row.live)
+            living = (name for name, known in self.members.items() if known.record.is_live)
             self._ring = sorted(living, key=self._points.__getitem__)
         return self._ring
 
-    def others(self) -> list[str]:
+    def other_members(self) -> list[str]:
         """The living but this one."""
-        return [name for name in self.ring if name != self.me]
+        return [name for name in self.ring if name != self.own_name]
 
-    def watched(self) -> list[str]:
+    def probe_targets(self) -> list[str]:
         """Whom this member probes: those 1, 2, 4, ... places on. Each is watched by as many, the connections
         last, and word crosses the fleet in as many steps as its size has binary digits."""
         ring = self.ring
-        if self.me not in ring or len(ring) < 2:
+        if self.own_name not in ring or len(ring) < 2:
             return []
-        at, found, step = ring.index(self.me), list[str](), 1
+        at, found, step = ring.index(self.own_name), list[str](), 1
         while step < len(ring):
             found.append(ring[(at + step) % len(ring)])
             step *= 2
@@ -111,13 +121,13 @@
         """Alike where the living are seen alike, but for who accuses; each forgets the dead in its time."""
         made = hashlib.blake2b(digest_size=6)
         for name in self.ring:
-            row = self.known[name].row
-            made.update(f"{name} {order(row)}\n".encode())
+            row = self.members[name].record
+            made.update(f"{name} {precedence(row)}\n".encode())
         return int.from_bytes(made.digest(), "little")
 
-    def cuts(self) -> Iterator[tuple[str, str, bool]]:
+    def broken_links(self) -> Iterator[tuple[str, str, bool]]:
         """Links that a living member says it can't use: from, to, and whether it still hears the other."""
-        for known in self.known.values():
-            if known.row.live:
-                for name in known.row.unreached:
-                    yield known.row.name, name.removeprefix(">"), name.startswith(">")
+        for known in self.members.values():
+            if known.record.is_live:
+                for name in known.record.unreachable:
+                    yield known.record.name, name.removeprefix(">"), name.startswith(">")
--- a/basaltpoint/rehearsal/links.py
+++ b/basaltpoint/rehearsal/links.py
@@ -12,7 +12,7 @@
 from collections import Counter
 
 from basaltpoint.config.address import parse_address
-from basaltpoint.links.frames import LENGTH, greeting_of
+from basaltpoint.links.frames import LENGTH_PREFIX, decode_greeting
 from basaltpoint.rehearsal.faults import Spoilt
 
 LOOK_S = 0.02  # between two looks whether a held way is free
@@ -63,7 +63,7 @@
         there, back = await asyncio.open_connection(*parse_address(address))
         try:
             greeting = await _frame(reader)
-            said = greeting_of(greeting)
+            said = decode_greeting(greeting)
             source = (said.name if said else "") or caller
             self._open[writer] = self._open[back] = (source, target)
             if not self.spoilt.way(source, target).lost >= 1.0:
@@ -96,7 +96,7 @@
                 way = self.spoilt.way(source, target)
             if delay := way.delay_s + self._rng.uniform(0.0, way.jitter_s):
                 await asyncio.sleep(delay)
-            greeting, first = first and greeting_of(frame) is not None, False
+            greeting, first = first and decode_greeting(frame) is not None, False
             # A lossy way delays what makes a connection, as it is sent again; a cut one lets nothing through.
             if way.lost >= 1.0 or (not greeting and self._rng.random() < way.lost):
                 continue
@@ -121,8 +121,8 @@
 
 
 async def _frame(reader: asyncio.StreamReader) -> bytes:
-    head = await reader.readexactly(LENGTH.size)
-    (length,) = LENGTH.unpack(head)
+    head = await reader.readexactly(LENGTH_PREFIX.size)
+    (length,) = LENGTH_PREFIX.unpack(head)
     if length > LONGEST:
         raise EOFError
     return head + await reader.readexactly(length)
--- a/basaltpoint/rehearsal/model.py
+++ b/basaltpoint/rehearsal/model.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass, field, replace
 from functools import partial
 
-from basaltpoint.links.frames import pack
+from basaltpoint.links.frames import encode_frame
 from basaltpoint.peers import actions as act
 from basaltpoint.peers import messages as m
-from basaltpoint.peers.machine import Peers
-from basaltpoint.peers.options import Options
+from basaltpoint.peers.options import MembershipOptions
+from basaltpoint.peers.state_machine import MembershipStateMachine
 from basaltpoint.rehearsal.events import Life, Saw
 from basaltpoint.rehearsal.faults import Fault, Kind, Spoilt
 
@@ -28,7 +28,7 @@
     """One member's process."""
 
     name: str
-    peers: Peers
+    peers: MembershipStateMachine
     up: bool = True
     paused: bool = False
     held: list[Callable[[], None]] = field(default_factory=list)  # what came while it was paused
@@ -43,11 +43,11 @@
     def __init__(
         self,
         names: Sequence[str],
-        options: Options = Options(),  # noqa: B008 - it can't be changed
+        options: MembershipOptions = MembershipOptions(),  # noqa: B008 - it can't be changed
         faults: Sequence[Fault] = (),
         seed: int = 1,
         spread_s: float = 0.2,
-        make: Callable[..., Peers] = Peers,
+        make: Callable[..., MembershipStateMachine] = MembershipStateMachine,
         record: bool = True,
     ) -> None:
         self.names, self.options, self.faults = list(names), options, list(faults)
@@ -96,7 +96,7 @@
         self._began[name] = Life(name, self.now, math.inf, False, first)
         self._after(self.nodes[name])
 
-    def _member(self, name: str, incarnation: int) -> Peers:
+    def _member(self, name: str, incarnation: int) -> MembershipStateMachine:
         seeds, life = [(other, other) for other in self.names[:3]], self.rng.getrandbits(53)
         return self._make(name, name, life, incarnation, seeds, self.options, self._fresh(), self._ms)
 
@@ -121,7 +121,7 @@
                 self._later(name, other, partial(self._lost, other, name))
 
     def _lost(self, name: str, gone: str) -> None:
-        self._call(name, lambda node: node.peers.lost(self._ms, gone))
+        self._call(name, lambda node: node.peers.connection_lost(self._ms, gone))
 
     def stop(self, name: str) -> None:
         """SIGTERM: it says that it goes."""
@@ -133,12 +133,12 @@
 
     def _upgrade(self, node: Node) -> None:
         """A new process goes on in the place of the one that runs."""
-        if node.peers.state is m.State.JOINING:
+        if node.peers.state is m.MemberState.JOINING:
             return
-        rows, age_ms = node.peers.retire(), self._ms - node.peers.began
+        rows, age_ms = node.peers.hand_over(), self._ms - node.peers.started_ms
         self._unlink(node.name)
         node.peers, node.due = self._member(node.name, rows[0].incarnation), math.inf
-        node.peers.inherit(self._ms, rows, age_ms)
+        node.peers.take_over(self._ms, rows, age_ms)
 
     @property
     def _ms(self) -> float:
@@ -213,26 +213,26 @@
         self._after(node)
 
     def _after(self, node: Node) -> None:
-        for action in node.peers.take():
+        for action in node.peers.take_actions():
             match action:
                 case act.Send():
                     self._sent(node, action)
-                case act.Changed():
+                case act.MemberChanged():
                     self._saw(node.name, action.after)
-                case act.Rival():
+                case act.CheckNameConflict():
                     self._rival(node, action)
-                case act.End():
+                case act.Terminate():
                     self.ended.append((self.now, node.name, action.reason))
                     self.kill(node.name)
-                case act.Named() | act.Paused():
+                case act.ProtocolViolation() | act.PauseDetected():
                     pass
-        due = node.peers.next_ms / 1000.0 + ROUND_S
+        due = node.peers.next_timer_ms / 1000.0 + ROUND_S
         if node.up and due < node.due:
             node.due = due
             if due < math.inf:
                 self.at(due, lambda: self._tick(node, due))
 
-    def _saw(self, by: str, row: m.Row) -> None:
+    def _saw(self, by: str, row: m.MemberRecord) -> None:
         if self._record:
             self.saws.append(Saw(self.now, by, row.name, row.incarnation, row.state.name.lower()))
 
@@ -261,7 +261,7 @@
     def _sent(self, node: Node, send: act.Send) -> None:
         source, target = node.name, send.address
         node.sent[type(send.message).__name__] += 1
-        node.sent_bytes += len(pack(send.message))
+        node.sent_bytes += len(encode_frame(send.message))
         there = self.nodes.get(target)
         link = frozenset((source, target))
         way, back = self.spoilt.way(source, target), self.spoilt.way(target, source)
@@ -270,30 +270,33 @@
             if way.cut or back.cut:
                 return  # no connection comes up; what waited for it is lost
             if there is None or not there.up:
-                self._later(target, source, partial(self._refused, source, send.to), 2)
+                self._later(target, source, partial(self._refused, source, send.member), 2)
                 return
             self._links.add(link)
             trips = CONNECT_TRIPS
             self._later(source, target, partial(self._linked, target, source), 2)
             self._later(target, source, partial(self._linked, source, target), 2)
         if self.rng.random() >= way.lost:
-            life = there.peers.life if there else 0
+            life = there.peers.instance_id if there else 0
             self._later(source, target, lambda: self._came(target, life, source, send.message), trips)
 
     def _linked(self, name: str, other: str) -> None:
-        self._call(name, lambda node: node.peers.linked(self._ms, other))
+        self._call(name, lambda node: node.peers.member_connected(self._ms, other))
 
     def _refused(self, name: str, other: str) -> None:
-        self._call(name, lambda node: node.peers.refused(self._ms, other))
+        self._call(name, lambda node: node.peers.connection_refused(self._ms, other))
 
     def _came(self, target: str, life: int, source: str, message: m.Message) -> None:
         node = self.nodes.get(target)
-        if node and node.peers.life == life:  # else the connection ended with the process
-            self._call(target, lambda n: n.peers.heard(self._ms, source, source, message))
+        if node and node.peers.instance_id == life:  # else the connection ended with the process
+            self._call(target, lambda n: n.peers.message_received(self._ms, source, source, message))
 
-    def _rival(self, node: Node, ask: act.Rival) -> None:
+    def _rival(self, node: Node, ask: act.CheckNameConflict) -> None:
         other = self.nodes.get(ask.address)
         if other is None or not other.up or other.paused or other is node:
             return
-        life, age = other.peers.life, (self.now - self._began[other.name].began_s) * 1000
-        self.at(self.now + 0.002, lambda: self._call(node.name, lambda n: n.peers.rival(self._ms, life, age)))
+        life, age = other.peers.instance_id, (self.now - self._began[other.name].began_s) * 1000
+        self.at(
+            self.now + 0.002,
+            lambda: self._call(node.name, lambda n: n.peers.name_conflict_found(self._ms, life, age)),
+        )
--- a/basaltpoint/replication/machine.py
+++ b/basaltpoint/replication/state_machine.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from basaltpoint.links.frames import Part
+from basaltpoint.links.frames import Frame
 from basaltpoint.replication.kinds import Drain, Kind, drain, read_drain
 from basaltpoint.replication.row_table import RowTable
 from basaltpoint.replication.rows import Delta, Entry, Have, Owner, sound
@@ -36,7 +36,7 @@
     """Send this to a member, over whatever connection there is."""
 
     to: str
-    message: Part
+    message: Frame
 
 
 @dataclass(frozen=True, slots=True)
--- a/basaltpoint/store/client.py
+++ b/basaltpoint/store/client.py
@@ -11,8 +11,8 @@
 from functools import partial
 from typing import Any
 
-from basaltpoint.links.frames import VERSION, Greeting, Part
-from basaltpoint.links.transport import GREET_S, Link, Tls, connect
+from basaltpoint.links.frames import PROTOCOL_VERSION, Frame, Greeting
+from basaltpoint.links.transport import GREETING_TIMEOUT_S, Link, Tls, connect
 from basaltpoint.store import machine as kv
 from basaltpoint.store import protocol as p
 from basaltpoint.store.machine import Check, CompactedError, Delete, Event, Put, Result, Value
@@ -24,7 +24,10 @@
 # connections, and looks like one that is slow. Smaller costs messages, larger adds to each such fault.
 LOOK_S = 0.2
 SILENT_S = 0.5  # with nothing heard for so long, another is asked; doubled with each round that heard nothing
-CONNECT_S = (0.5, GREET_S)  # for a connection, at first and at most: doubled with each round of all replicas
+CONNECT_S = (
+    0.5,
+    GREETING_TIMEOUT_S,
+)  # for a connection, at first and at most: doubled with each round of all replicas
 AGAIN_S = (0.02, 0.1)  # first and longest wait between two tries: a new leader is there within a second
 
 
@@ -71,15 +74,15 @@
         self.revision = 0  # of the latest answer
 
     # --- Connection ---------------------------------------------------------------------------
-    def greeted(self, link: Link) -> bool:
+    def greeting_received(self, link: Link) -> bool:
         return True
 
-    def came(self, link: Link, frame: p.Frame) -> None:
+    def frame_received(self, link: Link, frame: p.AnyFrame) -> None:
         self._heard, self._quiet = asyncio.get_running_loop().time(), 0
         if link is self._link and (wait := self._waits.get(getattr(frame, "ident", 0))):
             wait(frame)
 
-    def lost(self, link: Link) -> None:
+    def link_closed(self, link: Link) -> None:
         if link is self._link:
             self._link = None
             waits, self._waits = self._waits, {}
@@ -93,7 +96,7 @@
                 return self._link
             self._at = (self._at + 1) % len(self._endpoints)
             to = self._endpoints[self._at]
-            greeting = Greeting(VERSION, self._cluster)
+            greeting = Greeting(PROTOCOL_VERSION, self._cluster)
             local = "/" in to.address
             least, most = CONNECT_S
             bound = min(most, least * 2 ** (self._failed // len(self._endpoints)))
@@ -143,7 +146,7 @@
             self._looking.cancel()
         self.drop()
 
-    async def _once(self, make: Callable[[int], Part], answer_s: float) -> Any:
+    async def _once(self, make: Callable[[int], Frame], answer_s: float) -> Any:
         """One try; None where it failed."""
         try:
             link = await self._connected()
@@ -165,7 +168,7 @@
         finally:
             self._waits.pop(ident, None)
 
-    async def _ask(self, make: Callable[[int], Part], good: Callable[[Any], bool], within_s: float) -> Any:
+    async def _ask(self, make: Callable[[int], Frame], good: Callable[[Any], bool], within_s: float) -> Any:
         """Ask until a good answer comes; UnavailableError after `within_s`."""
         loop = asyncio.get_running_loop()
         end, (wait, longest) = loop.time() + within_s, AGAIN_S
@@ -249,7 +252,7 @@
             after = list(page.values)[-1]
 
     async def _page(self, get: p.Get, within_s: float) -> p.Page:
-        def make(ident: int) -> Part:
+        def make(ident: int) -> Frame:
             return p.Get(ident, get.prefix, get.after, get.local, get.exact)
 
         page: p.Page = await self._ask(make, lambda f: isinstance(f, p.Page) and not f.error, within_s)
@@ -343,13 +346,13 @@
         return await self._operate(p.Snap, _never, within_s)
 
     async def _operate(
-        self, make: Callable[[int], Part], reached: Callable[[p.Standing], bool], within_s: float
+        self, make: Callable[[int], Frame], reached: Callable[[p.Standing], bool], within_s: float
     ) -> Result:
         """Have an operation carried out; StoreError where it is refused and `reached` finds it undone."""
         end = asyncio.get_running_loop().time() + within_s
         in_doubt = 0  # tries that may have taken effect: all but those told that nothing was begun
 
-        def counted(ident: int) -> Part:
+        def counted(ident: int) -> Frame:
             nonlocal in_doubt
             in_doubt += 1
             return make(ident)
--- a/basaltpoint/store/protocol.py
+++ b/basaltpoint/store/protocol.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from basaltpoint.links.frames import Greeting, Part, Speech
+from basaltpoint.links.frames import Frame, Greeting, WireProtocol
 from basaltpoint.store import machine as kv
 from basaltpoint.store import messages
 
@@ -12,20 +12,20 @@
 PAGE = 1 << 20  # bytes of keys and values in one answer
 
 
-class Peer(Part, frozen=True, tag="m"):
+class Peer(Frame, frozen=True, tag="m"):
     """A message of the core."""
 
     message: messages.Any
 
 
-class Do(Part, frozen=True, tag="do"):
+class Do(Frame, frozen=True, tag="do"):
     """Apply a command."""
 
     ident: int
     command: kv.Command
 
 
-class Get(Part, frozen=True, tag="get"):
+class Get(Frame, frozen=True, tag="get"):
     """What stands under all keys with a prefix, after a key; `local` asks for no proof that it is current."""
 
     ident: int
@@ -35,7 +35,7 @@
     exact: bool = False
 
 
-class Watch(Part, frozen=True, tag="watch"):
+class Watch(Frame, frozen=True, tag="watch"):
     """Tell all changes from a revision on."""
 
     ident: int
@@ -43,19 +43,19 @@
     revision: int
 
 
-class Unwatch(Part, frozen=True, tag="unwatch"):
+class Unwatch(Frame, frozen=True, tag="unwatch"):
     """End a watch."""
 
     ident: int
 
 
-class Status(Part, frozen=True, tag="status"):
+class Status(Frame, frozen=True, tag="status"):
     """Tell how it stands."""
 
     ident: int
 
 
-class Change(Part, frozen=True, tag="change"):
+class Change(Frame, frozen=True, tag="change"):
     """Change the membership: what is one of add, promote, remove."""
 
     ident: int
@@ -64,27 +64,27 @@
     address: str = ""
 
 
-class Transfer(Part, frozen=True, tag="transfer"):
+class Transfer(Frame, frozen=True, tag="transfer"):
     """Hand the leadership to a member."""
 
     ident: int
     name: str
 
 
-class Snap(Part, frozen=True, tag="snap"):
+class Snap(Frame, frozen=True, tag="snap"):
     """Write a snapshot now."""
 
     ident: int
 
 
-class Dump(Part, frozen=True, tag="dump"):
+class Dump(Frame, frozen=True, tag="dump"):
     """Tell the whole state, from an offset on; 0 begins anew, with what is current."""
 
     ident: int
     offset: int
 
 
-class Dumped(Part, frozen=True, tag="U"):
+class Dumped(Frame, frozen=True, tag="U"):
     """A part of the state."""
 
     ident: int
@@ -93,14 +93,14 @@
     error: str = ""
 
 
-class Done(Part, frozen=True, tag="D"):
+class Done(Frame, frozen=True, tag="D"):
     """The answer to a command; `error` as in machine.Result, or unavailable, unknown, refused."""
 
     ident: int
     result: kv.Result
 
 
-class Page(Part, frozen=True, tag="P"):
+class Page(Frame, frozen=True, tag="P"):
     """The answer to `Get`: with `more` it is to be asked again, after the last key."""
 
     ident: int
@@ -111,7 +111,7 @@
     age_ms: float = 0.0  # how long ago this replica knew that it was current
 
 
-class Events(Part, frozen=True, tag="E"):
+class Events(Frame, frozen=True, tag="E"):
     """Changes, in their order; `compacted` ends the watch: not all of them are held any more."""
 
     ident: int
@@ -120,7 +120,7 @@
     compacted: int = 0
 
 
-class Standing(Part, frozen=True, tag="S"):
+class Standing(Frame, frozen=True, tag="S"):
     """How a replica stands."""
 
     ident: int
@@ -141,14 +141,14 @@
     matches: dict[str, int] = msgspec.field(default_factory=dict)  # of a leader: what each member holds
 
 
-class Pass(Part, frozen=True, tag="f"):
+class Pass(Frame, frozen=True, tag="f"):
     """A follower passes a client's request on to the leader."""
 
     ident: int
     request: Do | Change | Transfer
 
 
-class Passed(Part, frozen=True, tag="F"):
+class Passed(Frame, frozen=True, tag="F"):
     """The leader's answer to it."""
 
     ident: int
@@ -156,6 +156,6 @@
 
 
 Request = Do | Get | Watch | Unwatch | Status | Change | Transfer | Snap | Dump
-Frame = Greeting | Peer | Pass | Passed | Request | Done | Page | Events | Standing | Dumped
+AnyFrame = Greeting | Peer | Pass | Passed | Request | Done | Page | Events | Standing | Dumped
 
-STORE = Speech("store", msgspec.msgpack.Decoder(Frame).decode)
+STORE = WireProtocol("store", msgspec.msgpack.Decoder(AnyFrame).decode)
--- a/basaltpoint/store/replica.py
+++ b/basaltpoint/store/replica.py
@@ -14,9 +14,9 @@
 
 from basaltpoint.config.address import parse_address
 from basaltpoint.config.storage import SOCKET
-from basaltpoint.links.frames import VERSION, Greeting
+from basaltpoint.links.frames import PROTOCOL_VERSION, Greeting
 from basaltpoint.links.listening import LinkListener
-from basaltpoint.links.transport import Caller, Link, Tls
+from basaltpoint.links.transport import Link, Reconnector, Tls
 from basaltpoint.store import machine as kv
 from basaltpoint.store import protocol as p
 from basaltpoint.store.files import Folder, Point, no_point
@@ -89,7 +89,7 @@
         )
         self.node.applied = self._applied
         self.address = setting.advertise or setting.listen
-        self._callers: dict[str, Caller] = {}
+        self._callers: dict[str, Reconnector] = {}
         self._addresses: dict[str, str] = {}  # of those who greeted and are no members yet
         self._links: set[Link] = set()
         self._watches: dict[tuple[Link, int], _Watch] = {}
@@ -128,7 +128,7 @@
             sock = await listener_when_free(parse_address(self.setting.listen), BACKLOG)
             if not self.setting.advertise:
                 self.address = f"{self.setting.listen.rpartition(':')[0]}:{sock.getsockname()[1]}"
-            context = self.setting.tls.server() if self.setting.tls else None
+            context = self.setting.tls.server_context() if self.setting.tls else None
             self._servers.append(LinkListener(sock, self._link, context))
         self._kick()
 
@@ -137,7 +137,7 @@
         return Link(self, self._greeting(), False, p.STORE, plain=self.setting.tls is None)
 
     def _greeting(self) -> Greeting:
-        return Greeting(VERSION, self.setting.cluster, self.setting.name, self.address)
+        return Greeting(PROTOCOL_VERSION, self.setting.cluster, self.setting.name, self.address)
 
     def close(self) -> None:
         """End; what was acknowledged is on the disk."""
@@ -204,39 +204,39 @@
                 del self._callers[name]
         for name, address in wanted.items():
             if name not in self._callers:
-                self._callers[name] = Caller(self._link, name, address, self.setting.tls)
+                self._callers[name] = Reconnector(self._link, name, address, self.setting.tls)
 
     def _send(self, to: str, message: Message) -> None:
         if caller := self._callers.get(to):
             caller.send(p.Peer(message))  # type: ignore[arg-type]
 
     # --- Connections ------------------------------------------------------------------------------------
-    def greeted(self, link: Link) -> bool:
+    def greeting_received(self, link: Link) -> bool:
         self._links.add(link)
-        other = link.other
+        other = link.peer_greeting
         if other and other.name and other.address and other.name not in self.node.core.members.names:
             self._addresses[other.name] = other.address
             self._meet()
         return True
 
-    def lost(self, link: Link) -> None:
+    def link_closed(self, link: Link) -> None:
         self._links.discard(link)
         self._dumps.pop(link, None)
         for key in [key for key in self._watches if key[0] is link]:
             del self._watches[key]
-        if link.name and not any(other.name == link.name for other in self._links):
-            self._addresses.pop(link.name, None)
+        if link.peer_name and not any(other.peer_name == link.peer_name for other in self._links):
+            self._addresses.pop(link.peer_name, None)
             for number, passing in list(self._passing.items()):
-                if passing.to == link.name:
+                if passing.to == link.peer_name:
                     self._unknown(number)
 
-    def came(self, link: Link, frame: p.Frame) -> None:
+    def frame_received(self, link: Link, frame: p.AnyFrame) -> None:
         match frame:
-            case p.Peer() if link.name:
-                self.node.step(self._now(), link.name, frame.message)
-            case p.Pass() if link.name:
+            case p.Peer() if link.peer_name:
+                self.node.step(self._now(), link.peer_name, frame.message)
+            case p.Pass() if link.peer_name:
                 self._serve(link, frame.request, frame.ident)
-            case p.Passed() if link.name:
+            case p.Passed() if link.peer_name:
                 if passing := self._passing.pop(frame.ident, None):
                     self._answer(passing, frame.result)
             case p.Do() | p.Change() | p.Transfer():
@@ -298,7 +298,7 @@
         def done(result: kv.Result | None) -> None:
             told = result or self._result("unknown", "the leadership changed meanwhile")
             if passed is not None:
-                name = link.name
+                name = link.peer_name
                 if (caller := self._callers.get(name)) is not None:
                     caller.send(p.Passed(passed, told))
             else:
--- a/basaltpoint/store/setting.py
+++ b/basaltpoint/store/setting.py
@@ -30,7 +30,7 @@
         folder=storage.folder,
         listen=table.listen,
         initial=initial(storage),
-        tls=Tls.of(storage.files),
+        tls=Tls.from_files(storage.files),
         options=Options(table.election_ms, table.heartbeat_ms),
         sizes=Sizes(snapshot_entries=table.snapshot_entries, state_bytes=table.state_mb << 20),
         advertise=advertised,
@@ -43,4 +43,4 @@
     endpoints = [Endpoint(address, name) for name, address in storage.members if name != table.name]
     if table.name:
         endpoints.insert(0, Endpoint(str(storage.socket)))
-    return Client(endpoints, table.cluster, Tls.of(storage.files))
+    return Client(endpoints, table.cluster, Tls.from_files(storage.files))
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -17,9 +17,9 @@
 
 from basaltpoint.peers import actions as act
 from basaltpoint.peers import messages as m
-from basaltpoint.peers.machine import Peers
-from basaltpoint.peers.messages import Row, State
-from basaltpoint.peers.options import Options
+from basaltpoint.peers.messages import MemberRecord, MemberState
+from basaltpoint.peers.options import MembershipOptions
+from basaltpoint.peers.state_machine import MembershipStateMachine
 from basaltpoint.rehearsal import checks
 from basaltpoint.rehearsal.faults import Fault, Kind
 from basaltpoint.rehearsal.model import Model
@@ -27,7 +27,7 @@
 WARM_S = 20.0
 
 
-class AllToAll(Peers):
+class AllToAll(MembershipStateMachine):
     """Everybody tells everybody each period that it lives; silence decides, or a refused connection twice."""
 
     def __init__(self, *args: Any) -> None:
@@ -40,32 +40,36 @@
 
     def tick(self, now: float) -> None:
         self._now = now
-        if self.state is State.JOINING:
-            self._own(now, State.ALIVE)
+        if self.state is MemberState.JOINING:
+            self._update_own_record(now, MemberState.ALIVE)
         self._beat_at = now + self.options.probe_ms
-        names = dict.fromkeys([*self.view.others(), *(name for name, _ in self.seeds)])
+        names = dict.fromkeys([*self.view.other_members(), *(name for name, _ in self.seeds)])
         # Who there is comes from all rows, told at the start only: no list of all is given to anybody.
-        rows = self.view.rows if now - self.began < 10_000.0 else (self._row,)
+        rows = self.view.records if now - self.started_ms < 10_000.0 else (self._own_record,)
         for name in names:
-            self._out.append(act.Send(name, name, m.Gossip(rows)))
+            self._actions.append(act.Send(name, name, m.Gossip(rows)))
         bound = self.options.silent_ms * max(1.0, math.log10(len(self.view.ring)))
-        for name, known in list(self.view.known.items()):
-            if name != self.me and known.row.live and now - max(known.heard, known.since) > bound:
-                self._hold(now, known.row, State.DEAD)
-
-    def _hold(self, now: float, row: Row, state: State) -> None:
-        row = Row(row.name, row.address, row.incarnation, state, row.life)
+        for name, known in list(self.view.members.items()):
+            if (
+                name != self.name
+                and known.record.is_live
+                and now - max(known.last_heard_ms, known.state_since_ms) > bound
+            ):
+                self._hold(now, known.record, MemberState.DEAD)
+
+    def _hold(self, now: float, row: MemberRecord, state: MemberState) -> None:
+        row = MemberRecord(row.name, row.address, row.incarnation, state, row.instance_id)
         self.view.put(now, row)
-        self._out.append(act.Changed(None, row))
+        self._actions.append(act.MemberChanged(None, row))
 
     def heard(self, now: float, sender: str, address: str, message: m.Message) -> None:
         self._now = now
-        for row in message.rows:
+        for row in message.records:
             held = self.view.get(row.name)
-            if held is None or not held.live or held.incarnation < row.incarnation:
+            if held is None or not held.is_live or held.incarnation < row.incarnation:
                 self._hold(now, row, row.state)
             if row.name == sender or held is None:
-                self.view.known[row.name].heard = now
+                self.view.members[row.name].last_heard_ms = now
 
     def lost(self, now: float, name: str) -> None:
         self._now = now
@@ -73,10 +77,10 @@
     linked = refused = lost
 
 
-KINDS: dict[str, tuple[type[Peers], dict[str, Any]]] = {
-    "shipped": (Peers, {}),
-    "random": (Peers, {"ring": False}),
-    "swim": (Peers, {"ring": False, "lifeguard": False}),
+KINDS: dict[str, tuple[type[MembershipStateMachine], dict[str, Any]]] = {
+    "shipped": (MembershipStateMachine, {}),
+    "random": (MembershipStateMachine, {"probe_on_ring": False}),
+    "swim": (MembershipStateMachine, {"probe_on_ring": False, "lifeguard": False}),
     "all to all": (AllToAll, {}),
 }
 
@@ -84,7 +88,7 @@
 def model(kind: str, size: int, faults: Sequence[Fault], seed: int) -> Model:
     make, options = KINDS[kind]
     names = [f"l{at + 1}" for at in range(size)]
-    return Model(names, Options(**options), faults, seed, make=make)
+    return Model(names, MembershipOptions(**options), faults, seed, make=make)
 
 
 def quantile(values: Sequence[float], part: float) -> float:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,7 +17,7 @@
 from basaltpoint.cli import main
 from basaltpoint.config import fleets
 from basaltpoint.daemon.fleet_look import look
-from basaltpoint.links.frames import LENGTH, VERSION, Greeting, pack
+from basaltpoint.links.frames import LENGTH_PREFIX, PROTOCOL_VERSION, Greeting, encode_frame
 from basaltpoint.peers.messages import Gossip
 from basaltpoint.rehearsal.faults import Fault, Kind
 from basaltpoint.rehearsal.processes import Processes
@@ -80,9 +80,9 @@
                 looked = await look(fleets.load(made.members["l4"].file), "l4", made.members["l4"].advertise)
                 return any(
                     name.strip(">") == "l2"
-                    for s in looked.seen
-                    if s.row.name == "l1"
-                    for name in s.row.unreached
+                    for s in looked.members
+                    if s.record.name == "l1"
+                    for name in s.record.unreachable
                 )
 
             async with asyncio.timeout(PATIENCE_S):
@@ -188,18 +188,26 @@
 
 @pytest.mark.parametrize(
     "raw",
-    [b"\xff\xff\xff\xff", LENGTH.pack(5) + b"\xc1" * 5, pack(Gossip())[:-1] + b"\xc1", pack(Gossip())],
+    [
+        b"\xff\xff\xff\xff",
+        LENGTH_PREFIX.pack(5) + b"\xc1" * 5,
+        encode_frame(Gossip())[:-1] + b"\xc1",
+        encode_frame(Gossip()),
+    ],
     ids=["oversized", "garbage", "no message", "no greeting"],
 )
 def test_garbage_ends_its_own_connection_alone(tmp_path: Path, raw: bytes) -> None:
     async def test() -> None:
         async with fleet(tmp_path, 2) as made:
             host, port = made.members["l1"].own.split(":")
-            for greeting in (b"", pack(Greeting(VERSION, "fleet local", "l9", "127.0.0.1:1"))):
+            for greeting in (
+                b"",
+                encode_frame(Greeting(PROTOCOL_VERSION, "fleet local", "l9", "127.0.0.1:1")),
+            ):
                 reader, writer = await asyncio.open_connection(host, int(port))
                 writer.write(greeting + raw)
                 async with asyncio.timeout(PATIENCE_S):
-                    if not greeting or raw != pack(Gossip()):
+                    if not greeting or raw != encode_frame(Gossip()):
                         while await reader.read(4096):
                             pass
                 writer.close()
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -12,8 +12,8 @@
 from basaltpoint.cli import main
 from basaltpoint.config.decode import FileError
 from basaltpoint.load.ledger import Attempt
-from basaltpoint.peers.machine import Peers
-from basaltpoint.peers.messages import Row
+from basaltpoint.peers.messages import MemberRecord
+from basaltpoint.peers.state_machine import MembershipStateMachine
 from basaltpoint.rehearsal import checks, probe, scenario
 from basaltpoint.rehearsal.events import Life, Saw, Told
 from basaltpoint.rehearsal.faults import Fault, Kind
@@ -175,14 +175,14 @@
     assert late(12.5, Fault(Kind.PAUSE, 5, 13, on=("l2",))) == (1, 0)
 
 
-class Silent(Peers):
+class Silent(MembershipStateMachine):
     """Contradicts nothing that is said of it."""
 
-    def _about_me(self, now: float, row: Row) -> None:
+    def _about_me(self, now: float, row: MemberRecord) -> None:
         pass
 
 
-class Deaf(Peers):
+class Deaf(MembershipStateMachine):
     """Asks nobody that is held dead, and no seed."""
 
     def _recall(self) -> None:
@@ -196,16 +196,16 @@
         (Deaf, Fault(Kind.SPLIT, 10, 60, sides=(("l1", "l2"), ("l3", "l4", "l5")))),
     ],
 )
-def test_a_defect_planted_in_the_machine_is_found(make: type[Peers], fault: Fault) -> None:
+def test_a_defect_planted_in_the_machine_is_found(make: type[MembershipStateMachine], fault: Fault) -> None:
     names = [f"l{at + 1}" for at in range(5)]
 
-    def held(kind: type[Peers]) -> bool:
+    def held(kind: type[MembershipStateMachine]) -> bool:
         model = Model(names, faults=[fault], seed=3, make=kind)
         model.run(120)
         _, apart = checks.agreed(model.all_lives, model.saws, fault.end_s, 120)
         return not apart
 
-    assert held(Peers) and not held(make)
+    assert held(MembershipStateMachine) and not held(make)
 
 
 # --- Real processes ------------------------------------------------------------------------------------
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -14,9 +14,9 @@
 
 from basaltpoint.replication import kinds, row_table, rows
 from basaltpoint.replication.kinds import Drain, Kind
-from basaltpoint.replication.machine import Changed, Copy, Named, Options, Send
 from basaltpoint.replication.row_table import OwnerRows, RowTable
 from basaltpoint.replication.rows import Delta, Entry, Have, Owner
+from basaltpoint.replication.state_machine import Changed, Copy, Named, Options, Send
 
 A, B = Owner("a", 1), Owner("b", 1)
 
--- a/tests/test_store_changes.py
+++ b/tests/test_store_changes.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from basaltpoint.links.frames import VERSION, Greeting
+from basaltpoint.links.frames import PROTOCOL_VERSION, Greeting
 from basaltpoint.links.transport import Link
 from basaltpoint.store import command
 from basaltpoint.store import machine as kv
@@ -30,10 +30,10 @@
         self.asked = 0
         self.transfers_needed = 1  # so many requests until r1 leads
 
-    def greeted(self, link: Link) -> bool:
+    def greeting_received(self, link: Link) -> bool:
         return True
 
-    def lost(self, link: Link) -> None:
+    def link_closed(self, link: Link) -> None:
         pass
 
     def standing(self, ident: int) -> p.Standing:
@@ -42,7 +42,7 @@
         leader = "r0" if self.asked < self.transfers_needed else "r1"
         return p.Standing(ident, "r0", "", "leader", leader, *log, 0, self.members, False, "", 0.0)
 
-    def came(self, link: Link, frame: Any) -> None:
+    def frame_received(self, link: Link, frame: Any) -> None:
         match frame:
             case p.Change() | p.Transfer():
                 self.asked += 1
@@ -60,7 +60,7 @@
 def with_client(path: Path, replica: ScriptedReplica, act: Callable[[Client], Awaitable[Any]]) -> None:
     async def story() -> None:
         socket = str(path / "replica.sock")
-        greeting = Greeting(VERSION, "")
+        greeting = Greeting(PROTOCOL_VERSION, "")
         server = await asyncio.get_running_loop().create_unix_server(
             lambda: Link(replica, greeting, True, p.STORE), socket
         )
--- a/tests/test_store_replicas.py
+++ b/tests/test_store_replicas.py
@@ -17,7 +17,7 @@
 from standalone import config
 from storeprocs import PATIENCE_S, Authority, Cluster, cluster
 
-from basaltpoint.links.frames import LENGTH, VERSION, Greeting, pack
+from basaltpoint.links.frames import LENGTH_PREFIX, PROTOCOL_VERSION, Greeting, encode_frame
 from basaltpoint.links.transport import Link, connect
 from basaltpoint.store import protocol as p
 from basaltpoint.store.client import Client, Endpoint, StoreError, UnavailableError
@@ -421,19 +421,19 @@
     """Notes all that a connection brings."""
 
     def __init__(self) -> None:
-        self.frames: list[p.Frame] = []
+        self.frames: list[p.AnyFrame] = []
 
-    def greeted(self, link: Link) -> bool:
+    def greeting_received(self, link: Link) -> bool:
         return True
 
-    def came(self, link: Link, frame: p.Frame) -> None:
+    def frame_received(self, link: Link, frame: p.AnyFrame) -> None:
         self.frames.append(frame)
 
-    def lost(self, link: Link) -> None:
+    def link_closed(self, link: Link) -> None:
         pass
 
 
-async def _asks(made: Cluster, greeting: Greeting, tls: object, name: str = "r0") -> list[p.Frame]:
+async def _asks(made: Cluster, greeting: Greeting, tls: object, name: str = "r0") -> list[p.AnyFrame]:
     """What one who greets so is told."""
     heard = Listener()
     link = await connect(lambda: Link(heard, greeting, False, p.STORE), made.addresses["r0"], name, tls)  # type: ignore[arg-type]
@@ -451,19 +451,19 @@
         stranger = Authority(tmp_path / "stranger").issue("client")
         # Its authority is another: neither side takes the other's certificate.
         with pytest.raises((ssl.SSLError, OSError)):
-            await _asks(made, Greeting(VERSION, "test"), stranger)
+            await _asks(made, Greeting(PROTOCOL_VERSION, "test"), stranger)
         with pytest.raises((OSError, TimeoutError)):  # plain text to a TLS port
-            frames = await _asks(made, Greeting(VERSION, "test"), None)
+            frames = await _asks(made, Greeting(PROTOCOL_VERSION, "test"), None)
             assert frames == []
             raise OSError
         tls = made.client_tls
-        assert await _asks(made, Greeting(VERSION, "other"), tls) == []
-        assert await _asks(made, Greeting(VERSION + 1, "test"), tls) == []
+        assert await _asks(made, Greeting(PROTOCOL_VERSION, "other"), tls) == []
+        assert await _asks(made, Greeting(PROTOCOL_VERSION + 1, "test"), tls) == []
         # A client's certificate is no replica's.
-        assert await _asks(made, Greeting(VERSION, "test", "r1", made.addresses["r1"]), tls) == []
+        assert await _asks(made, Greeting(PROTOCOL_VERSION, "test", "r1", made.addresses["r1"]), tls) == []
         # And the other way round: who answers under a name that its certificate lacks is not spoken to.
         with pytest.raises(ssl.SSLError):
-            await _asks(made, Greeting(VERSION, "test"), tls, "r1")
+            await _asks(made, Greeting(PROTOCOL_VERSION, "test"), tls, "r1")
 
     with cluster(tmp_path) as made:
         asyncio.run(story(made))
@@ -475,14 +475,14 @@
         await replica.start()
         for raw in (
             b"\xff\xff\xff\xff",
-            LENGTH.pack(5) + b"\x93\xa1xyz",
-            pack(p.Done(1, p.kv.Result(1))),
+            LENGTH_PREFIX.pack(5) + b"\x93\xa1xyz",
+            encode_frame(p.Done(1, p.kv.Result(1))),
         ):
             reader, writer = await asyncio.open_unix_connection(str(tmp_path / "a" / "socket"))
-            writer.write(pack(Greeting(VERSION, "c")) + raw)
+            writer.write(encode_frame(Greeting(PROTOCOL_VERSION, "c")) + raw)
             async with asyncio.timeout(PATIENCE_S):
                 rest = await reader.read()
-            assert rest == pack(replica._greeting())
+            assert rest == encode_frame(replica._greeting())
             writer.close()
         client = Client([Endpoint(str(tmp_path / "a" / "socket"))], "c")
         big = [Put(f"k{at}", bytes(1 << 20)) for at in range(5)]
