--- a/basaltpoint/policy/server_index.py
+++ b/basaltpoint/policy/server_index.py
@@ -1,4 +1,4 @@
-"""Servers kept in order while the list changes: a change costs what changed, not how many there are."""
+"""Ordered collections of servers: the cost of a change does not depend on the number of servers."""
 
 from __future__ import annotations
 
@@ -10,46 +10,46 @@
 
 
 class SortedItems(Generic[T]):
-    """A list in the order of a key; putting in and taking out cost O(log n) looks at keys.
+    """A list sorted by a key; adding and removing an item compare O(log n) keys.
 
-    The list itself moves its pointers on, which at 10,000 items costs less than the looks: a list of lists,
-    as sortedcontainers has it, would gain nothing, and the platform's start imports no library for it.
+    Each change also moves the list's following pointers, which costs less than the comparisons at 10,000
+    items: a list of lists, as in sortedcontainers, would gain nothing and would be a further dependency.
     """
 
     def __init__(self, key: Callable[[T], Any]) -> None:
-        """`key`: differs between any two items, and stays the same while an item is held."""
+        """`key` must be unique for each item and constant while the list contains the item."""
         self._key = key
-        self.items: list[T] = []  # always the same list: whoever holds it sees each change
+        self.items: list[T] = []  # changed in place, so that callers may keep a reference
 
     def add(self, item: T) -> None:
-        """Put an item in, unless it is held."""
+        """Adds an item unless the list contains it."""
         items, key = self.items, self._key(item)
         if not items or self._key(items[-1]) < key:
-            items.append(item)  # what is new mostly comes last
+            items.append(item)  # most new items have the largest key
             return
-        at = bisect_left(items, key, key=self._key)
-        if items[at] is not item:
-            items.insert(at, item)
+        index = bisect_left(items, key, key=self._key)
+        if items[index] is not item:
+            items.insert(index, item)
 
     def discard(self, item: T) -> None:
-        """Take an item out, if it is held."""
-        at = bisect_left(self.items, self._key(item), key=self._key)
-        if at < len(self.items) and self.items[at] is item:
-            del self.items[at]
+        """Removes an item if the list contains it."""
+        index = bisect_left(self.items, self._key(item), key=self._key)
+        if index < len(self.items) and self.items[index] is item:
+            del self.items[index]
 
 
 class RotatingWindow(Generic[T]):
-    """A bounded part of a list for each call, which goes on where the last call's ended."""
+    """Returns a bounded part of a list at each call, starting where the previous call stopped."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, max_items: int) -> None:
+        self._max_items = max_items
         self._next = 0
 
     def next_items(self, items: list[T]) -> list[T]:
-        """All of a short list; of a longer one the next items: in ceil(len / most) calls each comes once."""
-        if len(items) <= self._most:
+        """Returns a short list whole, else its next items: each item within ceil(len / max_items) calls."""
+        if len(items) <= self._max_items:
             return items
-        begin = self._next % len(items)
-        self._next = begin + self._most
-        rest = max(0, self._next - len(items))
-        return items[begin : self._next] + items[:rest]
+        start = self._next % len(items)
+        self._next = start + self._max_items
+        wrapped = max(0, self._next - len(items))
+        return items[start : self._next] + items[:wrapped]
--- a/basaltpoint/policy/server_set.py
+++ b/basaltpoint/policy/server_set.py
@@ -1,4 +1,4 @@
-"""The servers as this gateway sees them: health by silence, slow start, and the choice among them."""
+"""The servers of one pool: suspicion of failed servers, slow start, and the choice for each attempt."""
 
 from __future__ import annotations
 
@@ -16,52 +16,49 @@
 from basaltpoint.policy.server_index import RotatingWindow, SortedItems
 from basaltpoint.policy.thresholds import INF
 
-# --- Constants: unit, reason -------------------------------------------------------------------
-LATENCY_WINDOW_MS = 5000.0  # ms; latency window: some hundred completions at tens of requests a second
-MAX_SUSPECT_FRACTION = (
-    0.6  # of the ready servers; more suspects than this mean a slow back end, not lost servers
-)
-INITIAL_LATENCY_MS = 200.0  # ms; mean latency before anything was measured
-MIN_RETEST_DELAY_MS = 1000.0  # ms; first wait before a suspect gets a trial, doubled up to 8 times
-MIN_SUSPECT_ERRORS = (
-    2  # with no good answer between; a server that fails at once looks free and draws all traffic
-)
-FULL_SERVER_PAUSE_MS = 200.0  # ms; a server that turned a request away is left alone this long
-COLD_RATE_FRACTION = 0.8  # of the allowance of a cold server that we use: room for chance
-UTILIZATION_WEIGHT = 2.0  # requests that a wholly busy report counts for; 0 and 6 were no better
-SAMPLE_SIZE = 12  # random servers looked at for a send
-# Where none of those will do, all are looked at, up to so many; among more, so many in turn for each call: of
-# the subset, of those that are not suspect, and of all. A server that fits is found within a round of calls.
+LATENCY_WINDOW_MS = 5000.0  # holds some hundred completions at tens of requests a second
+# Above this fraction of the ready servers, suspects indicate an overload back end and not lost servers.
+MAX_SUSPECT_FRACTION = 0.6
+INITIAL_LATENCY_MS = 200.0  # assumed mean latency until one is measured
+MIN_RETEST_DELAY_MS = 1000.0  # before a suspect's first trial request; doubles up to 8 times this
+# Consecutive errors that make a server suspect: one that fails at once looks idle and attracts all requests.
+MIN_SUSPECT_ERRORS = 2
+FULL_SERVER_PAUSE_MS = 200.0  # a server that rejected an attempt as FULL is avoided for this time
+COLD_RATE_FRACTION = 0.8  # of a cold server's permitted rate; the rest is margin for random variation
+UTILIZATION_WEIGHT = 2.0  # requests that a reported utilization of 1.0 counts as; 0 and 6 were no better
+SAMPLE_SIZE = 12  # random servers examined for an attempt
+# If no server of the sample is acceptable, a pool of up to MAX_FULL_SCAN servers is examined whole. In a
+# larger pool each call examines the next servers of the subset, of those not suspect and of all ready
+# servers, so that an acceptable server is found within one round of calls.
 MAX_FULL_SCAN = 256
 SUBSET_SCAN_SIZE = 64
 TRUSTED_SCAN_SIZE = 128
 READY_SCAN_SIZE = 64
-REPORT_SMOOTHING_FRACTION = (
-    0.1  # of a report that goes into the mean load, which stands for a missing or old one
-)
-SILENCE_LATENCY_RATIO = 3.0  # of the median latency; a server that is silent for less may just be slow
-MIN_ZONE_FAILURES = 3  # failures with no answer from a zone between; it is then left alone but for trials
-MIN_SUBSET_SIZE = (
-    12  # servers at least that a gateway of many keeps to: it learns of few what of many it never would
-)
-SUBSET_SERVERS_PER_REQUEST = 3.0  # of these for each request that it has out on the mean
-MAX_REPORT_AGE_MS = 1500.0  # ms; a load report older than this says nothing
+# Weight of a new load report in the moving averages; the mean replaces a missing or outdated report.
+REPORT_SMOOTHING_FRACTION = 0.1
+SILENCE_LATENCY_RATIO = 3.0  # times the median latency; a server silent for less may only be slow
+MIN_ZONE_FAILURES = 3  # with no response from the zone in between; it then gets trial requests only
+# A limiter of a large fleet keeps to a subset of the servers: it measures few of them well instead of many
+# never. The subset grows with the mean number of attempts outstanding.
+MIN_SUBSET_SIZE = 12
+SUBSET_SERVERS_PER_REQUEST = 3.0
+MAX_REPORT_AGE_MS = 1500.0  # an older load report is ignored
 
 
 @dataclass(slots=True)
 class ServerRecord:
-    """A server as one pool of this gateway sees it."""
+    """What one pool of this limiter knows of one server."""
 
     entry: api.Server
-    listed_ms: float
-    health: ServerHealth
-    position: int  # in the order in which the servers were first named
-    ring_key: tuple[int, int]  # in the order that all gateways share
-    outstanding: int = 0
-    load: float = 0.0
-    load_ms: float = -INF
-    allowance: float = 0.0
-    filled_ms: float = 0.0
+    listed_ms: float  # when this process of the server was first listed
+    health: ServerHealth  # shared by all pools
+    position: int  # in the order in which the servers were first listed
+    ring_key: tuple[int, int]  # position in the order that all limiters share
+    outstanding: int = 0  # attempts of this pool
+    load: float = 0.0  # reported by the server, in requests, without this pool's own
+    load_ms: float = -INF  # time of the last report
+    allowance: float = 0.0  # attempts that a cold server may get now, at most 1.0
+    filled_ms: float = 0.0  # time at which the allowance was last computed
 
 
 def _ring_key(entry: api.Server) -> tuple[int, int]:
@@ -69,217 +66,236 @@
 
 
 class ServerSet:
-    """One pool's list, slow start of cold servers, and the choice among them; health is the process's own."""
+    """The servers of one pool: applies list events, learns from attempts and chooses a server for each.
+
+    The health of a server is shared with the other pools that list it. Times are in ms of the caller's clock.
+    """
 
     def __init__(self, settings: api.Settings, rng: random.Random, healths: dict[int, ServerHealth]) -> None:
         self.settings = settings
         self.rng = rng
-        self.healths = healths  # of all pools, by server
+        self.healths = healths  # of all pools, by server id
         self.records: dict[int, ServerRecord] = {}
-        self._places = count()
+        self._positions = count()
         self._ready: SortedItems[ServerRecord] = SortedItems(attrgetter("position"))
-        self._trusted: SortedItems[ServerRecord] = SortedItems(
-            attrgetter("position")
-        )  # ready and not suspect
+        # Servers that are ready and not suspect.
+        self._trusted: SortedItems[ServerRecord] = SortedItems(attrgetter("position"))
         self._ring: SortedItems[ServerRecord] = SortedItems(attrgetter("ring_key"))
         self.ready = self._ready.items
-        self.suspects: set[int] = set()  # of those ready
+        self.suspects: set[int] = set()  # ids of ready servers
         self._subset_window: RotatingWindow[ServerRecord] = RotatingWindow(SUBSET_SCAN_SIZE)
         self._trusted_window: RotatingWindow[ServerRecord] = RotatingWindow(TRUSTED_SCAN_SIZE)
         self._ready_window: RotatingWindow[ServerRecord] = RotatingWindow(READY_SCAN_SIZE)
-        self.silent: set[int] = set()  # they have been silent for long under what is out there
-        self.zone_failures: dict[int, ZoneFailures] = {}  # by zone, since its last answer
+        self.silent: set[int] = set()  # ids of servers without a response since an old outstanding attempt
+        self.zone_failures: dict[int, ZoneFailures] = {}  # by zone, since its last response
         self.mean_latency_ms = self.median_latency_ms = INITIAL_LATENCY_MS
         self.mean_load = 0.0
-        self.ring = self._ring.items  # those ready, in an order that all gateways share
-        self.subset: list[ServerRecord] = []  # our part of it
+        self.ring = self._ring.items  # ready servers, in an order that all limiters share
+        self.subset: list[ServerRecord] = []  # this limiter's section of the ring
         self.mean_outstanding = 0.0
         self.admission_times_ms: deque[float] = deque()
 
     def apply_list(self, now: float, event: api.ServerList) -> None:
-        """Apply a list event; a complete list drops what it does not name."""
+        """Applies a list event; a complete list removes the servers that it does not name."""
         if event.kind is api.ListKind.FAILED:
             return
         if event.kind is not api.ListKind.DELTA:
-            named = {entry.id for entry in event.servers}
-            for peer in [peer for peer in self.records.values() if peer.entry.id not in named]:
-                self._tell(peer, replace(peer.entry, state=ServerState.GONE))
+            listed = {entry.id for entry in event.servers}
+            for record in [record for record in self.records.values() if record.entry.id not in listed]:
+                self._update_entry(record, replace(record.entry, state=ServerState.GONE))
         for entry in event.servers:
             known = self.records.get(entry.id)
             if known is None or entry.started_ms > known.entry.started_ms:
-                self._start(now, entry, known)
+                self._add_process(now, entry, known)
             else:
-                self._tell(known, entry)
+                self._update_entry(known, entry)
         self.choose_subset()
 
-    def _start(self, now: float, entry: api.Server, before: ServerRecord | None) -> None:
-        """Take up a new process: nothing known of the old one holds.
+    def _add_process(self, now: float, entry: api.Server, previous: ServerRecord | None) -> None:
+        """Adds a new server process; what was learned of the previous one is discarded.
 
-        Its first send is due at random, so that hundreds of gateways, each of which earns less than one, add
-        up to their part.
+        The initial allowance is random: hundreds of limiters, each of which earns less than one attempt while
+        the server is cold, then together send it the permitted rate.
         """
-        if before:
-            self._unlist(before)
-        place, waiting = (before.position, before.outstanding) if before else (next(self._places), 0)
-        health = self._health(entry, before)
-        peer = ServerRecord(entry, now, health, place, _ring_key(entry), waiting, allowance=self.rng.random())
-        self.records[entry.id] = peer
-        self._list(peer)
-
-    def _tell(self, peer: ServerRecord, entry: api.Server) -> None:
-        """What a list says of a process that is known."""
-        if entry.state is peer.entry.state and entry.mark == peer.entry.mark:
-            peer.entry = entry
+        if previous:
+            self._remove_from_indexes(previous)
+        position, pending = (
+            (previous.position, previous.outstanding) if previous else (next(self._positions), 0)
+        )
+        health = self._shared_health(entry, previous)
+        record = ServerRecord(
+            entry, now, health, position, _ring_key(entry), pending, allowance=self.rng.random()
+        )
+        self.records[entry.id] = record
+        self._add_to_indexes(record)
+
+    def _update_entry(self, record: ServerRecord, entry: api.Server) -> None:
+        """Applies the list entry of a process that is known already."""
+        if entry.state is record.entry.state and entry.mark == record.entry.mark:
+            record.entry = entry
             return
-        self._unlist(peer)
-        peer.entry, peer.ring_key = entry, _ring_key(entry)
-        self._list(peer)
+        self._remove_from_indexes(record)
+        record.entry, record.ring_key = entry, _ring_key(entry)
+        self._add_to_indexes(record)
 
-    def _list(self, peer: ServerRecord) -> None:
-        """Take it up where it belongs; one that is gone stays as long as it has work."""
-        state = peer.entry.state
+    def _add_to_indexes(self, record: ServerRecord) -> None:
+        """Indexes a ready server; a removed one is forgotten once it has no attempt outstanding."""
+        state = record.entry.state
         if state is ServerState.READY:
-            self._ready.add(peer)
-            self._ring.add(peer)
-            self.health_changed(peer.entry.id)
-        elif state is ServerState.GONE and peer.outstanding <= 0:
-            self._forget(peer)
-
-    def _unlist(self, peer: ServerRecord) -> None:
-        if peer.entry.state is not ServerState.READY:
+            self._ready.add(record)
+            self._ring.add(record)
+            self.health_changed(record.entry.id)
+        elif state is ServerState.GONE and record.outstanding <= 0:
+            self._forget(record)
+
+    def _remove_from_indexes(self, record: ServerRecord) -> None:
+        if record.entry.state is not ServerState.READY:
             return
-        self._ready.discard(peer)
-        self._ring.discard(peer)
-        self._trusted.discard(peer)
-        self.suspects.discard(peer.entry.id)
+        self._ready.discard(record)
+        self._ring.discard(record)
+        self._trusted.discard(record)
+        self.suspects.discard(record.entry.id)
 
     def health_changed(self, ident: int) -> None:
-        """Count a server anew, among the suspects or the others; only those ready count."""
-        peer = self.records[ident]
-        if peer.entry.state is not ServerState.READY:
+        """Moves a ready server between the suspects and the trusted servers."""
+        record = self.records[ident]
+        if record.entry.state is not ServerState.READY:
             return
-        if peer.health.suspect:
-            self.suspects.add(peer.entry.id)
-            self._trusted.discard(peer)
+        if record.health.suspect:
+            self.suspects.add(record.entry.id)
+            self._trusted.discard(record)
         else:
-            self.suspects.discard(peer.entry.id)
-            self._trusted.add(peer)
+            self.suspects.discard(record.entry.id)
+            self._trusted.add(record)
 
     def choose_subset(self) -> None:
-        """Choose the arc of the ring that is ours: every server lies in as many gateways' arcs as the next.
+        """Chooses this limiter's section of the ring; the sections of all limiters cover it evenly.
 
-        With many gateways before many servers each would meet every server seldom: a connection for each
-        request, and nothing learned of any. It hurts where the gateways' loads are uneven, until the arcs
-        of the busier ones have grown.
+        If each of many limiters used all of many servers, it would reach each of them rarely: it would need a
+        connection for each request and could not measure any server. While the limiters' loads are uneven,
+        servers are loaded unevenly until the sections of the busier limiters have grown.
         """
-        wanted = min(
+        size = min(
             len(self.ring),
             max(MIN_SUBSET_SIZE, math.ceil(SUBSET_SERVERS_PER_REQUEST * self.mean_outstanding)),
         )
-        if wanted == len(self.ring):
+        if size == len(self.ring):
             self.subset = self.ready
             return
         first = self.settings.me * len(self.ring) // max(1, self.settings.gateways)
-        self.subset = [self.ring[(first + step) % len(self.ring)] for step in range(wanted)]
+        self.subset = [self.ring[(first + step) % len(self.ring)] for step in range(size)]
 
-    def _health(self, entry: api.Server, before: ServerRecord | None) -> ServerHealth:
-        """That of the process, which another pool may know already."""
-        if before:
-            before.health.listeners.remove(self)
+    def _shared_health(self, entry: api.Server, previous: ServerRecord | None) -> ServerHealth:
+        """Returns the health of the process, which another pool may have created already."""
+        if previous:
+            previous.health.listeners.remove(self)
         health = self.healths.get(entry.id)
         if health is None or entry.started_ms > health.started_ms:
             health = self.healths[entry.id] = ServerHealth(entry.started_ms)
         health.listeners.append(self)
         return health
 
-    def _forget(self, peer: ServerRecord) -> None:
-        ident = peer.entry.id
+    def _forget(self, record: ServerRecord) -> None:
+        ident = record.entry.id
         del self.records[ident]
-        peer.health.listeners.remove(self)
-        if not peer.health.listeners and self.healths.get(ident) is peer.health:
+        record.health.listeners.remove(self)
+        if not record.health.listeners and self.healths.get(ident) is record.health:
             del self.healths[ident]
 
-    def warm_fraction(self, peer: ServerRecord, now: float) -> float:
-        """The part of its capacity a server surely has: from cold_from, evenly over cold_ms."""
-        started = max(peer.entry.started_ms, peer.health.up_ms)
+    def warm_fraction(self, record: ServerRecord, now: float) -> float:
+        """The fraction of its capacity that a server is sure to have: from cold_from, linear over cold_ms."""
+        started = max(record.entry.started_ms, record.health.up_ms)
         if started <= 0 or self.settings.cold_ms <= 0:
             return 1.0
         age = max(0.0, now - started) / self.settings.cold_ms
         return min(1.0, self.settings.cold_from + (1.0 - self.settings.cold_from) * age)
 
-    def _fill(self, peer: ServerRecord, now: float) -> float:
-        """A cold server earns its warm part of the mean flow to a server; its allowance by now."""
+    def _refill_allowance(self, record: ServerRecord, now: float) -> float:
+        """Refills a cold server's allowance at its warm fraction of the mean rate per server; returns it."""
         self.trim_admissions(now)
-        flow = len(self.admission_times_ms) / LATENCY_WINDOW_MS / max(1, len(self.subset))
+        rate = len(self.admission_times_ms) / LATENCY_WINDOW_MS / max(1, len(self.subset))
         gained = (
-            (now - max(peer.filled_ms, peer.listed_ms))
-            * flow
+            (now - max(record.filled_ms, record.listed_ms))
+            * rate
             * COLD_RATE_FRACTION
-            * self.warm_fraction(peer, now)
+            * self.warm_fraction(record, now)
         )
-        peer.allowance = min(1.0, peer.allowance + gained)
-        peer.filled_ms = now
-        return peer.allowance
+        record.allowance = min(1.0, record.allowance + gained)
+        record.filled_ms = now
+        return record.allowance
 
     def trim_admissions(self, now: float) -> None:
+        """Drops admissions that are older than the window."""
         while self.admission_times_ms and self.admission_times_ms[0] < now - LATENCY_WINDOW_MS:
             self.admission_times_ms.popleft()
 
-    def is_usable(self, peer: ServerRecord, now: float) -> bool:
-        """Whether the drain and cold rules let a new attempt go to this server."""
-        if peer.entry.state is not ServerState.READY or peer.health.down:
+    def is_usable(self, record: ServerRecord, now: float) -> bool:
+        """Whether drain, health checks and slow start permit a new attempt at this server."""
+        if record.entry.state is not ServerState.READY or record.health.down:
             return False
-        warm = self.warm_fraction(peer, now)
-        return warm >= 1.0 or (self._fill(peer, now) >= 1.0 and peer.outstanding < 1 + 4 * warm)
+        warm = self.warm_fraction(record, now)
+        return warm >= 1.0 or (
+            self._refill_allowance(record, now) >= 1.0 and record.outstanding < 1 + 4 * warm
+        )
+
+    def cost(self, record: ServerRecord, now: float) -> float:
+        """Outstanding and reported requests relative to the server's size; the lowest cost is chosen.
 
-    def cost(self, peer: ServerRecord, now: float) -> float:
-        """Least outstanding requests, weighed by size and what its reports say; a cold send due is due."""
-        if self.warm_fraction(peer, now) < 1.0:
+        A cold server whose attempt is due costs nothing.
+        """
+        if self.warm_fraction(record, now) < 1.0:
             return 0.0
-        size = max(1e-3, peer.entry.rating)
-        fresh = max(0.0, 1.0 - (now - peer.load_ms) / MAX_REPORT_AGE_MS)
-        load = self.mean_load + fresh * (peer.load - self.mean_load)  # no report is not idleness
-        return (1.0 + peer.outstanding + load) / size
-
-    def _is_avoided(self, peer: ServerRecord, now: float, jam: bool) -> bool:
-        """Whether it is left alone for now."""
-        # A zone cut off or restarting at once: with many gateways nobody can try each of its servers.
-        failures, health = self.zone_failures.get(peer.entry.zone), peer.health
+        size = max(1e-3, record.entry.rating)
+        fresh = max(0.0, 1.0 - (now - record.load_ms) / MAX_REPORT_AGE_MS)
+        # Without a recent report a server counts as loaded like the mean, not as idle.
+        load = self.mean_load + fresh * (record.load - self.mean_load)
+        return (1.0 + record.outstanding + load) / size
+
+    def _is_avoided(self, record: ServerRecord, now: float, overload: bool) -> bool:
+        """Whether the server gets no ordinary attempt now; suspicion does not count in an overload."""
+        # A zone may be cut off or restart as a whole; a limiter of a large fleet can't test all its servers.
+        failures, health = self.zone_failures.get(record.entry.zone), record.health
         if failures and failures.count >= MIN_ZONE_FAILURES and now < failures.last_ms + MIN_RETEST_DELAY_MS:
             return True
-        if health.suspect and not jam and now < health.retest_ms:
+        if health.suspect and not overload and now < health.retest_ms:
             return True
-        return peer.entry.id in self.silent or health.avoid_ms > now
+        return record.entry.id in self.silent or health.avoid_ms > now
 
     def avoided_servers(self, now: float) -> set[int]:
-        """The listed servers that nothing ordinary is sent to now: draining, down, suspect, full, cut off."""
-        jam, listed = self.most_are_suspect(), self.records.values()
-        out = (p for p in listed if p.entry.state is ServerState.DRAINING or p.health.down)
-        shunned = (p for p in self.ready if self._is_avoided(p, now, jam) or (p.health.suspect and not jam))
-        return {peer.entry.id for peer in (*out, *shunned)}
+        """Ids of listed servers without ordinary attempts now: draining, down, suspect, full or cut off."""
+        overload, listed = self.most_are_suspect(), self.records.values()
+        excluded = (r for r in listed if r.entry.state is ServerState.DRAINING or r.health.down)
+        avoided = (
+            r for r in self.ready if self._is_avoided(r, now, overload) or (r.health.suspect and not overload)
+        )
+        return {record.entry.id for record in (*excluded, *avoided)}
 
     def choose_server(
         self, now: float, allowed: Callable[[ServerRecord], bool] | None, avoid: set[int]
     ) -> ServerRecord | None:
-        """The cheapest of a few random servers, against herding; suspects only where no other is left."""
-        jam = self.most_are_suspect()
+        """Returns the server of the lowest cost among a few random ones; None if no server is usable.
+
+        Random samples keep the limiters from all choosing the same server. Servers that are avoided, or whose
+        id is in `avoid`, are chosen only if there is no other.
+        """
+        overload = self.most_are_suspect()
 
-        def rank(peer: ServerRecord) -> tuple[bool, float]:
-            return peer.entry.id in avoid or self._is_avoided(peer, now, jam), self.cost(peer, now)
+        def rank(record: ServerRecord) -> tuple[bool, float]:
+            return record.entry.id in avoid or self._is_avoided(record, now, overload), self.cost(record, now)
 
         best = None
-        for servers in self._considered():
-            fit = [
-                (rank(p), p) for p in servers if self.is_usable(p, now) and (allowed is None or allowed(p))
+        for group in self._candidate_groups():
+            usable = [
+                (rank(r), r) for r in group if self.is_usable(r, now) and (allowed is None or allowed(r))
             ]
-            found = min(fit, key=lambda pair: pair[0], default=None)
+            found = min(usable, key=lambda pair: pair[0], default=None)
             best = found or best
             if best and not best[0][0]:
                 break
         return best[1] if best else None
 
-    def _considered(self) -> Iterator[list[ServerRecord]]:
-        """Groups of servers to choose among, each where those before hold none to its liking."""
+    def _candidate_groups(self) -> Iterator[list[ServerRecord]]:
+        """Yields groups of servers to choose from; a further one is needed if no candidate is acceptable."""
         yield self.rng.sample(self.subset, min(SAMPLE_SIZE, len(self.subset)))
         if len(self.ready) <= MAX_FULL_SCAN:
             yield self.subset
@@ -290,85 +306,91 @@
             yield self._ready_window.next_items(self.ready)
 
     def record_outcome(self, now: float, event: api.Outcome) -> None:
-        """Learn from an attempt's end; any answer clears a suspicion."""
-        if (peer := self.records.get(event.server)) is None:
+        """Updates a server's state at the end of an attempt; a response clears a suspicion."""
+        if (record := self.records.get(event.server)) is None:
             return
-        peer.outstanding -= 1
-        if peer.entry.state is ServerState.GONE:
-            if peer.outstanding <= 0:
-                self._forget(peer)
+        record.outstanding -= 1
+        if record.entry.state is ServerState.GONE:
+            if record.outstanding <= 0:
+                self._forget(record)
             return
-        health = peer.health
+        health = record.health
         if event.status in (Status.OK, Status.ERROR, Status.FULL):
             health.heard_ms = now
-            self.zone_failures.pop(peer.entry.zone, None)
+            self.zone_failures.pop(record.entry.zone, None)
         if event.status in (Status.OK, Status.ERROR, Status.FULL, Status.RESET):
-            # A reset may be the connection's own end; a process that died refuses the next one, too.
+            # A reset may concern the connection alone; a process that died also refuses the next connection.
             if event.status is not Status.FULL:
                 health.errors = 0 if event.status is Status.OK else health.errors + 1
             if health.errors >= MIN_SUSPECT_ERRORS:
-                self.mark_suspect(peer, now)
+                self.mark_suspect(record, now)
             elif event.status is not Status.RESET:
-                self.clear_suspicion(peer)
-        # Silence while it had work is the sign of a vanished server, a refused connection of a lost one.
-        # In a jam it is common: only beside others that answer several times over does it tell of one.
-        quiet = (
+                self.clear_suspicion(record)
+        # A vanished server is silent while it has attempts outstanding; a failed one refuses connections.
+        # Time-outs are common in an overload, so silence counts only from several median latencies.
+        was_silent = (
             event.elapsed_ms >= SILENCE_LATENCY_RATIO * self.median_latency_ms
             and health.heard_ms < now - event.elapsed_ms
         )
-        silent = event.status is Status.TIMEOUT and quiet
+        timed_out_silent = event.status is Status.TIMEOUT and was_silent
         if event.status is Status.FULL:
             health.avoid_ms = now + FULL_SERVER_PAUSE_MS
-        elif silent or event.status is Status.CONNECT_FAILED:
-            # What was out when it fell silent ends with it, all at once; one trial at a time tells more.
+        elif timed_out_silent or event.status is Status.CONNECT_FAILED:
+            # Attempts that were outstanding together fail together, so they count once.
             if now - event.elapsed_ms > health.last_suspected_ms or not health.suspect:
-                self.mark_suspect(peer, now)
-            failures = self.zone_failures.setdefault(peer.entry.zone, ZoneFailures(0, now))
+                self.mark_suspect(record, now)
+            failures = self.zone_failures.setdefault(record.entry.zone, ZoneFailures(0, now))
             failures.count, failures.last_ms = failures.count + 1, now
         self.record_report(now, event.server, event.report)
 
-    def update_silent(self, now: float, out: Iterable[tuple[float, int]]) -> None:
-        """Note which servers have been silent since something was sent there, long before time-outs tell.
+    def update_silent(self, now: float, outstanding: Iterable[tuple[float, int]]) -> None:
+        """Finds servers without a response since an old attempt was sent, long before its time-out.
 
-        No suspicion: the next answer ends it. It hurts a server whose requests are all long ones.
+        `outstanding` gives the send time and the server of each attempt. A silent server is avoided until its
+        next response, without being suspect. A server whose requests are all long ones is avoided wrongly.
         """
-        long_ago, self.silent = now - SILENCE_LATENCY_RATIO * self.median_latency_ms, set()
-        for sent, server in out:
-            if sent <= long_ago and (peer := self.records.get(server)) and peer.health.heard_ms < sent:
+        cutoff_ms, self.silent = now - SILENCE_LATENCY_RATIO * self.median_latency_ms, set()
+        for sent, server in outstanding:
+            if sent <= cutoff_ms and (record := self.records.get(server)) and record.health.heard_ms < sent:
                 self.silent.add(server)
         if len(self.silent) > MAX_SUSPECT_FRACTION * len(self.ready):
-            self.silent = set()  # a slow back end: it says nothing of any
+            self.silent = set()  # the back end as a whole is slow; no single server is to be avoided
 
     def record_report(self, now: float, server: int, values: tuple[float, ...]) -> None:
-        """Read a load report: requests in hand or queued, else how busy its cores are."""
-        peer = self.records.get(server)
-        if peer is None or not values:
+        """Applies a load report: requests in flight or queued, and the utilization of the cores."""
+        record = self.records.get(server)
+        if record is None or not values:
             return
-        seen = dict(zip(self.settings.report_fields, values, strict=False))
-        held = max(0.0, seen.get("inflight", seen.get("queue", 0.0)) - peer.outstanding)
-        load = held + UTILIZATION_WEIGHT * min(1.0, seen.get("util", 0.0)) ** 2
-        peer.load += REPORT_SMOOTHING_FRACTION * (load - peer.load)
-        peer.load_ms = now
+        report = dict(zip(self.settings.report_fields, values, strict=False))
+        others = max(0.0, report.get("inflight", report.get("queue", 0.0)) - record.outstanding)
+        load = others + UTILIZATION_WEIGHT * min(1.0, report.get("util", 0.0)) ** 2
+        record.load += REPORT_SMOOTHING_FRACTION * (load - record.load)
+        record.load_ms = now
         self.mean_load += REPORT_SMOOTHING_FRACTION * (load - self.mean_load)
 
-    def clear_suspicion(self, peer: ServerRecord) -> None:
-        health = peer.health
+    def clear_suspicion(self, record: ServerRecord) -> None:
+        """Makes a server trusted again, in all pools, and resets its retest delay."""
+        health = record.health
         health.backoff = 0
         if health.suspect:
             health.suspect = False
             for listener in health.listeners:
-                listener.health_changed(peer.entry.id)
+                listener.health_changed(record.entry.id)
 
-    def mark_suspect(self, peer: ServerRecord, now: float) -> None:
-        health = peer.health
+    def mark_suspect(self, record: ServerRecord, now: float) -> None:
+        """Makes a server suspect, in all pools, and doubles the delay until its next trial request."""
+        health = record.health
         health.last_suspected_ms = now
         if not health.suspect:
             health.suspect = True
             for listener in health.listeners:
-                listener.health_changed(peer.entry.id)
+                listener.health_changed(record.entry.id)
         health.retest_ms = now + MIN_RETEST_DELAY_MS * 2 ** min(3, health.backoff)
         health.backoff += 1
 
     def most_are_suspect(self) -> bool:
-        """Whether most are suspect: a jam, whose time-outs are latencies. It hurts if most truly vanished."""
+        """Whether suspects are so many that they indicate an overload, whose time-outs measure latency.
+
+        The conclusion is wrong if most servers have really vanished.
+        """
         return len(self.suspects) > MAX_SUSPECT_FRACTION * len(self.ready)
