--- a/basaltpoint/daemon/document.py
+++ b/basaltpoint/daemon/document.py
@@ -14,7 +14,7 @@
 from basaltpoint.daemon.shared_state import DOCUMENT, DRAIN, PREFIX, SERVER, check_document
 from basaltpoint.store.client import Client
 from basaltpoint.store.command import add_common, ask
-from basaltpoint.store.machine import Check, Put
+from basaltpoint.store.state_machine import Check, Put
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -61,7 +61,7 @@
     revision = args.revision
     if revision is None:
         held = await client.get(DOCUMENT, within_s=args.within)
-        revision = held.changed if held else 0
+        revision = held.modified_revision if held else 0
     result = await client.txn([Put(DOCUMENT, args.text)], [Check(DOCUMENT, revision)], args.within)
     print(f"{args.file}: revision {result.revision}")
     print("`basaltpoint store get --prefix limiter/` tells which limiters run on it")
@@ -73,7 +73,7 @@
     if held is None:
         print("the store holds no document", file=sys.stderr)
         return 1
-    print(f"# revision {held.changed}")
+    print(f"# revision {held.modified_revision}")
     sys.stdout.flush()
     sys.stdout.buffer.write(held.value)
     return 0
--- a/basaltpoint/daemon/store_follower.py
+++ b/basaltpoint/daemon/store_follower.py
@@ -28,7 +28,7 @@
 from basaltpoint.handover.upgrade_state import Shared
 from basaltpoint.store import setting
 from basaltpoint.store.client import StoreError, UnavailableError
-from basaltpoint.store.machine import Check, CompactedError, Put
+from basaltpoint.store.state_machine import Check, CompactedError, Put
 from basaltpoint.system import timestamps
 from basaltpoint.system.timestamps import Timestamp
 
--- a/basaltpoint/rehearsal/probe.py
+++ b/basaltpoint/rehearsal/probe.py
@@ -14,7 +14,7 @@
 
 from basaltpoint.rehearsal.events import Finding
 from basaltpoint.store.client import Client
-from basaltpoint.store.machine import CompactedError
+from basaltpoint.store.state_machine import CompactedError
 
 KEY = "rehearsal/probe"
 WAIT_S = 0.05  # between two writes, and two reads
--- a/basaltpoint/store/client.py
+++ b/basaltpoint/store/client.py
@@ -13,9 +13,9 @@
 
 from basaltpoint.links.frames import PROTOCOL_VERSION, Frame, Greeting
 from basaltpoint.links.transport import GREETING_TIMEOUT_S, Link, Tls, connect
-from basaltpoint.store import machine as kv
 from basaltpoint.store import protocol as p
-from basaltpoint.store.machine import Check, CompactedError, Delete, Event, Put, Result, Value
+from basaltpoint.store import state_machine as kv
+from basaltpoint.store.state_machine import Check, CompactedError, Delete, Event, Put, Result, Value
 
 log = logging.getLogger(__name__)
 
@@ -103,7 +103,7 @@
             self._failed += 1
             async with asyncio.timeout(bound):
                 link = await connect(
-                    lambda: Link(self, greeting, local, p.STORE, self._tls is None),
+                    lambda: Link(self, greeting, local, p.STORE_PROTOCOL, self._tls is None),
                     to.address,
                     to.name,
                     self._tls,
@@ -123,7 +123,7 @@
         while self._waits and (link := self._link) is not None:
             asked = loop.time()
             if self._heard < asked - LOOK_S:
-                link.send(p.Status(0))  # answered once the replica is current: a sign of life, and no more
+                link.send(p.GetStatus(0))  # answered once the replica is current: a sign of life, and no more
             await asyncio.sleep(LOOK_S)
             # What this process slept through is no silence of the other's: it is asked first.
             late = loop.time() - asked > 2 * LOOK_S
@@ -177,7 +177,7 @@
             frame = await self._once(make, min(ANSWER_S, left))
             if frame is not None and good(frame):
                 return frame
-            if isinstance(frame, p.Done):
+            if isinstance(frame, p.CommandResponse):
                 text = frame.result.text
                 self.drop()
             elif frame is not None:
@@ -192,7 +192,7 @@
         """Have a command applied, once. StoreError tells what is refused; UnavailableError: not known."""
         async with self._ordered:
             if not self._session:
-                self._session, self._number = (await self._command(kv.Open(), 0, 0, within_s)).ident, 0
+                self._session, self._number = (await self._command(kv.OpenSession(), 0, 0, within_s)).ident, 0
             self._number += 1
             result = await self._command(action, self._session, self._number, within_s)
         if result.error == "session":
@@ -206,9 +206,12 @@
         command = kv.Command(action, session, number)
 
         def good(frame: Any) -> bool:
-            return isinstance(frame, p.Done) and frame.result.error not in ("unavailable", "unknown")
+            return isinstance(frame, p.CommandResponse) and frame.result.error not in (
+                "unavailable",
+                "unknown",
+            )
 
-        frame = await self._ask(lambda ident: p.Do(ident, command), good, within_s)
+        frame = await self._ask(lambda ident: p.ExecuteCommand(ident, command), good, within_s)
         result: Result = frame.result
         self.revision = max(self.revision, result.revision)
         return result
@@ -217,7 +220,7 @@
         self, ops: Sequence[Put | Delete], checks: Sequence[Check] = (), within_s: float = 10.0
     ) -> Result:
         """Where all checks hold, all operations together; StoreError `check` where one does not."""
-        return await self.do(kv.Txn(tuple(checks), tuple(ops)), within_s)
+        return await self.do(kv.Transaction(tuple(checks), tuple(ops)), within_s)
 
     async def put(self, key: str, value: bytes, lease: int = 0, within_s: float = 10.0) -> Result:
         return await self.txn([Put(key, value, lease)], within_s=within_s)
@@ -226,11 +229,11 @@
         return await self.txn([Delete(key, prefix)], within_s=within_s)
 
     async def grant(self, ttl_ms: int, within_s: float = 10.0) -> int:
-        return (await self.do(kv.Grant(ttl_ms), within_s)).ident
+        return (await self.do(kv.GrantLease(ttl_ms), within_s)).ident
 
     async def renew(self, lease: int, within_s: float = 10.0) -> None:
         """StoreError `lease` where it has ended."""
-        await self.do(kv.Renew(lease), within_s)
+        await self.do(kv.RenewLease(lease), within_s)
 
     # --- Reads ---------------------------------------------------------------------------
     async def range(
@@ -282,7 +285,7 @@
             await asyncio.sleep(wait)
             wait = min(longest, wait * 2)
 
-    async def _follow(self, prefix: str, revision: int) -> AsyncGenerator[p.Events, None]:
+    async def _follow(self, prefix: str, revision: int) -> AsyncGenerator[p.WatchEvents, None]:
         """One watch of one connection, to its end."""
         try:
             link = await self._connected()
@@ -299,12 +302,14 @@
                 yield frame
         finally:
             self._waits.pop(ident, None)
-            link.send(p.Unwatch(ident))
+            link.send(p.CancelWatch(ident))
 
     # --- Operators' ---------------------------------------------------------------------------
-    async def status(self, within_s: float = 5.0) -> p.Standing:
+    async def status(self, within_s: float = 5.0) -> p.ReplicaStatus:
         """How the replica stands that is asked."""
-        found: p.Standing = await self._ask(p.Status, lambda f: isinstance(f, p.Standing), within_s)
+        found: p.ReplicaStatus = await self._ask(
+            p.GetStatus, lambda f: isinstance(f, p.ReplicaStatus), within_s
+        )
         return found
 
     async def dump(self, within_s: float = 30.0) -> bytes:
@@ -312,11 +317,11 @@
         data, total = b"", -1
         while len(data) != total:
             offset = len(data)
-            part = await self._ask(partial(p.Dump, offset=offset), _dumped, within_s)
-            if offset and part.total != total:  # another replica, or another state: begin anew
+            part = await self._ask(partial(p.DumpState, offset=offset), _dumped, within_s)
+            if offset and part.total_bytes != total:  # another replica, or another state: begin anew
                 data, total = b"", -1
                 continue
-            data, total = data + part.data, part.total
+            data, total = data + part.data, part.total_bytes
         return data
 
     async def change(self, what: str, name: str, address: str = "", within_s: float = 10.0) -> Result:
@@ -325,8 +330,8 @@
         Asked again where its effect is not known; done where the membership is as asked for by then.
         """
 
-        def reached(standing: p.Standing) -> bool:
-            member = standing.members.get(name)
+        def reached(standing: p.ReplicaStatus) -> bool:
+            member = standing.membership.find(name)
             match what:
                 case "add":
                     return member is not None and member.address == address
@@ -335,18 +340,20 @@
                 case _:
                     return member is None
 
-        return await self._operate(lambda ident: p.Change(ident, what, name, address), reached, within_s)
+        return await self._operate(
+            lambda ident: p.ChangeMembership(ident, what, name, address), reached, within_s
+        )
 
     async def transfer(self, name: str, within_s: float = 10.0) -> Result:
         """Hand the leadership to a voter; asked again where its effect is not known."""
-        return await self._operate(lambda ident: p.Transfer(ident, name), _never, within_s)
+        return await self._operate(lambda ident: p.TransferLeadership(ident, name), _never, within_s)
 
     async def snapshot(self, within_s: float = 10.0) -> Result:
         """Have the replica that is asked compact its log."""
-        return await self._operate(p.Snap, _never, within_s)
+        return await self._operate(p.TakeSnapshot, _never, within_s)
 
     async def _operate(
-        self, make: Callable[[int], Frame], reached: Callable[[p.Standing], bool], within_s: float
+        self, make: Callable[[int], Frame], reached: Callable[[p.ReplicaStatus], bool], within_s: float
     ) -> Result:
         """Have an operation carried out; StoreError where it is refused and `reached` finds it undone."""
         end = asyncio.get_running_loop().time() + within_s
@@ -359,7 +366,7 @@
 
         def final(frame: Any) -> bool:
             nonlocal in_doubt
-            if not isinstance(frame, p.Done):
+            if not isinstance(frame, p.CommandResponse):
                 return False
             in_doubt -= frame.result.error not in ("", "unknown")
             return frame.result.error not in ("unavailable", "unknown")
@@ -372,7 +379,7 @@
             return Result(result.revision)
         raise StoreError(result.error, result.text)
 
-    async def _current_standing(self, within_s: float) -> p.Standing:
+    async def _current_standing(self, within_s: float) -> p.ReplicaStatus:
         """How a replica stands that has applied all that was committed when this was called."""
         end = asyncio.get_running_loop().time() + within_s
         while True:
@@ -384,10 +391,10 @@
                 return standing
 
 
-def _never(standing: p.Standing) -> bool:
+def _never(standing: p.ReplicaStatus) -> bool:
     """For operations that may be repeated: a refusal says all."""
     return False
 
 
 def _dumped(frame: Any) -> bool:
-    return isinstance(frame, p.Dumped) and not frame.error
+    return isinstance(frame, p.DumpChunk) and not frame.error
--- a/basaltpoint/store/command.py
+++ b/basaltpoint/store/command.py
@@ -20,11 +20,11 @@
 from basaltpoint.config.storage import Storage
 from basaltpoint.store import backup, setting
 from basaltpoint.store.client import Client, StoreError
-from basaltpoint.store.disk import DamageError
-from basaltpoint.store.files import Point, no_point
+from basaltpoint.store.disk import CorruptionError
+from basaltpoint.store.files import CrashPoint, no_crash_point
 from basaltpoint.store.folder import FolderError
-from basaltpoint.store.machine import Check, CompactedError, Delete, Put
 from basaltpoint.store.replica import Replica
+from basaltpoint.store.state_machine import Check, CompactedError, Delete, Put
 
 log = logging.getLogger("basaltpoint")
 
@@ -130,10 +130,10 @@
 
 
 # --- A replica ---------------------------------------------------------------------------
-def crash_point(text: str) -> Point:
+def crash_point(text: str) -> CrashPoint:
     """Ends the process at a named point, as a power failure would; only for tests."""
     if not text:
-        return no_point
+        return no_crash_point
     name, _, count = text.partition(":")
     left = int(count or 1)
 
@@ -155,7 +155,7 @@
         return 2
     try:
         replica = Replica(setting.replica(storage), crash_point(os.environ.get(CRASH, "")))
-    except (FolderError, DamageError, OSError) as error:
+    except (FolderError, CorruptionError, OSError) as error:
         log.error("store: %s", error)
         return 1
     gc.freeze()
@@ -189,7 +189,7 @@
         backup.restore(
             held, storage.folder, storage.table.cluster, storage.table.name, setting.initial(storage)
         )
-    except (backup.BackupError, FolderError, DamageError, OSError) as error:
+    except (backup.BackupError, FolderError, CorruptionError, OSError) as error:
         print(error, file=sys.stderr)
         return 1
     table = storage.table
@@ -205,23 +205,27 @@
         "role": found.role + (", recovering what it may have acknowledged" if found.recovering else ""),
         "leader": found.leader or f"none for {found.age_ms / 1000:.1f} s",
         "term": found.term,
-        "log": f"{found.last} entries, {found.commit} committed, {found.applied} applied",
+        "log": f"{found.last_index} entries, {found.commit_index} committed, {found.applied_index} applied",
         "revision": found.revision,
-        "size": f"{found.size} bytes",
+        "size": f"{found.state_bytes} bytes",
     }
-    if found.broken:
-        rows["broken"] = found.broken
+    if found.failure:
+        rows["broken"] = found.failure
     for key, value in rows.items():
         print(f"{key:9} {value}")
-    return 0 if found.leader and not found.broken else 1
+    return 0 if found.leader and not found.failure else 1
 
 
 async def _members(client: Client, args: argparse.Namespace) -> int:
     found = await client.status(args.within)
-    for member in found.members.members:
+    for member in found.membership.members:
         kind = "voter" if member.voter else "learner"
         lead = " leader" if member.name == found.leader else ""
-        held = f" holds {found.matches[member.name]} of {found.last}" if member.name in found.matches else ""
+        held = (
+            f" holds {found.match_indexes[member.name]} of {found.last_index}"
+            if member.name in found.match_indexes
+            else ""
+        )
         print(f"{member.name} {member.address or '-'} {kind}{lead}{held}")
     return 0
 
@@ -288,7 +292,7 @@
     found, _ = await client.range(args.key, local=args.local, exact=not args.prefix, within_s=args.within)
     for key, value in found.items():
         if args.prefix:
-            print(f"{key} {value.changed} ", end="", flush=True)
+            print(f"{key} {value.modified_revision} ", end="", flush=True)
         sys.stdout.buffer.write(value.value + b"\n")
         sys.stdout.buffer.flush()
     return 0 if found else 1
--- a/basaltpoint/store/files.py
+++ b/basaltpoint/store/files.py
@@ -11,14 +11,14 @@
 class Files(Protocol):
     """One folder. OSError where the system can't."""
 
-    def names(self) -> list[str]: ...
+    def list_names(self) -> list[str]: ...
 
     def read(self, name: str) -> bytes: ...
 
     def append(self, name: str, data: bytes) -> None:
         """Write behind what a file holds; it comes to be with the first byte."""
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         """Shorten a file, on the disk as well."""
 
     def sync(self, name: str) -> None:
@@ -28,43 +28,43 @@
 
     def remove(self, name: str) -> None: ...
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         """Have the folder itself on the disk: without it, a new file may be gone after a power failure."""
 
 
-class Folder:
+class OsFiles:
     """The system's files."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self._open: dict[str, int] = {}
+        self._open_files: dict[str, int] = {}
 
-    def names(self) -> list[str]:
+    def list_names(self) -> list[str]:
         return sorted(os.listdir(self.path))
 
     def read(self, name: str) -> bytes:
         return (self.path / name).read_bytes()
 
     def append(self, name: str, data: bytes) -> None:
-        handle = self._handle(name)
+        handle = self._descriptor(name)
         view = memoryview(data)
         while view:
             view = view[os.write(handle, view) :]
 
-    def _handle(self, name: str) -> int:
-        if (handle := self._open.get(name)) is None:
+    def _descriptor(self, name: str) -> int:
+        if (descriptor := self._open_files.get(name)) is None:
             flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC
-            handle = self._open[name] = os.open(self.path / name, flags, 0o600)
-        return handle
+            descriptor = self._open_files[name] = os.open(self.path / name, flags, 0o600)
+        return descriptor
 
-    def cut(self, name: str, size: int) -> None:
-        handle = self._handle(name)
+    def truncate(self, name: str, size: int) -> None:
+        handle = self._descriptor(name)
         os.ftruncate(handle, size)
         os.fsync(handle)
 
     def sync(self, name: str) -> None:
         # The size is data that must be found again, and fdatasync writes it, too.
-        os.fdatasync(self._handle(name))
+        os.fdatasync(self._descriptor(name))
 
     def rename(self, old: str, new: str) -> None:
         self._close(old)
@@ -74,28 +74,28 @@
         self._close(name)
         os.unlink(self.path / name)
 
-    def sync_names(self) -> None:
-        sync_folder(self.path)
+    def sync_directory(self) -> None:
+        sync_directory(self.path)
 
     def _close(self, name: str) -> None:
-        if (handle := self._open.pop(name, None)) is not None:
+        if (handle := self._open_files.pop(name, None)) is not None:
             os.close(handle)
 
     def close(self) -> None:
-        for name in list(self._open):
+        for name in list(self._open_files):
             self._close(name)
 
 
-def sync_folder(path: Path) -> None:
+def sync_directory(path: Path) -> None:
     """Have a folder's names on the disk."""
-    handle = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
+    descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        os.fsync(handle)
+        os.fsync(descriptor)
     finally:
-        os.close(handle)
+        os.close(descriptor)
 
 
-def replace(path: Path, data: bytes) -> None:
+def replace_file(path: Path, data: bytes) -> None:
     """Have a file hold these bytes, on the disk: whole, or as it was. Its owner alone may read it."""
     temporary = path.with_name(path.name + ".tmp")
     with open(temporary, "wb") as file:
@@ -104,11 +104,11 @@
         file.flush()
         os.fsync(file.fileno())
     os.rename(temporary, path)
-    sync_folder(path.parent)
+    sync_directory(path.parent)
 
 
-Point = Callable[[str], None]
+CrashPoint = Callable[[str], None]
 
 
-def no_point(name: str) -> None:
+def no_crash_point(name: str) -> None:
     """A crash point at which nothing happens."""
--- a/basaltpoint/store/folder.py
+++ b/basaltpoint/store/folder.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from basaltpoint.store.files import replace
+from basaltpoint.store.files import replace_file
 
-IDENTITY = "replica.json"
-STAMP = "stamp"
-LOCK = "lock"
-LOG = "log"
+IDENTITY_FILE = "replica.json"
+STAMP_FILE = "stamp"
+LOCK_FILE = "lock"
+LOG_DIRECTORY = "log"
 
 
 class FolderError(Exception):
@@ -34,59 +34,61 @@
 
     def __init__(self, path: Path, cluster: str, name: str) -> None:
         self.path = path
-        (path / LOG).mkdir(parents=True, exist_ok=True, mode=0o700)
-        self._lock = os.open(path / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        (path / LOG_DIRECTORY).mkdir(parents=True, exist_ok=True, mode=0o700)
+        self._lock_descriptor = os.open(path / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
-            fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(self._lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            os.close(self._lock)
+            os.close(self._lock_descriptor)
             raise FolderError(f"{path}: another process uses this folder; one at a time is allowed") from None
-        self.suspect = False
+        self.may_be_stale = False
         try:
             self._open(cluster, name)
         except BaseException:
-            os.close(self._lock)
+            os.close(self._lock_descriptor)
             raise
 
     @property
     def log(self) -> Path:
-        return self.path / LOG
+        return self.path / LOG_DIRECTORY
 
     def _open(self, cluster: str, name: str) -> None:
         self._identity = Identity(cluster=cluster, name=name, stamp=(0, 0, 0))
-        file = self.path / IDENTITY
+        file = self.path / IDENTITY_FILE
         if not file.exists():
             if any(self.log.iterdir()):
                 raise FolderError(
                     f"{file}: missing, though there is a log; a replica's whole folder is needed"
                 )
-            self.stamp()
+            self.write_stamp()
             return
         try:
-            held = msgspec.json.decode(file.read_bytes(), type=Identity)
+            stored = msgspec.json.decode(file.read_bytes(), type=Identity)
         except msgspec.DecodeError as error:
             raise FolderError(f"{file}: {error}; remove the folder and add the replica anew") from None
-        for what, found, wanted in (("cluster", held.cluster, cluster), ("name", held.name, name)):
+        for what, found, wanted in (("cluster", stored.cluster, cluster), ("name", stored.name, name)):
             if found != wanted:
                 raise FolderError(
                     f"{self.path}: found the {what} {found!r}; allowed: {wanted!r}, as configured"
                 )
-        self.suspect = held.stamp != self._stamped()
+        self.may_be_stale = stored.stamp != self._read_stamp()
 
-    def _stamped(self) -> tuple[int, int, int]:
+    def _read_stamp(self) -> tuple[int, int, int]:
         try:
-            found = os.stat(self.path / STAMP)
+            found = os.stat(self.path / STAMP_FILE)
         except FileNotFoundError:
             return 0, 0, 0
         return found.st_dev, found.st_ino, found.st_ctime_ns
 
-    def stamp(self) -> None:
+    def write_stamp(self) -> None:
         """This copy is the replica from now on: to be called when its doubt is on the disk."""
-        with open(self.path / STAMP, "w") as stamp:
+        with open(self.path / STAMP_FILE, "w") as stamp:
             os.fsync(stamp.fileno())
-        self._identity.stamp = self._stamped()
-        replace(self.path / IDENTITY, msgspec.json.format(msgspec.json.encode(self._identity)) + b"\n")
-        self.suspect = False
+        self._identity.stamp = self._read_stamp()
+        replace_file(
+            self.path / IDENTITY_FILE, msgspec.json.format(msgspec.json.encode(self._identity)) + b"\n"
+        )
+        self.may_be_stale = False
 
     def close(self) -> None:
-        os.close(self._lock)
+        os.close(self._lock_descriptor)
--- a/basaltpoint/store/messages.py
+++ b/basaltpoint/store/messages.py
@@ -11,12 +11,12 @@
 import msgspec
 
 
-class Kind(IntEnum):
+class EntryKind(IntEnum):
     """What an entry of the log holds."""
 
     COMMAND = 0  # for the state machine
-    MEMBERS = 1  # who belongs to the cluster from here on
-    EMPTY = 2  # a new leader's first: with it, entries of earlier terms are committed
+    MEMBERSHIP = 1  # who belongs to the cluster from here on
+    NO_OP = 2  # a new leader's first: with it, entries of earlier terms are committed
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
@@ -24,7 +24,7 @@
 
     term: int
     index: int
-    kind: Kind
+    kind: EntryKind
     data: bytes = b""
 
 
@@ -36,7 +36,7 @@
     voter: bool = True
 
 
-class Members(msgspec.Struct, frozen=True, array_like=True):
+class Membership(msgspec.Struct, frozen=True, array_like=True):
     """Who belongs to the cluster."""
 
     members: tuple[Member, ...] = ()
@@ -49,7 +49,7 @@
     def names(self) -> tuple[str, ...]:
         return tuple(member.name for member in self.members)
 
-    def get(self, name: str) -> Member | None:
+    def find(self, name: str) -> Member | None:
         return next((member for member in self.members if member.name == name), None)
 
     @property
@@ -57,14 +57,14 @@
         return len(self.voters) // 2 + 1
 
 
-class Hard(msgspec.Struct, frozen=True, array_like=True):
+class HardState(msgspec.Struct, frozen=True, array_like=True):
     """What a replica must never forget."""
 
     term: int = 0
-    vote: str = ""  # whom it voted for in the term
+    voted_for: str = ""  # whom it voted for in the term
     # While it is not sure to hold all that it acknowledged, it gives no vote (see Raft.recovering).
     recovering: bool = False
-    goal: tuple[int, int] = (0, 0)  # term and index of the last entry it must hold again
+    recovery_goal: tuple[int, int] = (0, 0)  # term and index of the last entry it must hold again
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
@@ -72,7 +72,7 @@
 
     index: int = 0
     term: int = 0
-    members: Members = Members()
+    membership: Membership = Membership()
     data: bytes = b""
 
 
@@ -82,90 +82,104 @@
     term: int
 
 
-class Vote(Message, frozen=True, tag="v"):
+class RequestVote(Message, frozen=True, tag="v"):
     """Asks for a vote; `pre`: only whether it would be given (Ongaro 9.6)."""
 
     last_index: int
     last_term: int
-    pre: bool = False
-    forced: bool = False  # the leader itself hands over, so that a living leader is no reason to refuse
-    seen: int = 0  # index up to which the receiver is known to have acknowledged
+    pre_vote: bool = False
+    is_transfer: bool = False  # the leader itself hands over, so that a living leader is no reason to refuse
+    acknowledged_index: int = 0  # index up to which the receiver is known to have acknowledged
 
 
-class Voted(Message, frozen=True, tag="V"):
+class RequestVoteResponse(Message, frozen=True, tag="V"):
     """The answer to it."""
 
     granted: bool
-    pre: bool = False
-    seen: int = 0  # index up to which the asker is known to have acknowledged
+    pre_vote: bool = False
+    acknowledged_index: int = 0  # index up to which the asker is known to have acknowledged
 
 
-class Append(Message, frozen=True, tag="a"):
+class AppendEntries(Message, frozen=True, tag="a"):
     """Entries after `prev_index`; with none it is a heartbeat."""
 
     prev_index: int
     prev_term: int
     entries: tuple[Entry, ...]
-    commit: int
-    round: int  # of heartbeats: its echo proves that the sender still led when it was sent
-    seen: int = 0  # index that the receiver has acknowledged to this leader
-    marks: tuple[tuple[str, int], ...] = ()  # what others have, for the time when this leader is gone
+    commit_index: int
+    heartbeat_round: int  # of heartbeats: its echo proves that the sender still led when it was sent
+    acknowledged_index: int = 0  # index that the receiver has acknowledged to this leader
+    acknowledged_indexes: tuple[
+        tuple[str, int], ...
+    ] = ()  # what others have, for the time when this leader is gone
 
 
-class Appended(Message, frozen=True, tag="A"):
+class AppendEntriesResponse(Message, frozen=True, tag="A"):
     """The answer to it: `index` is the last that agrees, or with `good` false the last that may."""
 
-    good: bool
+    success: bool
     index: int
-    round: int
+    heartbeat_round: int
 
 
-class Chunk(Message, frozen=True, tag="c"):
+class InstallSnapshot(Message, frozen=True, tag="c"):
     """A part of a snapshot for one who lacks entries that the log no longer holds."""
 
-    index: int
-    index_term: int
-    members: Members
+    last_included_index: int
+    last_included_term: int
+    membership: Membership
     offset: int
-    total: int
+    total_bytes: int
     data: bytes
-    round: int
+    heartbeat_round: int
 
 
-class Chunked(Message, frozen=True, tag="C"):
+class InstallSnapshotResponse(Message, frozen=True, tag="C"):
     """The answer to it: the offset wanted next."""
 
-    index: int
-    offset: int
-    round: int
+    last_included_index: int
+    next_offset: int
+    heartbeat_round: int
 
 
-class Lead(Message, frozen=True, tag="t"):
+class TimeoutNow(Message, frozen=True, tag="t"):
     """Stand for election now: the leader hands over (Ongaro 3.10)."""
 
 
-class ReadAsk(Message, frozen=True, tag="r"):
+class ReadIndex(Message, frozen=True, tag="r"):
     """A follower asks the leader up to which index it must have applied for a current read."""
 
     token: int
 
 
-class ReadTold(Message, frozen=True, tag="R"):
+class ReadIndexResponse(Message, frozen=True, tag="R"):
     """The answer to it; -1 where the asked one does not lead."""
 
     token: int
     index: int
 
 
-class Hello(Message, frozen=True, tag="h"):
+class RecoveryRequest(Message, frozen=True, tag="h"):
     """One who may have lost what it acknowledged asks what the others hold."""
 
 
-class HelloTold(Message, frozen=True, tag="H"):
+class RecoveryResponse(Message, frozen=True, tag="H"):
     """The answer to it."""
 
     last_index: int
     last_term: int
 
 
-Any = Vote | Voted | Append | Appended | Chunk | Chunked | Lead | ReadAsk | ReadTold | Hello | HelloTold
+AnyMessage = (
+    RequestVote
+    | RequestVoteResponse
+    | AppendEntries
+    | AppendEntriesResponse
+    | InstallSnapshot
+    | InstallSnapshotResponse
+    | TimeoutNow
+    | ReadIndex
+    | ReadIndexResponse
+    | RecoveryRequest
+    | RecoveryResponse
+)
--- a/basaltpoint/store/protocol.py
+++ b/basaltpoint/store/protocol.py
@@ -5,20 +5,22 @@
 import msgspec
 
 from basaltpoint.links.frames import Frame, Greeting, WireProtocol
-from basaltpoint.store import machine as kv
 from basaltpoint.store import messages
+from basaltpoint.store import state_machine as kv
 
-COMMAND = 4 << 20  # bytes of the longest command: with its head it fits into a frame between replicas
-PAGE = 1 << 20  # bytes of keys and values in one answer
+MAX_COMMAND_BYTES = (
+    4 << 20
+)  # bytes of the longest command: with its head it fits into a frame between replicas
+PAGE_BYTES = 1 << 20  # bytes of keys and values in one answer
 
 
-class Peer(Frame, frozen=True, tag="m"):
+class ReplicaMessage(Frame, frozen=True, tag="m"):
     """A message of the core."""
 
-    message: messages.Any
+    message: messages.AnyMessage
 
 
-class Do(Frame, frozen=True, tag="do"):
+class ExecuteCommand(Frame, frozen=True, tag="do"):
     """Apply a command."""
 
     ident: int
@@ -43,57 +45,57 @@
     revision: int
 
 
-class Unwatch(Frame, frozen=True, tag="unwatch"):
+class CancelWatch(Frame, frozen=True, tag="unwatch"):
     """End a watch."""
 
     ident: int
 
 
-class Status(Frame, frozen=True, tag="status"):
+class GetStatus(Frame, frozen=True, tag="status"):
     """Tell how it stands."""
 
     ident: int
 
 
-class Change(Frame, frozen=True, tag="change"):
+class ChangeMembership(Frame, frozen=True, tag="change"):
     """Change the membership: what is one of add, promote, remove."""
 
     ident: int
-    what: str
+    action: str
     name: str
     address: str = ""
 
 
-class Transfer(Frame, frozen=True, tag="transfer"):
+class TransferLeadership(Frame, frozen=True, tag="transfer"):
     """Hand the leadership to a member."""
 
     ident: int
     name: str
 
 
-class Snap(Frame, frozen=True, tag="snap"):
+class TakeSnapshot(Frame, frozen=True, tag="snap"):
     """Write a snapshot now."""
 
     ident: int
 
 
-class Dump(Frame, frozen=True, tag="dump"):
+class DumpState(Frame, frozen=True, tag="dump"):
     """Tell the whole state, from an offset on; 0 begins anew, with what is current."""
 
     ident: int
     offset: int
 
 
-class Dumped(Frame, frozen=True, tag="U"):
+class DumpChunk(Frame, frozen=True, tag="U"):
     """A part of the state."""
 
     ident: int
-    total: int
+    total_bytes: int
     data: bytes
     error: str = ""
 
 
-class Done(Frame, frozen=True, tag="D"):
+class CommandResponse(Frame, frozen=True, tag="D"):
     """The answer to a command; `error` as in machine.Result, or unavailable, unknown, refused."""
 
     ident: int
@@ -111,7 +113,7 @@
     age_ms: float = 0.0  # how long ago this replica knew that it was current
 
 
-class Events(Frame, frozen=True, tag="E"):
+class WatchEvents(Frame, frozen=True, tag="E"):
     """Changes, in their order; `compacted` ends the watch: not all of them are held any more."""
 
     ident: int
@@ -120,7 +122,7 @@
     compacted: int = 0
 
 
-class Standing(Frame, frozen=True, tag="S"):
+class ReplicaStatus(Frame, frozen=True, tag="S"):
     """How a replica stands."""
 
     ident: int
@@ -129,33 +131,54 @@
     role: str
     leader: str
     term: int
-    commit: int
-    applied: int
-    last: int
+    commit_index: int
+    applied_index: int
+    last_index: int
     revision: int
-    size: int
-    members: messages.Members
+    state_bytes: int
+    membership: messages.Membership
     recovering: bool
-    broken: str
+    failure: str
     age_ms: float
-    matches: dict[str, int] = msgspec.field(default_factory=dict)  # of a leader: what each member holds
+    match_indexes: dict[str, int] = msgspec.field(default_factory=dict)  # of a leader: what each member holds
 
 
-class Pass(Frame, frozen=True, tag="f"):
+class ForwardedRequest(Frame, frozen=True, tag="f"):
     """A follower passes a client's request on to the leader."""
 
     ident: int
-    request: Do | Change | Transfer
+    request: ExecuteCommand | ChangeMembership | TransferLeadership
 
 
-class Passed(Frame, frozen=True, tag="F"):
+class ForwardedResponse(Frame, frozen=True, tag="F"):
     """The leader's answer to it."""
 
     ident: int
     result: kv.Result
 
 
-Request = Do | Get | Watch | Unwatch | Status | Change | Transfer | Snap | Dump
-AnyFrame = Greeting | Peer | Pass | Passed | Request | Done | Page | Events | Standing | Dumped
-
-STORE = WireProtocol("store", msgspec.msgpack.Decoder(AnyFrame).decode)
+Request = (
+    ExecuteCommand
+    | Get
+    | Watch
+    | CancelWatch
+    | GetStatus
+    | ChangeMembership
+    | TransferLeadership
+    | TakeSnapshot
+    | DumpState
+)
+AnyFrame = (
+    Greeting
+    | ReplicaMessage
+    | ForwardedRequest
+    | ForwardedResponse
+    | Request
+    | CommandResponse
+    | Page
+    | WatchEvents
+    | ReplicaStatus
+    | DumpChunk
+)
+
+STORE_PROTOCOL = WireProtocol("store", msgspec.msgpack.Decoder(AnyFrame).decode)
--- a/basaltpoint/store/raft.py
+++ b/basaltpoint/store/raft.py
@@ -13,21 +13,27 @@
 
 from basaltpoint.store import messages as m
 from basaltpoint.store.log import Log
-from basaltpoint.store.messages import Entry, Hard, Kind, Members, Message, Snapshot
+from basaltpoint.store.messages import Entry, EntryKind, HardState, Membership, Message, Snapshot
 from basaltpoint.store.wire import encode
 
-BATCH = 256 * 1024  # bytes of entries in one message; a frame of the transport holds it and its head
-CHUNK = 256 * 1024  # bytes of a snapshot in one message
-AHEAD = 4096  # entries sent on without an answer; beyond, a slow follower would fill the leader's buffers
-CLOSE = 1000  # entries that a learner may lack to become a voter; with more, commits would wait for it
-NOBODY = "-"  # as a vote: given, to whom is not known any more
+MAX_APPEND_BYTES = (
+    256 * 1024
+)  # bytes of entries in one message; a frame of the transport holds it and its head
+SNAPSHOT_CHUNK_BYTES = 256 * 1024  # bytes of a snapshot in one message
+MAX_UNACKNOWLEDGED_ENTRIES = (
+    4096  # entries sent on without an answer; beyond, a slow follower would fill the leader's buffers
+)
+MAX_LEARNER_LAG_ENTRIES = (
+    1000  # entries that a learner may lack to become a voter; with more, commits would wait for it
+)
+UNKNOWN_VOTE = "-"  # as a vote: given, to whom is not known any more
 
 
 class Role(Enum):
     """What a replica is at present."""
 
     FOLLOWER = "follower"
-    PRE = "pre-candidate"
+    PRE_CANDIDATE = "pre-candidate"
     CANDIDATE = "candidate"
     LEADER = "leader"
 
@@ -41,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Options:
+class RaftOptions:
     """Times in ms. The election time is drawn from `election_ms` to twice that."""
 
     election_ms: float = 250.0
@@ -57,15 +63,15 @@
     answer `reads`.
     """
 
-    early: list[tuple[str, Message]] = field(default_factory=list)
-    install: Snapshot | None = None
+    early_messages: list[tuple[str, Message]] = field(default_factory=list)
+    install_snapshot: Snapshot | None = None
     entries: tuple[Entry, ...] = ()
-    hard: Hard | None = None
+    hard_state: HardState | None = None
     messages: list[tuple[str, Message]] = field(default_factory=list)
-    restore: Snapshot | None = None
-    applies: tuple[Entry, ...] = ()
-    reads: list[tuple[int, int]] = field(default_factory=list)  # token, index that must be applied
-    dropped: list[int] = field(default_factory=list)  # tokens of reads that won't be answered
+    restore_snapshot: Snapshot | None = None
+    committed_entries: tuple[Entry, ...] = ()
+    confirmed_reads: list[tuple[int, int]] = field(default_factory=list)  # token, index that must be applied
+    failed_reads: list[int] = field(default_factory=list)  # tokens of reads that won't be answered
 
     def __bool__(self) -> bool:
         return any(getattr(self, name) for name in self.__slots__)
@@ -75,24 +81,24 @@
 class Progress:
     """What a leader knows of another member."""
 
-    next: int
-    match: int = 0
-    heard: float = 0.0
-    round: int = 0
+    next_index: int
+    match_index: int = 0
+    last_response_ms: float = 0.0
+    acknowledged_round: int = 0
     probing: bool = True  # one message at a time, until it is known where the logs agree
-    waiting: bool = False  # such a message is out
-    sending: Snapshot | None = None  # the same one to its end: later ones would begin from nothing
-    offset: int = 0
+    awaits_response: bool = False  # such a message is out
+    snapshot: Snapshot | None = None  # the same one to its end: later ones would begin from nothing
+    snapshot_offset: int = 0
 
 
 @dataclass(slots=True)
-class Read:
+class PendingRead:
     """A read that waits for proof that the leader still led when it came."""
 
-    round: int
-    index: int
+    heartbeat_round: int
+    read_index: int
     token: int
-    asker: str  # "" for this replica
+    requester: str  # "" for this replica
 
 
 class Raft:
@@ -100,650 +106,745 @@
 
     def __init__(
         self,
-        me: str,
-        options: Options,
+        name: str,
+        options: RaftOptions,
         rng: random.Random,
         now: float,
-        hard: Hard,
+        hard_state: HardState,
         log: Log,
-        suspect: bool = False,
+        may_be_stale: bool = False,
     ) -> None:
         """`suspect`: the disk may be an older copy of itself."""
-        self.me, self.options, self.rng = me, options, rng
-        self.hard, self.log = hard, log
+        self.name, self.options, self.rng = name, options, rng
+        self.hard_state, self.log = hard_state, log
         self.role, self.leader = Role.FOLLOWER, ""
-        self.commit = self.applied = log.snapshot.index
-        self.stable = log.last
-        self.members, self.members_at = log.members()
+        self.commit_index = self.applied_index = log.snapshot.index
+        self.synced_index = log.last_index
+        self.membership, self.membership_index = log.membership()
         self.progress: dict[str, Progress] = {}
-        self.broken = False
-        self._now = self._heard = now
-        self._heard -= options.election_ms  # no leader is known: nothing speaks against a vote
-        self._deadline = 0.0
-        self._beat = self._check = 0.0
+        self.disk_failed = False
+        self._now_ms = self._leader_seen_ms = now
+        self._leader_seen_ms -= options.election_ms  # no leader is known: nothing speaks against a vote
+        self._election_deadline_ms = 0.0
+        self._next_heartbeat_ms = self._next_quorum_check_ms = 0.0
         self._votes: dict[str, bool] = {}
-        self._round = 0
-        self._reads: list[Read] = []
-        self._sought: dict[int, str] = {}  # reads asked of a leader: token, its name
-        self._marks: dict[str, int] = {}  # index up to which each has acknowledged committed entries
+        self._heartbeat_round = 0
+        self._pending_reads: list[PendingRead] = []
+        self._forwarded_reads: dict[int, str] = {}  # reads asked of a leader: token, its name
+        self._acknowledged_indexes: dict[
+            str, int
+        ] = {}  # index up to which each has acknowledged committed entries
         self._transfer: tuple[str, float] | None = None
-        self._partial: tuple[int, int, bytearray] | None = None  # term, index and start of a snapshot
-        self._hellos: dict[str, m.HelloTold] = {}
-        self._first = 0  # index of the first entry of this replica's leadership
-        self._fresh = False  # entries were proposed since the last `take`: they go out together
-        self._out = Output()
-        self._saved = hard
-        self._unsaved = log.last + 1  # first entry that was not handed out to be written
-        self._rearm()
-        if suspect:
-            self._doubt()
+        self._partial_snapshot: tuple[int, int, bytearray] | None = (
+            None  # term, index and start of a snapshot
+        )
+        self._recovery_responses: dict[str, m.RecoveryResponse] = {}
+        self._term_start_index = 0  # index of the first entry of this replica's leadership
+        self._has_new_entries = False  # entries were proposed since the last `take`: they go out together
+        self._output = Output()
+        self._written_hard_state = hard_state
+        self._next_unwritten_index = log.last_index + 1  # first entry that was not handed out to be written
+        self._reset_election_timer()
+        if may_be_stale:
+            self._enter_recovery()
 
     # --- Time ------------------------------------------------------------------------------------
     @property
-    def next_ms(self) -> float:
+    def next_tick_ms(self) -> float:
         """When `tick` is due."""
-        return min(self._beat, self._check) if self.role is Role.LEADER else self._deadline
+        return (
+            min(self._next_heartbeat_ms, self._next_quorum_check_ms)
+            if self.role is Role.LEADER
+            else self._election_deadline_ms
+        )
 
     def tick(self, now: float) -> None:
         """What is due by now. Each input does this first: one who slept must not act on what it knew."""
-        self._now = max(self._now, now)
-        if self.broken:
+        self._now_ms = max(self._now_ms, now)
+        if self.disk_failed:
             return
         if self.role is Role.LEADER:
-            self._lead()
-        elif self._now >= self._deadline:
-            self._rearm()
-            if self.hard.recovering:
-                self._ask()
-            elif self.me in self.members.voters:
-                self._stand(pre=True)
-
-    def _rearm(self) -> None:
-        self._deadline = self._now + self.options.election_ms * (1.0 + self.rng.random())
-
-    def _lead(self) -> None:
-        if self._now >= self._check:
-            self._check = self._now + self.options.election_ms
-            since = self._now - self.options.election_ms
-            alive = {name for name, other in self.progress.items() if other.heard >= since} | {self.me}
-            if not self._quorum(alive):  # check quorum [6.2]: its clients would wait for nothing
-                self._follow(self.hard.term, "")
+            self._tick_leader()
+        elif self._now_ms >= self._election_deadline_ms:
+            self._reset_election_timer()
+            if self.hard_state.recovering:
+                self._request_recovery()
+            elif self.name in self.membership.voters:
+                self._start_election(pre_vote=True)
+
+    def _reset_election_timer(self) -> None:
+        self._election_deadline_ms = self._now_ms + self.options.election_ms * (1.0 + self.rng.random())
+
+    def _tick_leader(self) -> None:
+        if self._now_ms >= self._next_quorum_check_ms:
+            self._next_quorum_check_ms = self._now_ms + self.options.election_ms
+            since = self._now_ms - self.options.election_ms
+            alive = {name for name, other in self.progress.items() if other.last_response_ms >= since} | {
+                self.name
+            }
+            if not self._is_quorum(alive):  # check quorum [6.2]: its clients would wait for nothing
+                self._become_follower(self.hard_state.term, "")
                 return
-        if self._transfer and self._now >= self._transfer[1]:
+        if self._transfer and self._now_ms >= self._transfer[1]:
             self._transfer = None  # it did not take over in time; go on here
-        if self._now >= self._beat:
-            self._broadcast()
+        if self._now_ms >= self._next_heartbeat_ms:
+            self._broadcast_append()
 
-    def _quorum(self, names: set[str]) -> bool:
-        return sum(name in names for name in self.members.voters) >= self.members.quorum
+    def _is_quorum(self, names: set[str]) -> bool:
+        return sum(name in names for name in self.membership.voters) >= self.membership.quorum
 
     # --- What is asked of it -------------------------------------------------------------------------
-    def _must_lead(self, now: float) -> None:
+    def _require_leader(self, now: float) -> None:
         self.tick(now)
         if self.role is not Role.LEADER:
             raise RefusedError("this replica does not lead")
 
-    def propose(self, now: float, data: bytes, kind: Kind = Kind.COMMAND) -> int:
+    def propose(self, now: float, data: bytes, kind: EntryKind = EntryKind.COMMAND) -> int:
         """Append a command where this replica leads; its index. RefusedError elsewhere."""
-        self._must_lead(now)
+        self._require_leader(now)
         if self._transfer:
             raise BusyError("the leadership is being handed over")
-        index = self.log.last + 1
-        self.log.append(Entry(self.hard.term, index, kind, data))
-        if kind is Kind.MEMBERS:
-            self._changed()
-        self._fresh = True
+        index = self.log.last_index + 1
+        self.log.append(Entry(self.hard_state.term, index, kind, data))
+        if kind is EntryKind.MEMBERSHIP:
+            self._reload_membership()
+        self._has_new_entries = True
         return index
 
-    def read(self, now: float, token: int) -> None:
+    def request_read(self, now: float, token: int) -> None:
         """Ask up to where a current read must be applied [6.4]; RefusedError where nobody leads."""
         self.tick(now)
         if self.role is Role.LEADER:
-            self._read(token, "")
-        elif self.leader and not self.broken:
-            self._sought[token] = self.leader
-            self._post(self.leader, m.ReadAsk(self.hard.term, token))
+            self._start_read(token, "")
+        elif self.leader and not self.disk_failed:
+            self._forwarded_reads[token] = self.leader
+            self._send_after_sync(self.leader, m.ReadIndex(self.hard_state.term, token))
         else:
             raise RefusedError("no leader is known")
 
-    def forget(self, token: int) -> None:
+    def cancel_read(self, token: int) -> None:
         """Nobody waits for a read any more."""
-        self._sought.pop(token, None)
+        self._forwarded_reads.pop(token, None)
 
-    def _read(self, token: int, asker: str) -> None:
+    def _start_read(self, token: int, requester: str) -> None:
         # Until an entry of its own term is committed, it does not know all that is [6.4]; its first one is.
-        index = max(self.commit, self._first)
-        self._round += 1
-        self._reads.append(Read(self._round, index, token, asker))
-        self._broadcast()
-        self._answer_reads()
+        index = max(self.commit_index, self._term_start_index)
+        self._heartbeat_round += 1
+        self._pending_reads.append(PendingRead(self._heartbeat_round, index, token, requester))
+        self._broadcast_append()
+        self._confirm_reads()
 
-    def change(self, now: float, members: Members) -> int:
+    def change_membership(self, now: float, membership: Membership) -> int:
         """Begin a change of membership [4.1]; its index. RefusedError says what stands against it."""
-        self._must_lead(now)
-        if self.commit < self._first or self.members_at > self.commit:
+        self._require_leader(now)
+        if self.commit_index < self._term_start_index or self.membership_index > self.commit_index:
             raise BusyError("another change is not committed yet")
-        moved = set(members.voters) ^ set(self.members.voters)
+        moved = set(membership.voters) ^ set(self.membership.voters)
         if len(moved) > 1:
             raise RefusedError("one voter may come or go at a time")
-        if not members.voters:
+        if not membership.voters:
             raise RefusedError("one voter must be left")
-        if len(set(members.names)) != len(members.names):
+        if len(set(membership.names)) != len(membership.names):
             raise RefusedError("a name may stand once")
-        for name in moved & set(members.voters):
-            self._ready_to_vote(name)
-        return self.propose(now, encode(members), Kind.MEMBERS)
+        for name in moved & set(membership.voters):
+            self._require_caught_up(name)
+        return self.propose(now, encode(membership), EntryKind.MEMBERSHIP)
 
-    def _ready_to_vote(self, name: str) -> None:
+    def _require_caught_up(self, name: str) -> None:
         other = self.progress.get(name)
         if other is None:
             raise RefusedError(f"{name} must be a learner first")
-        lack = self.log.last - other.match
-        if lack > CLOSE or other.heard < self._now - self.options.election_ms:
-            raise RefusedError(f"{name} lacks {lack} entries or is not heard; up to {CLOSE} may be lacking")
+        lack = self.log.last_index - other.match_index
+        if lack > MAX_LEARNER_LAG_ENTRIES or other.last_response_ms < self._now_ms - self.options.election_ms:
+            raise RefusedError(
+                f"{name} lacks {lack} entries or is not heard; up to {MAX_LEARNER_LAG_ENTRIES} may be lacking"
+            )
 
-    def transfer(self, now: float, name: str) -> None:
+    def transfer_leadership(self, now: float, name: str) -> None:
         """Hand the leadership over [3.10], if `name` has it not; RefusedError where that can't be."""
-        self._must_lead(now)
-        if name not in self.members.voters:
+        self._require_leader(now)
+        if name not in self.membership.voters:
             raise RefusedError(f"{name} is no voter")
-        if name == self.me:
+        if name == self.name:
             return  # it leads already
-        self._transfer = name, self._now + self.options.election_ms
-        self._send(name)
-        self._hand_over(name)
-
-    def _hand_over(self, name: str) -> None:
-        if self._transfer and self._transfer[0] == name and self.progress[name].match == self.log.last:
-            self._post(name, m.Lead(self.hard.term))
+        self._transfer = name, self._now_ms + self.options.election_ms
+        self._send_append(name)
+        self._send_timeout_now(name)
+
+    def _send_timeout_now(self, name: str) -> None:
+        if (
+            self._transfer
+            and self._transfer[0] == name
+            and self.progress[name].match_index == self.log.last_index
+        ):
+            self._send_after_sync(name, m.TimeoutNow(self.hard_state.term))
 
     # --- The disk --------------------------------------------------------------------------------------
-    def take(self) -> Output:
+    def take_output(self) -> Output:
         """What is to be done since the last call."""
-        if self._fresh and self.role is Role.LEADER:
+        if self._has_new_entries and self.role is Role.LEADER:
             for name in self.progress:
-                self._send(name)
-        self._fresh = False
-        out, self._out = self._out, Output()
-        if self._unsaved <= self.log.last:
-            out.entries = self.log.after(self._unsaved - 1)
-            self._unsaved = self.log.last + 1
-        if self.hard != self._saved:
-            out.hard = self._saved = self.hard
-        upto = min(self.commit, self.stable)
-        if upto > self.applied:
-            out.applies = self.log.after(self.applied, upto=upto)
-            self.applied = upto
+                self._send_append(name)
+        self._has_new_entries = False
+        out, self._output = self._output, Output()
+        if self._next_unwritten_index <= self.log.last_index:
+            out.entries = self.log.entries_after(self._next_unwritten_index - 1)
+            self._next_unwritten_index = self.log.last_index + 1
+        if self.hard_state != self._written_hard_state:
+            out.hard_state = self._written_hard_state = self.hard_state
+        upto = min(self.commit_index, self.synced_index)
+        if upto > self.applied_index:
+            out.committed_entries = self.log.entries_after(self.applied_index, last=upto)
+            self.applied_index = upto
         return out
 
-    def synced(self, now: float, index: int) -> None:
+    def mark_synced(self, now: float, index: int) -> None:
         """All that was handed out is on the disk, the log up to an index."""
         self.tick(now)
-        self.stable = min(index, self.log.last)
-        self._recovered()
+        self.synced_index = min(index, self.log.last_index)
+        self._finish_recovery()
         if self.role is Role.LEADER:
-            self._advance()
+            self._advance_commit_index()
         elif self.role is Role.CANDIDATE:
-            self._count()
+            self._count_votes()
 
-    def compacted(self, snapshot: Snapshot) -> None:
+    def compact_log(self, snapshot: Snapshot) -> None:
         """A snapshot of what was applied is on the disk; earlier entries may go."""
         if snapshot.index > self.log.snapshot.index:
             self.log.compact(snapshot)
 
-    def fail(self) -> None:
+    def mark_disk_failed(self) -> None:
         """The disk failed: what was promised may not be kept, so nothing more is promised."""
         if self.role is Role.LEADER:
-            self._follow(self.hard.term, "")
-        self.broken, self.role, self._deadline = True, Role.FOLLOWER, float("inf")
-        self._out.messages.clear()
+            self._become_follower(self.hard_state.term, "")
+        self.disk_failed, self.role, self._election_deadline_ms = True, Role.FOLLOWER, float("inf")
+        self._output.messages.clear()
 
-    def recover(self, now: float) -> None:
+    def mark_disk_recovered(self, now: float) -> None:
         """The disk holds log and hard state anew: take part again, as a follower that has heard nothing."""
-        self._out = Output()
-        self.broken, self._saved, self._unsaved = False, self.hard, self.log.last + 1
-        self._now = max(self._now, now)
-        self._rearm()
-        self.synced(now, self.log.last)
+        self._output = Output()
+        self.disk_failed, self._written_hard_state, self._next_unwritten_index = (
+            False,
+            self.hard_state,
+            self.log.last_index + 1,
+        )
+        self._now_ms = max(self._now_ms, now)
+        self._reset_election_timer()
+        self.mark_synced(now, self.log.last_index)
 
     # --- Messages ----------------------------------------------------------------------------------------
     def step(self, now: float, sender: str, message: Message) -> None:
         """Take a message in."""
         self.tick(now)
-        if self.broken or self._strange(sender, message):
+        if self.disk_failed or self._handle_term(sender, message):
             return
         match message:
-            case m.Vote():
-                self._asked(sender, message)
-            case m.Voted():
-                self._voted(sender, message)
-            case m.Append():
-                self._append(sender, message)
-            case m.Chunk():
-                self._chunk(sender, message)
-            case m.Appended():
-                self._appended(sender, message)
-            case m.Chunked():
-                self._chunked(sender, message)
-            case m.Lead():
-                if self.me in self.members.voters and not self.hard.recovering:
-                    self._stand(pre=False, forced=True)
-            case m.ReadAsk():
-                self._asked_read(sender, message)
-            case m.ReadTold():
-                self._told_read(message)
-            case m.Hello():
-                self._post(sender, m.HelloTold(self.hard.term, self.log.last, self.log.last_term))
-            case m.HelloTold():
-                self._told(sender, message)
-
-    def _strange(self, sender: str, message: Message) -> bool:
+            case m.RequestVote():
+                self._handle_vote_request(sender, message)
+            case m.RequestVoteResponse():
+                self._handle_vote_response(sender, message)
+            case m.AppendEntries():
+                self._handle_append(sender, message)
+            case m.InstallSnapshot():
+                self._handle_snapshot_chunk(sender, message)
+            case m.AppendEntriesResponse():
+                self._handle_append_response(sender, message)
+            case m.InstallSnapshotResponse():
+                self._handle_snapshot_response(sender, message)
+            case m.TimeoutNow():
+                if self.name in self.membership.voters and not self.hard_state.recovering:
+                    self._start_election(pre_vote=False, is_transfer=True)
+            case m.ReadIndex():
+                self._handle_read_request(sender, message)
+            case m.ReadIndexResponse():
+                self._handle_read_response(message)
+            case m.RecoveryRequest():
+                self._send_after_sync(
+                    sender, m.RecoveryResponse(self.hard_state.term, self.log.last_index, self.log.last_term)
+                )
+            case m.RecoveryResponse():
+                self._handle_recovery_response(sender, message)
+
+    def _handle_term(self, sender: str, message: Message) -> bool:
         """Whether a message is of another term and ends here; a higher one is taken over first."""
-        term = self.hard.term
-        if isinstance(message, m.Hello | m.HelloTold) or message.term == term:
+        term = self.hard_state.term
+        if isinstance(message, m.RecoveryRequest | m.RecoveryResponse) or message.term == term:
             return False
         if message.term < term:
             # It led once, or asks for votes in vain: tell the term.
-            if isinstance(message, m.Append | m.Chunk):
-                self._post(sender, m.Appended(term, False, 0, message.round))
-            elif isinstance(message, m.Vote):
-                self._post(sender, m.Voted(term, False, message.pre))
+            if isinstance(message, m.AppendEntries | m.InstallSnapshot):
+                self._send_after_sync(
+                    sender, m.AppendEntriesResponse(term, False, 0, message.heartbeat_round)
+                )
+            elif isinstance(message, m.RequestVote):
+                self._send_after_sync(sender, m.RequestVoteResponse(term, False, message.pre_vote))
             return True
-        if isinstance(message, m.Vote):
+        if isinstance(message, m.RequestVote):
             # Nobody takes a living leader down: one cut off or removed would do it again and again [4.2.3].
-            if not message.forced and self._led():
+            if not message.is_transfer and self._has_live_leader():
                 return True
-            if message.pre:
+            if message.pre_vote:
                 return False
-        if isinstance(message, m.Voted) and message.pre and message.granted:
+        if isinstance(message, m.RequestVoteResponse) and message.pre_vote and message.granted:
             return False
-        if isinstance(message, m.ReadAsk | m.ReadTold | m.Lead):
+        if isinstance(message, m.ReadIndex | m.ReadIndexResponse | m.TimeoutNow):
             return True
-        leads = isinstance(message, m.Append | m.Chunk)
-        self._follow(message.term, sender if leads else "")
+        leads = isinstance(message, m.AppendEntries | m.InstallSnapshot)
+        self._become_follower(message.term, sender if leads else "")
         return False
 
-    def _led(self) -> bool:
+    def _has_live_leader(self) -> bool:
         """Whether a leader was heard within the shortest election time, or is this replica."""
         return self.role is Role.LEADER or (
-            bool(self.leader) and self._now - self._heard < self.options.election_ms
+            bool(self.leader) and self._now_ms - self._leader_seen_ms < self.options.election_ms
         )
 
-    def _post(self, to: str, message: Message) -> None:
-        self._out.messages.append((to, message))
+    def _send_after_sync(self, to: str, message: Message) -> None:
+        self._output.messages.append((to, message))
 
-    def _follow(self, term: int, leader: str) -> None:
-        if term > self.hard.term:
-            self.hard = Hard(term, "", self.hard.recovering, self.hard.goal)
+    def _become_follower(self, term: int, leader: str) -> None:
+        if term > self.hard_state.term:
+            self.hard_state = HardState(term, "", self.hard_state.recovering, self.hard_state.recovery_goal)
         if self.role is Role.LEADER:
-            self._out.dropped += [read.token for read in self._reads if not read.asker]
-            for read in self._reads:
-                if read.asker:
-                    self._post(read.asker, m.ReadTold(self.hard.term, read.token, -1))
-            self._reads, self.progress, self._transfer = [], {}, None
+            self._output.failed_reads += [read.token for read in self._pending_reads if not read.requester]
+            for read in self._pending_reads:
+                if read.requester:
+                    self._send_after_sync(
+                        read.requester, m.ReadIndexResponse(self.hard_state.term, read.token, -1)
+                    )
+            self._pending_reads, self.progress, self._transfer = [], {}, None
         if self.role is not Role.FOLLOWER:
-            self._rearm()
+            self._reset_election_timer()
         self.role, self.leader = Role.FOLLOWER, leader
-        self._drop_sought()
+        self._drop_forwarded_reads()
 
-    def _drop_sought(self) -> None:
+    def _drop_forwarded_reads(self) -> None:
         """Whoever was asked for a read leads no more, or is not heard: the answer may never come."""
-        for token in [token for token, name in self._sought.items() if name != self.leader]:
-            del self._sought[token]
-            self._out.dropped.append(token)
+        for token in [token for token, name in self._forwarded_reads.items() if name != self.leader]:
+            del self._forwarded_reads[token]
+            self._output.failed_reads.append(token)
 
     # --- Elections [3.4, 9.6] ------------------------------------------------------------------------------
-    def _stand(self, pre: bool, forced: bool = False) -> None:
+    def _start_election(self, pre_vote: bool, is_transfer: bool = False) -> None:
         self.leader = ""
-        self._drop_sought()
-        if pre:
-            self.role, term = Role.PRE, self.hard.term + 1
+        self._drop_forwarded_reads()
+        if pre_vote:
+            self.role, term = Role.PRE_CANDIDATE, self.hard_state.term + 1
         else:
-            self.role, term = Role.CANDIDATE, self.hard.term + 1
-            self.hard = Hard(term, self.me)
-        self._rearm()
-        self._votes = {self.me: True}
-        last, last_term = self.log.last, self.log.last_term
-        for name in self.members.voters:
-            if name != self.me:
-                seen = self._marks.get(name, 0)
-                self._post(name, m.Vote(term, last, last_term, pre, forced, seen))
-        if pre:
-            self._count()  # a vote for itself counts once it is on the disk
-
-    def _asked(self, sender: str, message: m.Vote) -> None:
-        if self._lost(message.seen):
+            self.role, term = Role.CANDIDATE, self.hard_state.term + 1
+            self.hard_state = HardState(term, self.name)
+        self._reset_election_timer()
+        self._votes = {self.name: True}
+        last, last_term = self.log.last_index, self.log.last_term
+        for name in self.membership.voters:
+            if name != self.name:
+                seen = self._acknowledged_indexes.get(name, 0)
+                self._send_after_sync(name, m.RequestVote(term, last, last_term, pre_vote, is_transfer, seen))
+        if pre_vote:
+            self._count_votes()  # a vote for itself counts once it is on the disk
+
+    def _handle_vote_request(self, sender: str, message: m.RequestVote) -> None:
+        if self._has_lost_entries(message.acknowledged_index):
             return
-        fresh = (message.last_term, message.last_index) >= (self.log.last_term, self.log.last)
-        known = self._marks.get(sender, 0)
-        if message.pre:
-            granted = message.term > self.hard.term and not self._led()
+        fresh = (message.last_term, message.last_index) >= (self.log.last_term, self.log.last_index)
+        known = self._acknowledged_indexes.get(sender, 0)
+        if message.pre_vote:
+            granted = message.term > self.hard_state.term and not self._has_live_leader()
         else:
-            granted = self.hard.vote in ("", sender)
-        granted = granted and fresh and not self.hard.recovering
-        if granted and not message.pre:
-            self.hard = Hard(self.hard.term, sender)
-            self._rearm()
-        term = message.term if granted else self.hard.term
-        self._post(sender, m.Voted(term, granted, message.pre, known))
-
-    def _voted(self, sender: str, message: m.Voted) -> None:
-        wanted = Role.PRE if message.pre else Role.CANDIDATE
-        if self._lost(message.seen) or self.role is not wanted:
+            granted = self.hard_state.voted_for in ("", sender)
+        granted = granted and fresh and not self.hard_state.recovering
+        if granted and not message.pre_vote:
+            self.hard_state = HardState(self.hard_state.term, sender)
+            self._reset_election_timer()
+        term = message.term if granted else self.hard_state.term
+        self._send_after_sync(sender, m.RequestVoteResponse(term, granted, message.pre_vote, known))
+
+    def _handle_vote_response(self, sender: str, message: m.RequestVoteResponse) -> None:
+        wanted = Role.PRE_CANDIDATE if message.pre_vote else Role.CANDIDATE
+        if self._has_lost_entries(message.acknowledged_index) or self.role is not wanted:
             return
-        if message.granted and message.term != self.hard.term + message.pre:
+        if message.granted and message.term != self.hard_state.term + message.pre_vote:
             return
         self._votes[sender] = message.granted
-        self._count()
-
-    def _count(self) -> None:
-        won = self._quorum({name for name, granted in self._votes.items() if granted})
-        if self.role is Role.PRE and won:
-            self._stand(pre=False)
-        elif self.role is Role.CANDIDATE and won and self._saved == self.hard:
-            self._win()
-
-    def _win(self) -> None:
-        self.role, self.leader = Role.LEADER, self.me
-        self._reads, self._transfer = [], None
-        self._first = self.log.last + 1
-        self._track()
-        self._check = self._now + self.options.election_ms
-        self.propose(self._now, b"", Kind.EMPTY)
-        self._broadcast()
-
-    def _track(self) -> None:
+        self._count_votes()
+
+    def _count_votes(self) -> None:
+        won = self._is_quorum({name for name, granted in self._votes.items() if granted})
+        if self.role is Role.PRE_CANDIDATE and won:
+            self._start_election(pre_vote=False)
+        elif self.role is Role.CANDIDATE and won and self._written_hard_state == self.hard_state:
+            self._become_leader()
+
+    def _become_leader(self) -> None:
+        self.role, self.leader = Role.LEADER, self.name
+        self._pending_reads, self._transfer = [], None
+        self._term_start_index = self.log.last_index + 1
+        self._update_progress()
+        self._next_quorum_check_ms = self._now_ms + self.options.election_ms
+        self.propose(self._now_ms, b"", EntryKind.NO_OP)
+        self._broadcast_append()
+
+    def _update_progress(self) -> None:
         """One progress for each other member."""
         old, self.progress = self.progress, {}
-        for name in self.members.names:
-            if name != self.me:
-                self.progress[name] = old.get(name) or Progress(self.log.last + 1, heard=self._now)
+        for name in self.membership.names:
+            if name != self.name:
+                self.progress[name] = old.get(name) or Progress(
+                    self.log.last_index + 1, last_response_ms=self._now_ms
+                )
 
     # --- The leader's side of the log [3.5] ------------------------------------------------------------
-    def _broadcast(self) -> None:
-        self._beat = self._now + self.options.heartbeat_ms
+    def _broadcast_append(self) -> None:
+        self._next_heartbeat_ms = self._now_ms + self.options.heartbeat_ms
         for name, other in self.progress.items():
-            other.waiting = False
-            self._send(name, beat=True)
+            other.awaits_response = False
+            self._send_append(name, force=True)
 
-    def _send(self, name: str, beat: bool = False) -> None:
+    def _send_append(self, name: str, force: bool = False) -> None:
         """What a member lacks, as far as it may be sent; with `beat` one message at least."""
-        other = self.progress[name]
-        while beat or self._may_send(other):
-            beat = False
-            if other.sending or other.next <= self.log.base:
-                self._send_chunk(name, other)
+        progress = self.progress[name]
+        while force or self._can_send(progress):
+            force = False
+            if progress.snapshot or progress.next_index <= self.log.base_index:
+                self._send_snapshot_chunk(name, progress)
                 return
-            prev = other.next - 1
-            term = self.log.term(prev)
+            prev = progress.next_index - 1
+            term = self.log.term_at(prev)
             assert term is not None
             # While it is probed, or has not answered for long, entries would be sent in vain.
-            full = other.probing or other.next - other.match > AHEAD
-            entries = () if full else self.log.after(prev, BATCH)
-            other.waiting = other.probing
-            other.next += len(entries)
-            marks = tuple((each, self._mark(each)) for each in (self.me, *self.progress))
-            self._out.early.append(
+            full = progress.probing or progress.next_index - progress.match_index > MAX_UNACKNOWLEDGED_ENTRIES
+            entries = () if full else self.log.entries_after(prev, MAX_APPEND_BYTES)
+            progress.awaits_response = progress.probing
+            progress.next_index += len(entries)
+            marks = tuple((each, self._acknowledged_index(each)) for each in (self.name, *self.progress))
+            self._output.early_messages.append(
                 (
                     name,
-                    m.Append(
-                        self.hard.term, prev, term, entries, self.commit, self._round, other.match, marks
+                    m.AppendEntries(
+                        self.hard_state.term,
+                        prev,
+                        term,
+                        entries,
+                        self.commit_index,
+                        self._heartbeat_round,
+                        progress.match_index,
+                        marks,
                     ),
                 )
             )
 
-    def _may_send(self, other: Progress) -> bool:
-        if other.probing or other.sending or other.next <= self.log.base:
-            return not other.waiting
-        return other.next <= self.log.last and other.next - other.match <= AHEAD
+    def _can_send(self, progress: Progress) -> bool:
+        if progress.probing or progress.snapshot or progress.next_index <= self.log.base_index:
+            return not progress.awaits_response
+        return (
+            progress.next_index <= self.log.last_index
+            and progress.next_index - progress.match_index <= MAX_UNACKNOWLEDGED_ENTRIES
+        )
 
-    def _mark(self, name: str) -> int:
+    def _acknowledged_index(self, name: str) -> int:
         """Up to where a member holds committed entries: these it can't lose in good order."""
-        match = self.stable if name == self.me else self.progress[name].match
-        return min(match, self.commit)
-
-    def _send_chunk(self, name: str, other: Progress) -> None:
-        if other.sending is None:
-            other.sending, other.offset = self.log.snapshot, 0
-        shot, other.waiting = other.sending, True
-        data = bytes(shot.data[other.offset : other.offset + CHUNK])
-        self._out.early.append(
+        match = self.synced_index if name == self.name else self.progress[name].match_index
+        return min(match, self.commit_index)
+
+    def _send_snapshot_chunk(self, name: str, progress: Progress) -> None:
+        if progress.snapshot is None:
+            progress.snapshot, progress.snapshot_offset = self.log.snapshot, 0
+        snapshot, progress.awaits_response = progress.snapshot, True
+        data = bytes(
+            snapshot.data[progress.snapshot_offset : progress.snapshot_offset + SNAPSHOT_CHUNK_BYTES]
+        )
+        self._output.early_messages.append(
             (
                 name,
-                m.Chunk(
-                    self.hard.term,
-                    shot.index,
-                    shot.term,
-                    shot.members,
-                    other.offset,
-                    len(shot.data),
+                m.InstallSnapshot(
+                    self.hard_state.term,
+                    snapshot.index,
+                    snapshot.term,
+                    snapshot.membership,
+                    progress.snapshot_offset,
+                    len(snapshot.data),
                     data,
-                    self._round,
+                    self._heartbeat_round,
                 ),
             )
         )
 
-    def _appended(self, sender: str, message: m.Appended) -> None:
-        if self.role is not Role.LEADER or (other := self.progress.get(sender)) is None:
+    def _handle_append_response(self, sender: str, message: m.AppendEntriesResponse) -> None:
+        if self.role is not Role.LEADER or (progress := self.progress.get(sender)) is None:
             return
-        self._heard_of(other, message.round)
-        if message.good:
-            if other.sending and message.index >= other.sending.index:
-                other.sending = None
-            if other.match < message.index <= self.log.last:
-                other.match = message.index
-                other.next = max(other.next, message.index + 1)
-            other.probing = other.waiting = False
-            self._advance()
+        self._record_response(progress, message.heartbeat_round)
+        if message.success:
+            if progress.snapshot and message.index >= progress.snapshot.index:
+                progress.snapshot = None
+            if progress.match_index < message.index <= self.log.last_index:
+                progress.match_index = message.index
+                progress.next_index = max(progress.next_index, message.index + 1)
+            progress.probing = progress.awaits_response = False
+            self._advance_commit_index()
             if self.role is not Role.LEADER:  # that committed its own removal
                 return
-            self._hand_over(sender)
-        elif not other.sending:
+            self._send_timeout_now(sender)
+        elif not progress.snapshot:
             # What it held once it may have lost with its disk: what counts is what it says now.
-            other.match = min(other.match, message.index)
-            other.next = min(message.index, self.log.last) + 1
-            other.probing, other.waiting = True, False
-        self._send(sender)
+            progress.match_index = min(progress.match_index, message.index)
+            progress.next_index = min(message.index, self.log.last_index) + 1
+            progress.probing, progress.awaits_response = True, False
+        self._send_append(sender)
 
-    def _chunked(self, sender: str, message: m.Chunked) -> None:
-        if self.role is not Role.LEADER or (other := self.progress.get(sender)) is None:
+    def _handle_snapshot_response(self, sender: str, message: m.InstallSnapshotResponse) -> None:
+        if self.role is not Role.LEADER or (progress := self.progress.get(sender)) is None:
             return
-        self._heard_of(other, message.round)
-        if other.sending and other.sending.index == message.index:
-            other.offset, other.waiting = message.offset, False
-            self._send(sender)
-
-    def _heard_of(self, other: Progress, number: int) -> None:
-        other.heard = self._now
-        if number > other.round:
-            other.round = number
-            self._answer_reads()
-
-    def _answer_reads(self) -> None:
+        self._record_response(progress, message.heartbeat_round)
+        if progress.snapshot and progress.snapshot.index == message.last_included_index:
+            progress.snapshot_offset, progress.awaits_response = message.next_offset, False
+            self._send_append(sender)
+
+    def _record_response(self, progress: Progress, heartbeat_round: int) -> None:
+        progress.last_response_ms = self._now_ms
+        if heartbeat_round > progress.acknowledged_round:
+            progress.acknowledged_round = heartbeat_round
+            self._confirm_reads()
+
+    def _confirm_reads(self) -> None:
         """Reads whose round a quorum has answered: it led when they came."""
-        while self._reads:
-            read = self._reads[0]
-            proven = {name for name, other in self.progress.items() if other.round >= read.round} | {self.me}
-            if not self._quorum(proven):
+        while self._pending_reads:
+            read = self._pending_reads[0]
+            responded = {
+                name
+                for name, other in self.progress.items()
+                if other.acknowledged_round >= read.heartbeat_round
+            } | {self.name}
+            if not self._is_quorum(responded):
                 return
-            if read.asker:
-                self._post(read.asker, m.ReadTold(self.hard.term, read.token, read.index))
+            if read.requester:
+                self._send_after_sync(
+                    read.requester, m.ReadIndexResponse(self.hard_state.term, read.token, read.read_index)
+                )
             else:
-                self._out.reads.append((read.token, read.index))
-            del self._reads[0]
+                self._output.confirmed_reads.append((read.token, read.read_index))
+            del self._pending_reads[0]
 
-    def _advance(self) -> None:
+    def _advance_commit_index(self) -> None:
         """Commit what a quorum holds, where the last entry of it is of this term [3.6.2]."""
-        held = sorted(
-            (self.stable if name == self.me else self.progress[name].match for name in self.members.voters),
+        match_indexes = sorted(
+            (
+                self.synced_index if name == self.name else self.progress[name].match_index
+                for name in self.membership.voters
+            ),
             reverse=True,
         )
-        index = held[self.members.quorum - 1]
-        if index > self.commit and self.log.term(index) == self.hard.term:
-            self.commit = index
-            if self.members_at <= index and self.me not in self.members.voters:
-                self._broadcast()  # the others learn that it is committed
-                self._follow(self.hard.term, "")
-
-    def _changed(self) -> None:
+        index = match_indexes[self.membership.quorum - 1]
+        if index > self.commit_index and self.log.term_at(index) == self.hard_state.term:
+            self.commit_index = index
+            if self.membership_index <= index and self.name not in self.membership.voters:
+                self._broadcast_append()  # the others learn that it is committed
+                self._become_follower(self.hard_state.term, "")
+
+    def _reload_membership(self) -> None:
         """Membership holds from the moment that it stands in the log [4.1]."""
-        self.members, self.members_at = self.log.members()
+        self.membership, self.membership_index = self.log.membership()
         if self.role is Role.LEADER:
-            self._track()
+            self._update_progress()
 
     # --- The follower's side ---------------------------------------------------------------------------
-    def _hear(self, sender: str) -> None:
+    def _record_leader(self, sender: str) -> None:
         """A leader of this term has spoken."""
         if self.role is not Role.FOLLOWER:
-            self._follow(self.hard.term, sender)
-        self.leader, self._heard = sender, self._now
-        self._rearm()
+            self._become_follower(self.hard_state.term, sender)
+        self.leader, self._leader_seen_ms = sender, self._now_ms
+        self._reset_election_timer()
 
-    def _append(self, sender: str, message: m.Append) -> None:
+    def _handle_append(self, sender: str, message: m.AppendEntries) -> None:
         assert self.role is not Role.LEADER, "two leaders of one term"
-        self._hear(sender)
-        self._marks.update(message.marks)
-        if self._lost(message.seen) or self._unsure():
-            self._ask()  # at each heartbeat: nobody may have heard it the first time
+        self._record_leader(sender)
+        self._acknowledged_indexes.update(message.acknowledged_indexes)
+        if self._has_lost_entries(message.acknowledged_index) or self._awaits_recovery_goal():
+            self._request_recovery()  # at each heartbeat: nobody may have heard it the first time
             return
         index = message.prev_index
-        if index < self.commit and (held := self._skip(message)) is not None:
-            self._post(sender, m.Appended(self.hard.term, True, held, message.round))
+        if index < self.commit_index and (held := self._committed_match(message)) is not None:
+            self._send_after_sync(
+                sender, m.AppendEntriesResponse(self.hard_state.term, True, held, message.heartbeat_round)
+            )
             return
-        if self.log.term(index) != message.prev_term:
-            self._post(sender, m.Appended(self.hard.term, False, self._hint(index), message.round))
+        if self.log.term_at(index) != message.prev_term:
+            self._send_after_sync(
+                sender,
+                m.AppendEntriesResponse(
+                    self.hard_state.term, False, self._conflict_hint(index), message.heartbeat_round
+                ),
+            )
             return
         for entry in message.entries:
-            term = self.log.term(entry.index)
+            term = self.log.term_at(entry.index)
             if term != entry.term:
                 if term is not None:
-                    self._cut(entry.index)
+                    self._truncate(entry.index)
                 self.log.append(entry)
-                if entry.kind is Kind.MEMBERS:
-                    self._changed()
+                if entry.kind is EntryKind.MEMBERSHIP:
+                    self._reload_membership()
         index += len(message.entries)
-        self.commit = max(self.commit, min(message.commit, index))
-        self._post(sender, m.Appended(self.hard.term, True, index, message.round))
+        self.commit_index = max(self.commit_index, min(message.commit_index, index))
+        self._send_after_sync(
+            sender, m.AppendEntriesResponse(self.hard_state.term, True, index, message.heartbeat_round)
+        )
 
-    def _skip(self, message: m.Append) -> int | None:
+    def _committed_match(self, message: m.AppendEntries) -> int | None:
         """Entries that are committed here agree in any case; only what lies behind them is compared.
 
         What is to be answered where that is nothing, or where the log no longer goes back so far.
         """
         last = message.prev_index + len(message.entries)
-        if last <= self.commit or message.prev_index < self.log.base:
-            return self.commit
+        if last <= self.commit_index or message.prev_index < self.log.base_index:
+            return self.commit_index
         return None
 
-    def _hint(self, index: int) -> int:
+    def _conflict_hint(self, index: int) -> int:
         """The last index that may agree, before the whole of a term that does not."""
-        if index > self.log.last:
-            return self.log.last
-        term = self.log.term(index)
-        while index > self.commit + 1 and self.log.term(index - 1) == term:
+        if index > self.log.last_index:
+            return self.log.last_index
+        term = self.log.term_at(index)
+        while index > self.commit_index + 1 and self.log.term_at(index - 1) == term:
             index -= 1
-        return max(index - 1, self.commit)
+        return max(index - 1, self.commit_index)
 
-    def _cut(self, index: int) -> None:
-        assert index > self.commit, "a committed entry would be replaced"
-        self.log.cut(index)
-        self.stable = min(self.stable, index - 1)
-        self._unsaved = min(self._unsaved, index)
-        self._changed()
+    def _truncate(self, index: int) -> None:
+        assert index > self.commit_index, "a committed entry would be replaced"
+        self.log.truncate(index)
+        self.synced_index = min(self.synced_index, index - 1)
+        self._next_unwritten_index = min(self._next_unwritten_index, index)
+        self._reload_membership()
 
-    def _chunk(self, sender: str, message: m.Chunk) -> None:
+    def _handle_snapshot_chunk(self, sender: str, message: m.InstallSnapshot) -> None:
         assert self.role is not Role.LEADER, "two leaders of one term"
-        self._hear(sender)
-        if self._unsure():
-            self._ask()
+        self._record_leader(sender)
+        if self._awaits_recovery_goal():
+            self._request_recovery()
             return
-        if message.index <= self.commit:
-            self._post(sender, m.Appended(self.hard.term, True, self.commit, message.round))
+        if message.last_included_index <= self.commit_index:
+            self._send_after_sync(
+                sender,
+                m.AppendEntriesResponse(
+                    self.hard_state.term, True, self.commit_index, message.heartbeat_round
+                ),
+            )
             return
-        if self.log.term(message.index) == message.index_term:  # held already, and so is all before it
-            self.commit = message.index
-            self._post(sender, m.Appended(self.hard.term, True, message.index, message.round))
+        if (
+            self.log.term_at(message.last_included_index) == message.last_included_term
+        ):  # held already, and so is all before it
+            self.commit_index = message.last_included_index
+            self._send_after_sync(
+                sender,
+                m.AppendEntriesResponse(
+                    self.hard_state.term, True, message.last_included_index, message.heartbeat_round
+                ),
+            )
             return
-        key = message.term, message.index
-        if self._partial is None or self._partial[:2] != key:
-            self._partial = *key, bytearray()
-        held = self._partial[2]
-        if message.offset == len(held):
-            held += message.data
-        if len(held) < message.total:
-            self._post(sender, m.Chunked(self.hard.term, message.index, len(held), message.round))
+        key = message.term, message.last_included_index
+        if self._partial_snapshot is None or self._partial_snapshot[:2] != key:
+            self._partial_snapshot = *key, bytearray()
+        received = self._partial_snapshot[2]
+        if message.offset == len(received):
+            received += message.data
+        if len(received) < message.total_bytes:
+            self._send_after_sync(
+                sender,
+                m.InstallSnapshotResponse(
+                    self.hard_state.term, message.last_included_index, len(received), message.heartbeat_round
+                ),
+            )
             return
-        self._install(Snapshot(message.index, message.index_term, message.members, bytes(held)))
-        self._post(sender, m.Appended(self.hard.term, True, message.index, message.round))
+        self._install_snapshot(
+            Snapshot(
+                message.last_included_index,
+                message.last_included_term,
+                message.membership,
+                bytes(received),
+            )
+        )
+        self._send_after_sync(
+            sender,
+            m.AppendEntriesResponse(
+                self.hard_state.term, True, message.last_included_index, message.heartbeat_round
+            ),
+        )
 
-    def _install(self, snapshot: Snapshot) -> None:
-        self._partial = None
+    def _install_snapshot(self, snapshot: Snapshot) -> None:
+        self._partial_snapshot = None
         self.log.restore(snapshot)
-        self.commit = self.applied = self.stable = snapshot.index
-        self._unsaved = snapshot.index + 1
-        self._out.install = self._out.restore = snapshot
-        self._changed()
+        self.commit_index = self.applied_index = self.synced_index = snapshot.index
+        self._next_unwritten_index = snapshot.index + 1
+        self._output.install_snapshot = self._output.restore_snapshot = snapshot
+        self._reload_membership()
 
-    def _asked_read(self, sender: str, message: m.ReadAsk) -> None:
+    def _handle_read_request(self, sender: str, message: m.ReadIndex) -> None:
         if self.role is Role.LEADER:
-            self._read(message.token, sender)
+            self._start_read(message.token, sender)
         else:
-            self._post(sender, m.ReadTold(self.hard.term, message.token, -1))
+            self._send_after_sync(sender, m.ReadIndexResponse(self.hard_state.term, message.token, -1))
 
-    def _told_read(self, message: m.ReadTold) -> None:
-        if self._sought.pop(message.token, None) is None:
+    def _handle_read_response(self, message: m.ReadIndexResponse) -> None:
+        if self._forwarded_reads.pop(message.token, None) is None:
             return
         if message.index < 0:
-            self._out.dropped.append(message.token)
+            self._output.failed_reads.append(message.token)
         else:
-            self._out.reads.append((message.token, message.index))
+            self._output.confirmed_reads.append((message.token, message.index))
 
     # --- A disk that may have lost what it acknowledged ---------------------------------------------------
-    def _lost(self, seen: int) -> bool:
+    def _has_lost_entries(self, acknowledged_index: int) -> bool:
         """Whether another knows that more was acknowledged here than there is: an older disk was put back."""
-        if seen <= self.log.last or (self.hard.recovering and not self._unsure()):
+        if acknowledged_index <= self.log.last_index or (
+            self.hard_state.recovering and not self._awaits_recovery_goal()
+        ):
             return False
-        if not self._unsure():
-            self._doubt()
+        if not self._awaits_recovery_goal():
+            self._enter_recovery()
         return True
 
-    def _doubt(self) -> None:
+    def _enter_recovery(self) -> None:
         """Give no vote and acknowledge nothing until the others have told what was promised."""
-        if self.members.voters == (self.me,):
+        if self.membership.voters == (self.name,):
             return  # nobody else could tell
         if self.role is not Role.FOLLOWER:
-            self._follow(self.hard.term, "")
-        self.hard = Hard(self.hard.term, NOBODY, True)
-        self._hellos = {}
-        self._ask()
+            self._become_follower(self.hard_state.term, "")
+        self.hard_state = HardState(self.hard_state.term, UNKNOWN_VOTE, True)
+        self._recovery_responses = {}
+        self._request_recovery()
 
-    def _ask(self) -> None:
-        if self._unsure():
-            for name in self.members.voters:
-                if name != self.me:
-                    self._post(name, m.Hello(self.hard.term))
+    def _request_recovery(self) -> None:
+        if self._awaits_recovery_goal():
+            for name in self.membership.voters:
+                if name != self.name:
+                    self._send_after_sync(name, m.RecoveryRequest(self.hard_state.term))
 
-    def _unsure(self) -> bool:
-        return self.hard.recovering and self.hard.goal == (0, 0)
+    def _awaits_recovery_goal(self) -> bool:
+        return self.hard_state.recovering and self.hard_state.recovery_goal == (0, 0)
 
-    def _told(self, sender: str, message: m.HelloTold) -> None:
+    def _handle_recovery_response(self, sender: str, message: m.RecoveryResponse) -> None:
         """Of each quorum that it may have been part of, another is among so many others (VR's recovery)."""
-        if not self._unsure():
+        if not self._awaits_recovery_goal():
             return
-        self._hellos[sender] = message
-        voters = self.members.voters
-        told = [self._hellos[name] for name in voters if name in self._hellos and name != self.me]
-        if len(told) < len(voters) - self.members.quorum + 1:
+        self._recovery_responses[sender] = message
+        voters = self.membership.voters
+        responses = [
+            self._recovery_responses[name]
+            for name in voters
+            if name in self._recovery_responses and name != self.name
+        ]
+        if len(responses) < len(voters) - self.membership.quorum + 1:
             return
-        term = max(self.hard.term, *(each.term for each in told))
-        goal = max((each.last_term, each.last_index) for each in told)
-        self.hard = Hard(term, NOBODY, goal != (0, 0), goal)  # where nobody holds anything, nothing is lost
-        self._recovered()
-
-    def _recovered(self) -> None:
+        term = max(self.hard_state.term, *(each.term for each in responses))
+        goal = max((each.last_term, each.last_index) for each in responses)
+        self.hard_state = HardState(
+            term, UNKNOWN_VOTE, goal != (0, 0), goal
+        )  # where nobody holds anything, nothing is lost
+        self._finish_recovery()
+
+    def _finish_recovery(self) -> None:
         """End the doubt where all is held again that may have been acknowledged."""
-        hard = self.hard
-        if not hard.recovering or self._unsure():
+        hard = self.hard_state
+        if not hard.recovering or self._awaits_recovery_goal():
             return
-        if (self.log.term(self.stable) or 0, self.stable) >= hard.goal:
-            self.hard = Hard(hard.term, hard.vote)
+        if (self.log.term_at(self.synced_index) or 0, self.synced_index) >= hard.recovery_goal:
+            self.hard_state = HardState(hard.term, hard.voted_for)
--- a/basaltpoint/store/replica.py
+++ b/basaltpoint/store/replica.py
@@ -17,13 +17,13 @@
 from basaltpoint.links.frames import PROTOCOL_VERSION, Greeting
 from basaltpoint.links.listening import LinkListener
 from basaltpoint.links.transport import Link, Reconnector, Tls
-from basaltpoint.store import machine as kv
 from basaltpoint.store import protocol as p
-from basaltpoint.store.files import Folder, Point, no_point
+from basaltpoint.store import state_machine as kv
+from basaltpoint.store.files import CrashPoint, OsFiles, no_crash_point
 from basaltpoint.store.folder import ReplicaFolder
-from basaltpoint.store.messages import Member, Members, Message
-from basaltpoint.store.node import Node, Sizes
-from basaltpoint.store.raft import BusyError, Options, RefusedError
+from basaltpoint.store.messages import Member, Membership, Message
+from basaltpoint.store.node import Node, StorageLimits
+from basaltpoint.store.raft import BusyError, RaftOptions, RefusedError
 from basaltpoint.system.listening import open_listener_when_free
 
 log = logging.getLogger(__name__)
@@ -44,10 +44,10 @@
     cluster: str
     folder: Path
     listen: str = ""  # HOST:PORT for peers and clients on other hosts; empty: the folder's socket alone
-    initial: Members = Members()  # noqa: RUF009 - of a new cluster; none where it is to be added to one
+    initial: Membership = Membership()  # noqa: RUF009 - of a new cluster; none where it is to be added to one
     tls: Tls | None = None
-    options: Options = Options()  # noqa: RUF009 - it can't be changed
-    sizes: Sizes = Sizes()  # noqa: RUF009 - nor this
+    options: RaftOptions = RaftOptions()  # noqa: RUF009 - it can't be changed
+    sizes: StorageLimits = StorageLimits()  # noqa: RUF009 - nor this
     advertise: str = ""  # what the others are told; `listen` without it
 
 
@@ -69,11 +69,11 @@
 class Replica:
     """One replica on one loop."""
 
-    def __init__(self, setting: Setting, point: Point = no_point, seed: int | None = None) -> None:
+    def __init__(self, setting: Setting, point: CrashPoint = no_crash_point, seed: int | None = None) -> None:
         """FolderError, DamageError, OSError where the folder can't be used."""
         self.setting = setting
         self.folder = ReplicaFolder(setting.folder, setting.cluster, setting.name)
-        self._files = Folder(self.folder.log)
+        self._files = OsFiles(self.folder.log)
         rng = random.Random(seed)
         self.node = Node(
             setting.name,
@@ -82,12 +82,12 @@
             self._now(),
             self._send,
             options=setting.options,
-            sizes=setting.sizes,
+            limits=setting.sizes,
             initial=setting.initial if setting.initial.members else None,
-            suspect=self.folder.suspect,
-            point=point,
+            may_be_stale=self.folder.may_be_stale,
+            crash_point=point,
         )
-        self.node.applied = self._applied
+        self.node.on_state_changed = self._applied
         self.address = setting.advertise or setting.listen
         self._callers: dict[str, Reconnector] = {}
         self._addresses: dict[str, str] = {}  # of those who greeted and are no members yet
@@ -119,7 +119,7 @@
         try:
             self._servers.append(
                 await self._loop.create_unix_server(
-                    lambda: Link(self, self._greeting(), True, p.STORE), str(path)
+                    lambda: Link(self, self._greeting(), True, p.STORE_PROTOCOL), str(path)
                 )
             )
         finally:
@@ -134,7 +134,7 @@
 
     def _link(self) -> Link:
         """One with another host, or another process of this one."""
-        return Link(self, self._greeting(), False, p.STORE, plain=self.setting.tls is None)
+        return Link(self, self._greeting(), False, p.STORE_PROTOCOL, plain=self.setting.tls is None)
 
     def _greeting(self) -> Greeting:
         return Greeting(PROTOCOL_VERSION, self.setting.cluster, self.setting.name, self.address)
@@ -164,22 +164,26 @@
     def _pump(self) -> None:
         self._soon = False
         self.node.tick(self._now())
-        self.node.pump()
-        if self.folder.suspect and not self.node.broken:
+        self.node.process_output()
+        if self.folder.may_be_stale and not self.node.failure:
             self._stamp()  # the doubt itself is on the disk now
         self._meet()
-        if self.node.core.leader:
+        if self.node.raft.leader:
             self._current = self._now()
-        if self._passing and self._passed_to != self.node.core.leader:
+        if self._passing and self._passed_to != self.node.raft.leader:
             # Whoever was to answer leads no more, or stands still: the client asks again at once.
             for number, passing in list(self._passing.items()):
-                if passing.to != self.node.core.leader:
+                if passing.to != self.node.raft.leader:
                     self._unknown(number)
-        self._passed_to = self.node.core.leader
+        self._passed_to = self.node.raft.leader
         if self._timer:
             self._timer.cancel()
             self._timer = None
-        wait = SLICE_S if self.node.writing else max(0.0, (self.node.next_ms - self._now()) / 1000.0)
+        wait = (
+            SLICE_S
+            if self.node.is_writing_snapshot
+            else max(0.0, (self.node.next_tick_ms - self._now()) / 1000.0)
+        )
         self._timer = self._loop.call_later(wait, self._kick)
 
     def _stamp(self) -> None:
@@ -187,14 +191,14 @@
         if self._now() < self._stamp_at:
             return
         try:
-            self.folder.stamp()
+            self.folder.write_stamp()
         except OSError as error:
             self._stamp_at = self._now() + STAMP_MS
             log.error("store: the folder's stamp can't be written: %s; tried again", error)
 
     def _meet(self) -> None:
         """One caller for each other member, and for who speaks to us before it is one."""
-        members = self.node.core.members
+        members = self.node.raft.membership
         wanted = dict(self._addresses)
         wanted.update({member.name: member.address for member in members.members if member.address})
         wanted.pop(self.setting.name, None)
@@ -208,13 +212,13 @@
 
     def _send(self, to: str, message: Message) -> None:
         if caller := self._callers.get(to):
-            caller.send(p.Peer(message))  # type: ignore[arg-type]
+            caller.send(p.ReplicaMessage(message))  # type: ignore[arg-type]
 
     # --- Connections ------------------------------------------------------------------------------------
     def greeting_received(self, link: Link) -> bool:
         self._links.add(link)
         other = link.peer_greeting
-        if other and other.name and other.address and other.name not in self.node.core.members.names:
+        if other and other.name and other.address and other.name not in self.node.raft.membership.names:
             self._addresses[other.name] = other.address
             self._meet()
         return True
@@ -232,28 +236,28 @@
 
     def frame_received(self, link: Link, frame: p.AnyFrame) -> None:
         match frame:
-            case p.Peer() if link.peer_name:
+            case p.ReplicaMessage() if link.peer_name:
                 self.node.step(self._now(), link.peer_name, frame.message)
-            case p.Pass() if link.peer_name:
+            case p.ForwardedRequest() if link.peer_name:
                 self._serve(link, frame.request, frame.ident)
-            case p.Passed() if link.peer_name:
+            case p.ForwardedResponse() if link.peer_name:
                 if passing := self._passing.pop(frame.ident, None):
                     self._answer(passing, frame.result)
-            case p.Do() | p.Change() | p.Transfer():
+            case p.ExecuteCommand() | p.ChangeMembership() | p.TransferLeadership():
                 self._ask(link, frame)
             case p.Get():
                 self._get(link, frame)
             case p.Watch():
                 self._watch(link, frame)
-            case p.Unwatch():
+            case p.CancelWatch():
                 self._watches.pop((link, frame.ident), None)
-            case p.Status() if not frame.ident:
+            case p.GetStatus() if not frame.ident:
                 self._sign(link)
-            case p.Status():
+            case p.GetStatus():
                 link.send(self.standing(frame.ident))
-            case p.Snap():
+            case p.TakeSnapshot():
                 self._snap(link, frame)
-            case p.Dump():
+            case p.DumpState():
                 self._dump(link, frame)
             case _:
                 log.warning("store: a %s that is not allowed here", type(frame).__name__)
@@ -261,21 +265,21 @@
         self._kick()
 
     # --- Commands ---------------------------------------------------------------------------------------
-    def _ask(self, link: Link, request: p.Do | p.Change | p.Transfer) -> None:
+    def _ask(self, link: Link, request: p.ExecuteCommand | p.ChangeMembership | p.TransferLeadership) -> None:
         """A client's request, here or passed on to the leader."""
-        core = self.node.core
-        if isinstance(request, p.Do) and (size := _size(request.command)) > p.COMMAND:
-            text = f"found a command of {size} bytes; allowed: {p.COMMAND}"
-            link.send(p.Done(request.ident, self._result("limit", text)))
+        core = self.node.raft
+        if isinstance(request, p.ExecuteCommand) and (size := _size(request.command)) > p.MAX_COMMAND_BYTES:
+            text = f"found a command of {size} bytes; allowed: {p.MAX_COMMAND_BYTES}"
+            link.send(p.CommandResponse(request.ident, self._result("limit", text)))
             return
-        if self.node.leads or self.node.broken:
+        if self.node.is_leader or self.node.failure:
             self._serve(link, request, None)
             return
         caller = self._callers.get(core.leader)
         self._passed += 1
         number = self._passed
-        if caller is None or not caller.send(p.Pass(number, request)):
-            link.send(p.Done(request.ident, self._result("unavailable", "no leader is known")))
+        if caller is None or not caller.send(p.ForwardedRequest(number, request)):
+            link.send(p.CommandResponse(request.ident, self._result("unavailable", "no leader is known")))
             return
         passing = self._passing[number] = _Passing(link, request.ident, core.leader)
         passing.timer = self._loop.call_later(PASS_S, self._unknown, number)
@@ -287,12 +291,17 @@
     def _answer(self, passing: _Passing, result: kv.Result) -> None:
         if passing.timer:
             passing.timer.cancel()
-        passing.link.send(p.Done(passing.ident, result))
+        passing.link.send(p.CommandResponse(passing.ident, result))
 
     def _result(self, error: str, text: str) -> kv.Result:
-        return kv.Result(self.node.machine.state.revision, error, text)
-
-    def _serve(self, link: Link, request: p.Do | p.Change | p.Transfer, passed: int | None) -> None:
+        return kv.Result(self.node.state_machine.state.revision, error, text)
+
+    def _serve(
+        self,
+        link: Link,
+        request: p.ExecuteCommand | p.ChangeMembership | p.TransferLeadership,
+        passed: int | None,
+    ) -> None:
         """A request that the leader is to carry out; `passed` is its number where a follower passed it on."""
 
         def done(result: kv.Result | None) -> None:
@@ -300,62 +309,69 @@
             if passed is not None:
                 name = link.peer_name
                 if (caller := self._callers.get(name)) is not None:
-                    caller.send(p.Passed(passed, told))
+                    caller.send(p.ForwardedResponse(passed, told))
             else:
-                link.send(p.Done(request.ident, told))
+                link.send(p.CommandResponse(request.ident, told))
 
         now = self._now()
         try:
             match request:
-                case p.Do():
+                case p.ExecuteCommand():
                     self.node.propose(now, request.command, done)
-                case p.Change():
-                    self.node.change(now, self._changed(request), done)
-                case p.Transfer():
-                    self.node.core.transfer(now, request.name)
+                case p.ChangeMembership():
+                    self.node.change_membership(now, self._changed(request), done)
+                case p.TransferLeadership():
+                    self.node.raft.transfer_leadership(now, request.name)
                     done(self._result("", ""))
         except RefusedError as refusal:
-            final = self.node.leads and not isinstance(request, p.Do) and not isinstance(refusal, BusyError)
-            text = self.node.broken or str(refusal)
+            final = (
+                self.node.is_leader
+                and not isinstance(request, p.ExecuteCommand)
+                and not isinstance(refusal, BusyError)
+            )
+            text = self.node.failure or str(refusal)
             done(self._result("refused" if final else "unavailable", text))
 
-    def _changed(self, request: p.Change) -> Members:
+    def _changed(self, request: p.ChangeMembership) -> Membership:
         """The membership that is asked for; RefusedError where it can't be."""
-        held = list(self.node.core.members.members)
+        held = list(self.node.raft.membership.members)
         at = next((at for at, member in enumerate(held) if member.name == request.name), None)
-        if request.what == "add":
+        if request.action == "add":
             if at is not None:
                 raise RefusedError(f"{request.name} is a member already")
             held.append(Member(request.name, request.address, voter=False))
         elif at is None:
             raise RefusedError(f"{request.name} is no member; members are {', '.join(m.name for m in held)}")
-        elif request.what == "promote":
+        elif request.action == "promote":
             held[at] = Member(held[at].name, held[at].address)
-        elif request.what == "remove":
+        elif request.action == "remove":
             del held[at]
         else:
-            raise RefusedError(f"found the change {request.what!r}; allowed: add, promote, remove")
-        return Members(tuple(held))
-
-    def _snap(self, link: Link, frame: p.Snap) -> None:
-        if self.node.core.applied > self.node.core.log.snapshot.index and not self.node.writing:
-            self.node.begin_snapshot()
-        link.send(p.Done(frame.ident, self._result("", "")))
-
-    def _dump(self, link: Link, frame: p.Dump) -> None:
+            raise RefusedError(f"found the change {request.action!r}; allowed: add, promote, remove")
+        return Membership(tuple(held))
+
+    def _snap(self, link: Link, frame: p.TakeSnapshot) -> None:
+        if (
+            self.node.raft.applied_index > self.node.raft.log.snapshot.index
+            and not self.node.is_writing_snapshot
+        ):
+            self.node.start_snapshot()
+        link.send(p.CommandResponse(frame.ident, self._result("", "")))
+
+    def _dump(self, link: Link, frame: p.DumpState) -> None:
         def told() -> None:
             data = self._dumps.get(link, b"")
-            part = data[frame.offset : frame.offset + p.PAGE]
-            if frame.offset + p.PAGE >= len(data):
+            part = data[frame.offset : frame.offset + p.PAGE_BYTES]
+            if frame.offset + p.PAGE_BYTES >= len(data):
                 self._dumps.pop(link, None)
-            link.send(p.Dumped(frame.ident, len(data), part))
+            link.send(p.DumpChunk(frame.ident, len(data), part))
 
         def done(good: bool) -> None:
             if good:
-                self._dumps[link] = self.node.machine.save()
+                self._dumps[link] = self.node.state_machine.serialize()
                 told()
             else:
-                link.send(p.Dumped(frame.ident, 0, b"", "unavailable"))
+                link.send(p.DumpChunk(frame.ident, 0, b"", "unavailable"))
 
         if frame.offset:
             told()
@@ -371,7 +387,7 @@
             done(good)
 
         def too_late() -> None:
-            self.node.forget(token)
+            self.node.cancel_read(token)
             done(False)
 
         timer = self._loop.call_later(READ_S, too_late)
@@ -406,12 +422,12 @@
             self._when_current(done)
 
     def _page(self, frame: p.Get) -> p.Page:
-        machine = self.node.machine
-        keys = machine.keys(frame.prefix)
+        machine = self.node.state_machine
+        keys = machine.keys_with_prefix(frame.prefix)
         if frame.exact:
             keys = [frame.prefix] if frame.prefix in machine.state.values else []
         values: dict[str, kv.Value] = {}
-        room, more = p.PAGE, False
+        room, more = p.PAGE_BYTES, False
         for key in keys:
             if key <= frame.after and frame.after:
                 continue
@@ -425,11 +441,11 @@
     @property
     def age_ms(self) -> float:
         """How long ago this replica heard of a leader; 0 while it does."""
-        return 0.0 if self.node.core.leader else self._now() - self._current
+        return 0.0 if self.node.raft.leader else self._now() - self._current
 
     def _watch(self, link: Link, frame: p.Watch) -> None:
         if sum(key[0] is link for key in self._watches) >= WATCHES:
-            link.send(p.Events(frame.ident, 0, (), compacted=-1))
+            link.send(p.WatchEvents(frame.ident, 0, (), compacted=-1))
             return
         watch = self._watches[link, frame.ident] = _Watch(link, frame, frame.revision - 1)
         self._tell(watch, first=True)
@@ -440,54 +456,58 @@
 
     def _tell(self, watch: _Watch, first: bool = False) -> None:
         """What has changed since this watch was told last. A client that does not read is cut off."""
-        machine = self.node.machine
+        machine = self.node.state_machine
         revision = machine.state.revision
         if revision <= watch.told and not first:
             return
         try:
-            events = machine.since(watch.told + 1, watch.request.prefix) if watch.told < revision else []
+            events = (
+                machine.events_since(watch.told + 1, watch.request.prefix) if watch.told < revision else []
+            )
         except kv.CompactedError as error:
             del self._watches[watch.link, watch.request.ident]
-            watch.link.send(p.Events(watch.request.ident, revision, (), compacted=error.oldest))
+            watch.link.send(p.WatchEvents(watch.request.ident, revision, (), compacted=error.oldest_revision))
             return
         watch.told = max(watch.told, revision)
         ident = watch.request.ident
         for part, upto in _parts(events, revision):
-            if not watch.link.send(p.Events(ident, upto, part)):
+            if not watch.link.send(p.WatchEvents(ident, upto, part)):
                 watch.link.close()
                 return
         if first and not events:
-            watch.link.send(p.Events(ident, revision, ()))
+            watch.link.send(p.WatchEvents(ident, revision, ()))
 
-    def standing(self, ident: int = 0) -> p.Standing:
+    def standing(self, ident: int = 0) -> p.ReplicaStatus:
         """How it stands."""
-        node, core = self.node, self.node.core
-        state = node.machine.state
-        return p.Standing(
+        node, core = self.node, self.node.raft
+        state = node.state_machine.state
+        return p.ReplicaStatus(
             ident,
             self.setting.name,
             self.setting.cluster,
             core.role.value,
             core.leader,
-            core.hard.term,
-            core.commit,
-            core.applied,
-            core.log.last,
+            core.hard_state.term,
+            core.commit_index,
+            core.applied_index,
+            core.log.last_index,
             state.revision,
-            state.size,
-            core.members,
-            core.hard.recovering,
-            node.broken,
+            state.size_bytes,
+            core.membership,
+            core.hard_state.recovering,
+            node.failure,
             self.age_ms,
-            {name: other.match for name, other in core.progress.items()} if node.leads else {},
+            {name: other.match_index for name, other in core.progress.items()} if node.is_leader else {},
         )
 
 
 def _size(command: kv.Command) -> int:
     """Bytes of a command, near enough."""
-    if not isinstance(command.action, kv.Txn):
+    if not isinstance(command.action, kv.Transaction):
         return 0
-    return sum(len(op.key) + (len(op.value) if isinstance(op, kv.Put) else 0) for op in command.action.ops)
+    return sum(
+        len(op.key) + (len(op.value) if isinstance(op, kv.Put) else 0) for op in command.action.operations
+    )
 
 
 def _parts(events: list[kv.Event], revision: int) -> list[tuple[tuple[kv.Event, ...], int]]:
@@ -495,9 +515,9 @@
     parts: list[tuple[tuple[kv.Event, ...], int]] = []
     begin, size = 0, 0
     for at, event in enumerate(events):
-        size += kv.weight(event)
+        size += kv.estimated_event_bytes(event)
         last = at + 1 == len(events)
-        if last or (size >= p.PAGE and events[at + 1].revision != event.revision):
+        if last or (size >= p.PAGE_BYTES and events[at + 1].revision != event.revision):
             parts.append((tuple(events[begin : at + 1]), revision if last else event.revision))
             begin, size = at + 1, 0
     return parts
--- a/basaltpoint/store/setting.py
+++ b/basaltpoint/store/setting.py
@@ -5,19 +5,19 @@
 from basaltpoint.config.storage import Storage
 from basaltpoint.links.transport import Tls
 from basaltpoint.store.client import Client, Endpoint
-from basaltpoint.store.messages import Member, Members
-from basaltpoint.store.node import Sizes
-from basaltpoint.store.raft import Options
+from basaltpoint.store.messages import Member, Membership
+from basaltpoint.store.node import StorageLimits
+from basaltpoint.store.raft import RaftOptions
 from basaltpoint.store.replica import Setting
 
 
-def initial(storage: Storage) -> Members:
+def initial(storage: Storage) -> Membership:
     """The members of a new cluster; none for a replica that joins one."""
     table = storage.table
     if table.join:
-        return Members()
+        return Membership()
     listed = tuple(Member(name, address) for name, address in storage.members)
-    return Members(listed or (Member(table.name, table.advertise or table.listen),))
+    return Membership(listed or (Member(table.name, table.advertise or table.listen),))
 
 
 def replica(storage: Storage) -> Setting:
@@ -31,8 +31,8 @@
         listen=table.listen,
         initial=initial(storage),
         tls=Tls.from_files(storage.files),
-        options=Options(table.election_ms, table.heartbeat_ms),
-        sizes=Sizes(snapshot_entries=table.snapshot_entries, state_bytes=table.state_mb << 20),
+        options=RaftOptions(table.election_ms, table.heartbeat_ms),
+        sizes=StorageLimits(snapshot_entries=table.snapshot_entries, max_state_bytes=table.state_mb << 20),
         advertise=advertised,
     )
 
--- a/basaltpoint/store/wire.py
+++ b/basaltpoint/store/wire.py
@@ -8,6 +8,6 @@
 
 _encoder = msgspec.msgpack.Encoder()
 encode = _encoder.encode
-_members = msgspec.msgpack.Decoder(messages.Members)
-decode_members = _members.decode
-decode_message = msgspec.msgpack.Decoder(messages.Any).decode
+_membership_decoder = msgspec.msgpack.Decoder(messages.Membership)
+decode_membership = _membership_decoder.decode
+decode_message = msgspec.msgpack.Decoder(messages.AnyMessage).decode
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -25,11 +25,11 @@
 from standalone import KEY, config
 from storeprocs import Cluster, cluster
 
-from basaltpoint.store import machine as kv
+from basaltpoint.store import state_machine as kv
 from basaltpoint.store.client import Client, Endpoint, StoreError
-from basaltpoint.store.files import Folder
-from basaltpoint.store.messages import Member, Members
-from basaltpoint.store.node import Node, Sizes
+from basaltpoint.store.files import OsFiles
+from basaltpoint.store.messages import Member, Membership
+from basaltpoint.store.node import Node, StorageLimits
 
 BODY = bytes(100)
 KILLS = 50
@@ -121,29 +121,29 @@
 async def restart(path: Path) -> None:
     folder = path / "r" / "data" / "log"
     folder.mkdir(parents=True)
-    files = Folder(folder)
-    members = Members((Member("a"),))
+    files = OsFiles(folder)
+    members = Membership((Member("a"),))
     now = time.monotonic() * 1000
-    sizes = Sizes(snapshot_entries=10**7, snapshot_bytes=10**12)
-    node = Node("a", files, random.Random(1), now, lambda to, message: None, sizes=sizes, initial=members)
+    sizes = StorageLimits(snapshot_entries=10**7, snapshot_bytes=10**12)
+    node = Node("a", files, random.Random(1), now, lambda to, message: None, limits=sizes, initial=members)
     node.tick(now + 10_000)
-    node.pump()
-    assert node.leads
+    node.process_output()
+    assert node.is_leader
     for at in range(100_000):
-        put = kv.Txn((), (kv.Put(f"k{at % 10_000}", BODY),))
+        put = kv.Transaction((), (kv.Put(f"k{at % 10_000}", BODY),))
         node.propose(now + 10_000, kv.Command(put), lambda result: None)
         if at % 1000 == 999:
-            node.pump()
+            node.process_output()
     files.close()
     began = time.perf_counter()
     raw = sum(len((folder / name).read_bytes()) for name in os.listdir(folder))
     bare = time.perf_counter() - began
     began = time.perf_counter()
-    again = Node("a", Folder(folder), random.Random(1), now, lambda to, message: None, sizes=sizes)
+    again = Node("a", OsFiles(folder), random.Random(1), now, lambda to, message: None, limits=sizes)
     again.tick(now + 10_000)
-    again.pump()
+    again.process_output()
     took = time.perf_counter() - began
-    assert again.machine.state.revision == 100_000
+    assert again.state_machine.state.revision == 100_000
     print(
         f"restart with 100,000 entries ({raw >> 20} MB): {took:.2f} s; reading the files alone {bare:.3f} s"
     )
--- a/tests/linear.py
+++ b/tests/linear.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Op:
+class Operation:
     """One operation: `write` sets `value`; `read` saw `value`; `swap` set `value` where it found `old`.
 
     `ended` is inf where the answer was lost: it took effect at any time after it began, or never. `good`
@@ -22,53 +22,53 @@
     key: str
     kind: str
     value: str | None
-    began: float
-    ended: float
-    old: str | None = None
-    good: bool | None = True
+    start: float
+    end: float
+    expected: str | None = None
+    succeeded: bool | None = True
 
 
-def _after(state: str | None, op: Op) -> tuple[bool, str | None]:
+def _apply(state: str | None, op: Operation) -> tuple[bool, str | None]:
     """Whether it can take effect on a state, and the state behind it."""
     if op.kind == "read":
         return state == op.value, state
     if op.kind == "write":
         return True, op.value
-    found = state == op.old
-    if op.good is None:
+    found = state == op.expected
+    if op.succeeded is None:
         return True, op.value if found else state
-    return found == op.good, op.value if found else state
+    return found == op.succeeded, op.value if found else state
 
 
-def _key_holds(ops: list[Op]) -> bool:
-    ops = sorted(ops, key=lambda op: op.began)
+def _is_linearizable(operations: list[Operation]) -> bool:
+    operations = sorted(operations, key=lambda op: op.start)
     # A read whose answer was lost says nothing.
-    ops = [op for op in ops if not (op.kind == "read" and op.ended == math.inf)]
-    done = sum(1 << at for at, op in enumerate(ops) if op.ended < math.inf)
-    seen: set[tuple[int, str | None]] = set()
+    operations = [op for op in operations if not (op.kind == "read" and op.end == math.inf)]
+    required = sum(1 << at for at, op in enumerate(operations) if op.end < math.inf)
+    visited: set[tuple[int, str | None]] = set()
     stack: list[tuple[int, str | None]] = [(0, None)]
     while stack:
-        taken, state = stack.pop()
-        if taken & done == done:
+        applied, state = stack.pop()
+        if applied & required == required:
             return True
         # Only what began before the first end of those left can be next.
-        bound = min(op.ended for at, op in enumerate(ops) if not taken >> at & 1)
-        for at, op in enumerate(ops):
-            if op.began > bound:
+        earliest_end = min(op.end for at, op in enumerate(operations) if not applied >> at & 1)
+        for at, op in enumerate(operations):
+            if op.start > earliest_end:
                 break
-            if taken >> at & 1:
+            if applied >> at & 1:
                 continue
-            fits, after = _after(state, op)
-            following = (taken | 1 << at, after)
-            if fits and following not in seen:
-                seen.add(following)
+            fits, after = _apply(state, op)
+            following = (applied | 1 << at, after)
+            if fits and following not in visited:
+                visited.add(following)
                 stack.append(following)
     return False
 
 
-def violations(history: Iterable[Op]) -> list[str]:
+def violations(history: Iterable[Operation]) -> list[str]:
     """The keys whose operations have no order that explains them."""
-    keys: dict[str, list[Op]] = defaultdict(list)
+    by_key: dict[str, list[Operation]] = defaultdict(list)
     for op in history:
-        keys[op.key].append(op)
-    return [key for key, ops in sorted(keys.items()) if not _key_holds(ops)]
+        by_key[op.key].append(op)
+    return [key for key, ops in sorted(by_key.items()) if not _is_linearizable(ops)]
--- a/tests/storesim.py
+++ b/tests/storesim.py
@@ -17,114 +17,118 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from linear import Op, violations
+from linear import Operation, violations
 
-from basaltpoint.store import machine as kv
+from basaltpoint.store import state_machine as kv
 from basaltpoint.store import wire
-from basaltpoint.store.messages import Entry, Member, Members, Message
-from basaltpoint.store.node import Node, Sizes
+from basaltpoint.store.messages import Entry, Member, Membership, Message
+from basaltpoint.store.node import Node, StorageLimits
 from basaltpoint.store.raft import RefusedError
 
-CLUSTER_MS = 8_000.0  # of faults in a run
-CALM_MS = 30_000.0  # longest time to agree again when all faults are gone
-PATIENCE_MS = 450.0  # of a client, before it asks another replica the same
+FAULTS_MS = 8_000.0  # of faults in a run
+MAX_CONVERGENCE_MS = 30_000.0  # longest time to agree again when all faults are gone
+CLIENT_TIMEOUT_MS = 450.0  # of a client, before it asks another replica the same
 
 
-class Crash(BaseException):
+class SimulatedCrash(BaseException):
     """The process ends here."""
 
 
 @dataclass(slots=True)
 class _File:
     data: bytearray = field(default_factory=bytearray)
-    synced: int = 0
-    doubtful: int | None = None  # from here to `synced` or the end a failed sync may have lost what it told
+    synced_bytes: int = 0
+    unreliable_from: int | None = (
+        None  # from here to `synced` or the end a failed sync may have lost what it told
+    )
 
 
 class SimFiles:
     """A folder of which a power failure takes what was not synced, or a part of it."""
 
     def __init__(self) -> None:
-        self.now: dict[str, _File] = {}
-        self.kept: dict[str, _File] = {}
-        self._ops: list[Callable[[dict[str, _File]], object]] = []
-        self.fails = False  # the disk is full or broken
+        self.current_files: dict[str, _File] = {}
+        self.durable_files: dict[str, _File] = {}
+        self._unsynced_changes: list[Callable[[dict[str, _File]], object]] = []
+        self.is_failing = False  # the disk is full or broken
 
-    def _do(self, op: Callable[[dict[str, _File]], object]) -> None:
-        op(self.now)
-        self._ops.append(op)
+    def _change_names(self, op: Callable[[dict[str, _File]], object]) -> None:
+        op(self.current_files)
+        self._unsynced_changes.append(op)
 
-    def names(self) -> list[str]:
-        return sorted(self.now)
+    def list_names(self) -> list[str]:
+        return sorted(self.current_files)
 
     def read(self, name: str) -> bytes:
-        return bytes(self.now[name].data)
+        return bytes(self.current_files[name].data)
 
     def append(self, name: str, data: bytes) -> None:
-        if name not in self.now:
+        if name not in self.current_files:
             made = _File()
-            self._do(lambda names: names.update({name: made}))
-        if self.fails:
-            self.now[name].data += data[: len(data) // 2]  # as much as there was room for
+            self._change_names(lambda names: names.update({name: made}))
+        if self.is_failing:
+            self.current_files[name].data += data[: len(data) // 2]  # as much as there was room for
             raise OSError(28, "No space left on device")
-        self.now[name].data += data
+        self.current_files[name].data += data
 
-    def cut(self, name: str, size: int) -> None:
-        file = self.now[name]
+    def truncate(self, name: str, size: int) -> None:
+        file = self.current_files[name]
         del file.data[size:]
-        file.synced = min(file.synced, size)
-        if file.doubtful is not None and file.doubtful >= size:
-            file.doubtful = None
-        if self.fails:
+        file.synced_bytes = min(file.synced_bytes, size)
+        if file.unreliable_from is not None and file.unreliable_from >= size:
+            file.unreliable_from = None
+        if self.is_failing:
             raise OSError(5, "Input/output error")
 
     def sync(self, name: str) -> None:
-        file = self.now[name]
-        if self.fails:
+        file = self.current_files[name]
+        if self.is_failing:
             # The system told it once: a later sync succeeds, whether or not these bytes are on the disk.
-            if file.doubtful is None and file.synced < len(file.data):
-                file.doubtful = file.synced
+            if file.unreliable_from is None and file.synced_bytes < len(file.data):
+                file.unreliable_from = file.synced_bytes
             raise OSError(5, "Input/output error")
-        file.synced = len(file.data)
+        file.synced_bytes = len(file.data)
 
     def rename(self, old: str, new: str) -> None:
-        file = self.now[old]
+        file = self.current_files[old]
 
         def move(names: dict[str, _File]) -> None:
             names.pop(old, None)
             names[new] = file
 
-        self._do(move)
+        self._change_names(move)
 
     def remove(self, name: str) -> None:
-        self._do(lambda names: names.pop(name, None))
+        self._change_names(lambda names: names.pop(name, None))
 
-    def sync_names(self) -> None:
-        self.kept, self._ops = dict(self.now), []
+    def sync_directory(self) -> None:
+        self.durable_files, self._unsynced_changes = dict(self.current_files), []
 
-    def lose(self, rng: random.Random) -> None:
+    def lose_power(self, rng: random.Random) -> None:
         """Power fails: of bytes that were not synced some first part is left, of names any."""
-        for op in self._ops:
+        for op in self._unsynced_changes:
             if rng.random() < 0.5:
-                op(self.kept)
-        self.now, self._ops = dict(self.kept), []
-        for file in self.now.values():
-            if file.doubtful is not None:
-                if rng.random() < 0.5 and file.doubtful < len(file.data):
-                    file.data[rng.randrange(file.doubtful, len(file.data))] ^= 0x20
-                file.doubtful = None
-            left = rng.randint(file.synced, len(file.data))
+                op(self.durable_files)
+        self.current_files, self._unsynced_changes = dict(self.durable_files), []
+        for file in self.current_files.values():
+            if file.unreliable_from is not None:
+                if rng.random() < 0.5 and file.unreliable_from < len(file.data):
+                    file.data[rng.randrange(file.unreliable_from, len(file.data))] ^= 0x20
+                file.unreliable_from = None
+            left = rng.randint(file.synced_bytes, len(file.data))
             del file.data[left:]
-            if left > file.synced and rng.random() < 0.3:
-                file.data[rng.randrange(file.synced, left)] ^= 0x40
-            file.synced = len(file.data)
+            if left > file.synced_bytes and rng.random() < 0.3:
+                file.data[rng.randrange(file.synced_bytes, left)] ^= 0x40
+            file.synced_bytes = len(file.data)
 
     def copy(self) -> SimFiles:
         """What is on the disk now, for a rollback."""
-        made = SimFiles()
-        made.kept = {name: _File(bytearray(file.data), len(file.data)) for name, file in self.now.items()}
-        made.now = dict(made.kept)
-        return made
+        copied = SimFiles()
+        copied.durable_files = {
+            name: _File(bytearray(file.data), len(file.data)) for name, file in self.current_files.items()
+        }
+        copied.current_files = dict(copied.durable_files)
+        return copied
 
 
 @dataclass
@@ -133,78 +137,80 @@
 
     name: str
     files: SimFiles
-    rate: float
+    clock_rate: float
     node: Node | None = None
-    asleep: bool = False
-    inbox: list[Callable[[], None]] = field(default_factory=list)  # what came while it slept
-    run: int = 0  # counts its lives
-    suspect: bool = False
+    is_paused: bool = False
+    deferred: list[Callable[[], None]] = field(default_factory=list)  # what came while it slept
+    incarnation: int = 0  # counts its lives
+    may_be_stale: bool = False
 
 
 @dataclass
 class Faults:
     """How often what goes wrong; 0 to 1 of messages or steps."""
 
-    loss: float = 0.03
-    double: float = 0.02
-    crash: float = 0.003  # at each point of a write
-    events: bool = True  # partitions, sleeps, crashes between
+    loss_rate: float = 0.03
+    duplicate_rate: float = 0.02
+    crash_rate: float = 0.003  # at each point of a write
+    has_events: bool = True  # partitions, sleeps, crashes between
 
 
-class Client:
+class SimulatedClient:
     """Asks for one thing after the other and writes the history down."""
 
-    def __init__(self, sim: Sim, name: str) -> None:
+    def __init__(self, sim: ClusterSimulation, name: str) -> None:
         self.sim, self.name = sim, name
         self.session = self.number = 0
-        self.count = 0
-        self.known: dict[str, tuple[str | None, int]] = {}  # what it last read: value, revision
-        self.turn = 0
+        self.write_count = 0
+        self.last_read: dict[str, tuple[str | None, int]] = {}  # what it last read: value, revision
+        self.attempt_number = 0
 
     def start(self) -> None:
-        self._command(kv.Open(), self._opened)
+        self._command(kv.OpenSession(), self._opened)
 
     def _opened(self, result: kv.Result) -> None:
         if result.ident:
             self.session, self.number = result.ident, 0
-            self.next()
+            self.schedule_next()
         else:
-            self.sim.after(50, self.start)
+            self.sim.schedule(50, self.start)
 
-    def next(self) -> None:
-        if self.sim.now > self.sim.until:
+    def schedule_next(self) -> None:
+        if self.sim.now_ms > self.sim.faults_end_ms:
             return
-        self.sim.after(self.sim.rng.uniform(1, 30), self._choose)
+        self.sim.schedule(self.sim.rng.uniform(1, 30), self._choose)
 
     def _choose(self) -> None:
         rng, key = self.sim.rng, f"k{self.sim.rng.randrange(3)}"
-        self.count += 1
-        value = f"{self.name}.{self.count}"
+        self.write_count += 1
+        value = f"{self.name}.{self.write_count}"
         kind = rng.choice(("read", "read", "write", "swap"))
-        if kind == "read" or (kind == "swap" and key not in self.known):
+        if kind == "read" or (kind == "swap" and key not in self.last_read):
             self._read(key)
             return
-        old, revision = self.known.get(key, (None, 0))
+        old, revision = self.last_read.get(key, (None, 0))
         checks = (kv.Check(key, revision),) if kind == "swap" else ()
-        txn = kv.Txn(checks, (kv.Put(key, value.encode()),))
-        began = self.sim.now
+        txn = kv.Transaction(checks, (kv.Put(key, value.encode()),))
+        began = self.sim.now_ms
 
         def ended(result: kv.Result) -> None:
             if result.error in ("", "check"):
-                self.sim.history.append(Op(key, kind, value, began, self.sim.now, old, result.error == ""))
-                self.known.pop(key, None)
-                self.next()
+                self.sim.history.append(
+                    Operation(key, kind, value, began, self.sim.now_ms, old, result.error == "")
+                )
+                self.last_read.pop(key, None)
+                self.schedule_next()
             else:  # its session is gone: whether it took effect is not known
-                self.sim.history.append(Op(key, kind, value, began, math.inf, old, None))
+                self.sim.history.append(Operation(key, kind, value, began, math.inf, old, None))
                 self.start()
 
-        pending = Op(key, kind, value, began, math.inf, old, None)
-        self.sim.open[self.name] = pending
+        pending = Operation(key, kind, value, began, math.inf, old, None)
+        self.sim.open_operations[self.name] = pending
         self._command(txn, ended)
 
     def _command(self, action: kv.Action, ended: Callable[[kv.Result], None]) -> None:
         """Ask one replica after the other until an answer comes; the session keeps it from running twice."""
-        opening = isinstance(action, kv.Open)
+        opening = isinstance(action, kv.OpenSession)
         if not opening:
             self.number += 1
         command = kv.Command(action, 0 if opening else self.session, 0 if opening else self.number)
@@ -212,30 +218,34 @@
 
         def answer(result: kv.Result | None, turn: int) -> None:
             nonlocal done
-            if done or (result is None and turn != self.turn):
+            if done or (result is None and turn != self.attempt_number):
                 return
             if result is None:
                 retry()
                 return
             done = True
-            self.sim.open.pop(self.name, None)
+            self.sim.open_operations.pop(self.name, None)
             ended(result)
 
         def retry() -> None:
-            self.sim.after(self.sim.rng.uniform(5, 60), attempt)
+            self.sim.schedule(self.sim.rng.uniform(5, 60), attempt)
 
         def attempt() -> None:
             if done:
                 return
-            self.turn += 1
-            turn = self.turn
-            self.sim.ask(lambda node, now, back: node.propose(now, command, back), lambda r: answer(r, turn))
-            self.sim.after(PATIENCE_MS, lambda: attempt() if not done and turn == self.turn else None)
+            self.attempt_number += 1
+            turn = self.attempt_number
+            self.sim.call_any_replica(
+                lambda node, now, back: node.propose(now, command, back), lambda r: answer(r, turn)
+            )
+            self.sim.schedule(
+                CLIENT_TIMEOUT_MS, lambda: attempt() if not done and turn == self.attempt_number else None
+            )
 
         attempt()
 
     def _read(self, key: str) -> None:
-        began = self.sim.now
+        began = self.sim.now_ms
         over = False
 
         def ended(value: Any) -> None:
@@ -245,22 +255,24 @@
             over = True
             if value is not None:
                 found, _ = value
-                self.known[key] = value
-                self.sim.history.append(Op(key, "read", found, began, self.sim.now))
-            self.next()
+                self.last_read[key] = value
+                self.sim.history.append(Operation(key, "read", found, began, self.sim.now_ms))
+            self.schedule_next()
 
         def ask(node: Node, now: float, back: Callable[[Any], None]) -> None:
             def done(good: bool) -> None:
-                value = node.machine.state.values.get(key)
-                back((value.value.decode(), value.changed) if value else (None, 0)) if good else back(None)
+                value = node.state_machine.state.values.get(key)
+                back(
+                    (value.value.decode(), value.modified_revision) if value else (None, 0)
+                ) if good else back(None)
 
             node.read(now, done)
 
-        self.sim.ask(ask, ended)
-        self.sim.after(PATIENCE_MS, lambda: ended(None))
+        self.sim.call_any_replica(ask, ended)
+        self.sim.schedule(CLIENT_TIMEOUT_MS, lambda: ended(None))
 
 
-class Sim:
+class ClusterSimulation:
     """One run."""
 
     def __init__(
@@ -268,79 +280,82 @@
         seed: int,
         size: int = 3,
         faults: Faults | None = None,
-        until: float = CLUSTER_MS,
+        faults_end_ms: float = FAULTS_MS,
         clients: int = 6,
     ) -> None:
         self.seed, self.size = seed, size
         self.rng = random.Random(seed)
         self.faults = faults or Faults()
-        self.now, self.until = 0.0, until
+        self.now_ms, self.faults_end_ms = 0.0, faults_end_ms
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._count = 0
-        self.cut: set[tuple[str, str]] = set()
-        self.history: list[Op] = []
-        self.open: dict[str, Op] = {}
-        self.leaders: dict[int, str] = {}
+        self.blocked_links: set[tuple[str, str]] = set()
+        self.history: list[Operation] = []
+        self.open_operations: dict[str, Operation] = {}
+        self.leader_by_term: dict[int, str] = {}
         self.committed: dict[int, Entry] = {}
-        self.steps = self.born = 0
+        self.steps = self.added_host_count = 0
         self.log: list[str] = []
         self.hosts: dict[str, Host] = {}
-        self.initial = Members(tuple(Member(f"n{at}", f"host{at}:1") for at in range(size)))
+        self.initial = Membership(tuple(Member(f"n{at}", f"host{at}:1") for at in range(size)))
         for member in self.initial.members:
             self.add_host(member.name)
-        self.clients = [Client(self, f"c{at}") for at in range(clients)]
+        self.clients = [SimulatedClient(self, f"c{at}") for at in range(clients)]
 
     # --- Time and network --------------------------------------------------------------------------
-    def after(self, ms: float, act: Callable[[], None]) -> None:
+    def schedule(self, ms: float, act: Callable[[], None]) -> None:
         self._count += 1
-        heapq.heappush(self._queue, (self.now + ms, self._count, act))
+        heapq.heappush(self._queue, (self.now_ms + ms, self._count, act))
 
-    def local(self, host: Host) -> float:
-        return self.now * host.rate
+    def local_time(self, host: Host) -> float:
+        return self.now_ms * host.clock_rate
 
     def send(self, sender: Host, to: str, message: Message) -> None:
-        raw, run = wire.encode(message), sender.run
-        for _ in range(2 if self.rng.random() < self.faults.double else 1):
-            if self.rng.random() < self.faults.loss or to not in self.hosts:
+        raw, run = wire.encode(message), sender.incarnation
+        for _ in range(2 if self.rng.random() < self.faults.duplicate_rate else 1):
+            if self.rng.random() < self.faults.loss_rate or to not in self.hosts:
                 continue
             delay = self.rng.uniform(0.3, 5) if self.rng.random() < 0.95 else self.rng.uniform(20, 400)
-            self.after(delay, lambda: self._deliver(sender, run, to, raw))
+            self.schedule(delay, lambda: self._deliver(sender, run, to, raw))
 
     def _deliver(self, sender: Host, run: int, to: str, raw: bytes) -> None:
-        if (sender.name, to) in self.cut or sender.run != run:  # a connection ends with its process
+        if (
+            sender.name,
+            to,
+        ) in self.blocked_links or sender.incarnation != run:  # a connection ends with its process
             return
-        self.on(self.hosts[to], lambda node, now: node.step(now, sender.name, wire.decode_message(raw)))
+        self.run_on(self.hosts[to], lambda node, now: node.step(now, sender.name, wire.decode_message(raw)))
 
-    def on(self, host: Host, act: Callable[[Node, float], None]) -> None:
+    def run_on(self, host: Host, act: Callable[[Node, float], None]) -> None:
         """Have a replica do something now; one asleep does it when it wakes."""
-        if host.asleep:
-            run = host.run
-            host.inbox.append(lambda: self.on(host, act) if host.run == run else None)
+        if host.is_paused:
+            run = host.incarnation
+            host.deferred.append(lambda: self.run_on(host, act) if host.incarnation == run else None)
             return
         if host.node is None:
             return
         try:
-            act(host.node, self.local(host))
-            host.node.pump()
-        except Crash:
+            act(host.node, self.local_time(host))
+            host.node.process_output()
+        except SimulatedCrash:
             self.crash(host)
-        self._check(host)
+        self._check_safety(host)
 
-    def ask(self, act: Callable[..., None], back: Callable[[Any], None]) -> None:
+    def call_any_replica(self, act: Callable[..., None], back: Callable[[Any], None]) -> None:
         """A client's call on any replica; its answer takes its time, and may be lost."""
         host = self.hosts[self.rng.choice(sorted(self.hosts))]
 
         def call(node: Node, now: float) -> None:
             def answer(result: Any) -> None:
-                if self.rng.random() >= self.faults.loss * 2:
-                    self.after(self.rng.uniform(0.3, 5), lambda: back(result))
+                if self.rng.random() >= self.faults.loss_rate * 2:
+                    self.schedule(self.rng.uniform(0.3, 5), lambda: back(result))
 
             try:
                 act(node, now, answer)
             except RefusedError:
                 answer(None)
 
-        self.after(self.rng.uniform(0.3, 5), lambda: self.on(host, call))
+        self.schedule(self.rng.uniform(0.3, 5), lambda: self.run_on(host, call))
 
     # --- Replicas ------------------------------------------------------------------------------------
     def add_host(self, name: str) -> Host:
@@ -350,61 +365,70 @@
         return host
 
     def start(self, host: Host) -> None:
-        host.run += 1
-        host.asleep = False
+        host.incarnation += 1
+        host.is_paused = False
         initial = self.initial if any(m.name == host.name for m in self.initial.members) else None
         try:
             host.node = Node(
                 host.name,
                 host.files,
                 random.Random(self.rng.random()),
-                self.local(host),
+                self.local_time(host),
                 lambda to, message: self.send(host, to, message),
-                sizes=Sizes(snapshot_entries=25),
+                limits=StorageLimits(snapshot_entries=25),
                 initial=initial,
-                suspect=host.suspect,
-                point=lambda name: self._point(host, name),
+                may_be_stale=host.may_be_stale,
+                crash_point=lambda name: self._reach_crash_point(host, name),
             )
-        except (Crash, OSError):  # a start that the disk does not let through ends, and is tried again
+        except (
+            SimulatedCrash,
+            OSError,
+        ):  # a start that the disk does not let through ends, and is tried again
             self.crash(host)
             return
-        host.suspect = False
-        self._wake(host, host.run)
+        host.may_be_stale = False
+        self._tick_regularly(host, host.incarnation)
 
-    def _wake(self, host: Host, run: int) -> None:
-        if host.run != run or host.node is None:
+    def _tick_regularly(self, host: Host, run: int) -> None:
+        if host.incarnation != run or host.node is None:
             return
-        if not host.asleep:
-            self.on(host, lambda node, now: node.tick(now))
-        self.after(self.rng.uniform(3, 12), lambda: self._wake(host, run))
-
-    def _point(self, host: Host, name: str) -> None:
-        if self.faults.crash and self.now < self.until and self.rng.random() < self.faults.crash:
-            self.log.append(f"{self.now:.0f} {host.name} ends at {name}")
-            raise Crash
+        if not host.is_paused:
+            self.run_on(host, lambda node, now: node.tick(now))
+        self.schedule(self.rng.uniform(3, 12), lambda: self._tick_regularly(host, run))
+
+    def _reach_crash_point(self, host: Host, name: str) -> None:
+        if (
+            self.faults.crash_rate
+            and self.now_ms < self.faults_end_ms
+            and self.rng.random() < self.faults.crash_rate
+        ):
+            self.log.append(f"{self.now_ms:.0f} {host.name} ends at {name}")
+            raise SimulatedCrash
 
     def crash(self, host: Host) -> None:
-        host.node, host.asleep = None, False
-        host.inbox.clear()
-        host.files.lose(self.rng)
-        host.run += 1
-        run = host.run
-        self.after(self.rng.uniform(20, 2500), lambda: self.start(host) if host.run == run else None)
-
-    def wake(self, host: Host) -> None:
-        host.asleep = False
-        waiting, host.inbox = host.inbox, []
+        host.node, host.is_paused = None, False
+        host.deferred.clear()
+        host.files.lose_power(self.rng)
+        host.incarnation += 1
+        run = host.incarnation
+        self.schedule(
+            self.rng.uniform(20, 2500), lambda: self.start(host) if host.incarnation == run else None
+        )
+
+    def resume(self, host: Host) -> None:
+        host.is_paused = False
+        waiting, host.deferred = host.deferred, []
         for act in waiting:
             act()
 
     @property
     def leader(self) -> Host | None:
-        leading = [host for host in self.hosts.values() if host.node and host.node.leads]
-        return max(leading, key=lambda host: host.node.core.hard.term if host.node else 0, default=None)
+        leading = [host for host in self.hosts.values() if host.node and host.node.is_leader]
+        return max(leading, key=lambda host: host.node.raft.hard_state.term if host.node else 0, default=None)
 
     # --- What goes wrong --------------------------------------------------------------------------------
-    def _trouble(self) -> None:
-        if self.now >= self.until:
+    def _inject_fault(self) -> None:
+        if self.now_ms >= self.faults_end_ms:
             return
         rng = self.rng
         host = self.hosts[rng.choice(sorted(self.hosts))]
@@ -427,40 +451,47 @@
             )
         ):
             case "crash" if host.node:
-                self.log.append(f"{self.now:.0f} {host.name} ends")
+                self.log.append(f"{self.now_ms:.0f} {host.name} ends")
                 self.crash(host)
             case "island":
-                self.cut |= {(host.name, name) for name in others} | {(name, host.name) for name in others}
+                self.blocked_links |= {(host.name, name) for name in others} | {
+                    (name, host.name) for name in others
+                }
             case "deaf":
-                self.cut |= {(name, host.name) for name in others}
+                self.blocked_links |= {(name, host.name) for name in others}
             case "mute":
-                self.cut |= {(host.name, name) for name in others}
+                self.blocked_links |= {(host.name, name) for name in others}
             case "split":
                 half = set(rng.sample(sorted(self.hosts), len(self.hosts) // 2))
                 pairs = {(a, b) for a in self.hosts for b in self.hosts if (a in half) != (b in half)}
-                self.cut |= pairs
-            case "sleep" if host.node and not host.asleep:
-                host.asleep = True
-                run = host.run
-                self.after(rng.uniform(50, 2500), lambda: self.wake(host) if host.run == run else None)
+                self.blocked_links |= pairs
+            case "sleep" if host.node and not host.is_paused:
+                host.is_paused = True
+                run = host.incarnation
+                self.schedule(
+                    rng.uniform(50, 2500), lambda: self.resume(host) if host.incarnation == run else None
+                )
             case "full" if host.node:
-                host.files.fails = True
-                self.after(rng.uniform(50, 800), lambda: self._mend(host))
+                host.files.is_failing = True
+                self.schedule(rng.uniform(50, 800), lambda: self._end_disk_fault(host))
             case "transfer" if leader and leader.node and others:
                 target = rng.choice(others)
-                self.on(leader, lambda node, now: _quietly(lambda: node.core.transfer(now, target)))
+                self.run_on(
+                    leader,
+                    lambda node, now: _ignore_refusal(lambda: node.raft.transfer_leadership(now, target)),
+                )
             case "members" if leader and leader.node:
-                self._change(leader)
+                self._change_membership(leader)
             case _:
-                self.cut.clear()
+                self.blocked_links.clear()
         if rng.random() < 0.35:
-            self.cut.clear()
-        self.after(rng.uniform(100, 900), self._trouble)
+            self.blocked_links.clear()
+        self.schedule(rng.uniform(100, 900), self._inject_fault)
 
-    def _change(self, leader: Host) -> None:
+    def _change_membership(self, leader: Host) -> None:
         """A member comes as a learner, gets its vote, or goes; whether it may now is the leader's to say."""
         assert leader.node
-        held = list(leader.node.core.members.members)
+        held = list(leader.node.raft.membership.members)
         learners = [at for at, member in enumerate(held) if not member.voter]
         if learners:
             at = self.rng.choice(learners)
@@ -469,47 +500,54 @@
             if len(held) > 2:
                 del held[self.rng.randrange(len(held))]
         else:
-            self.born += 1
-            held.append(Member(self.add_host(f"x{self.born}").name, "", voter=False))
-        members = Members(tuple(held))
-        self.on(leader, lambda node, now: _quietly(lambda: node.change(now, members, lambda result: None)))
-
-    def _mend(self, host: Host) -> None:
-        host.files.fails = False
-        if host.node and host.node.broken and self.rng.random() < 0.3:  # an operator starts it again
+            self.added_host_count += 1
+            held.append(Member(self.add_host(f"x{self.added_host_count}").name, "", voter=False))
+        members = Membership(tuple(held))
+        self.run_on(
+            leader,
+            lambda node, now: _ignore_refusal(
+                lambda: node.change_membership(now, members, lambda result: None)
+            ),
+        )
+
+    def _end_disk_fault(self, host: Host) -> None:
+        host.files.is_failing = False
+        if host.node and host.node.failure and self.rng.random() < 0.3:  # an operator starts it again
             self.crash(host)
 
     # --- Properties (Ongaro, figure 3.2) ------------------------------------------------------------------
-    def _check(self, host: Host) -> None:
+    def _check_safety(self, host: Host) -> None:
         node = host.node
         if node is None:
             return
-        core = node.core
-        if node.leads:
-            term = core.hard.term
-            first = self.leaders.setdefault(term, host.name)
+        core = node.raft
+        if node.is_leader:
+            term = core.hard_state.term
+            first = self.leader_by_term.setdefault(term, host.name)
             assert first == host.name, f"two leaders in term {term}"
             if getattr(node, "checked", 0) != term:
                 node.checked = term  # type: ignore[attr-defined]
                 for index, entry in self.committed.items():
                     if index > core.log.snapshot.index:
-                        assert core.log.term(index) == entry.term, f"leader {host.name} lacks entry {index}"
+                        assert core.log.term_at(index) == entry.term, (
+                            f"leader {host.name} lacks entry {index}"
+                        )
         start = max(getattr(node, "seen", 0), core.log.snapshot.index)
-        if core.applied > start and start >= core.log.base:
-            for entry in core.log.after(start, upto=core.applied):
+        if core.applied_index > start and start >= core.log.base_index:
+            for entry in core.log.entries_after(start, last=core.applied_index):
                 known = self.committed.setdefault(entry.index, entry)
                 assert known == entry, f"{host.name} applied another entry {entry.index}"
-        node.seen = core.applied  # type: ignore[attr-defined]
+        node.seen = core.applied_index  # type: ignore[attr-defined]
         self.steps += 1
 
-    def _logs_match(self) -> None:
+    def _check_log_matching(self) -> None:
         nodes = [host.node for host in self.hosts.values() if host.node]
         for one in nodes:
             for other in nodes:
-                a, b = one.core.log, other.core.log
-                low, high = max(a.base, b.base), min(a.last, b.last)
-                agreed = max((i for i in range(low, high + 1) if a.term(i) == b.term(i)), default=low)
-                assert all(a.term(i) == b.term(i) for i in range(low + 1, agreed + 1)), (
+                a, b = one.raft.log, other.raft.log
+                low, high = max(a.base_index, b.base_index), min(a.last_index, b.last_index)
+                agreed = max((i for i in range(low, high + 1) if a.term_at(i) == b.term_at(i)), default=low)
+                assert all(a.term_at(i) == b.term_at(i) for i in range(low + 1, agreed + 1)), (
                     "logs differ before an agreement"
                 )
 
@@ -518,72 +556,76 @@
         """Faults, then calm; AssertionError where a property is broken."""
         for client in self.clients:
             client.start()
-        if self.faults.events:
-            self.after(500, self._trouble)
-        self.play(lambda: self.now >= self.until)
-        self.calm()
-        self.play(self.agreed, CALM_MS)
-        assert self.agreed(), "the replicas do not come to agree when all is well again"
-        self.judge()
-
-    def calm(self) -> None:
+        if self.faults.has_events:
+            self.schedule(500, self._inject_fault)
+        self.run_until(lambda: self.now_ms >= self.faults_end_ms)
+        self.end_faults()
+        self.run_until(self.has_converged, MAX_CONVERGENCE_MS)
+        assert self.has_converged(), "the replicas do not come to agree when all is well again"
+        self.check_final_state()
+
+    def end_faults(self) -> None:
         """All faults end."""
         self.faults = Faults(0, 0, 0, False)
-        self.cut.clear()
+        self.blocked_links.clear()
         for host in self.hosts.values():
-            host.files.fails = False
-            if host.asleep:
-                self.wake(host)
+            host.files.is_failing = False
+            if host.is_paused:
+                self.resume(host)
             if host.node is None:
                 self.crash(host)
 
-    def play(self, over: Callable[[], bool], most: float = math.inf) -> None:
-        end, looked = self.now + most, 0.0
-        while self._queue and not over() and self.now < end:
-            self.now, _, act = heapq.heappop(self._queue)
+    def run_until(self, condition: Callable[[], bool], max_ms: float = math.inf) -> None:
+        end, looked = self.now_ms + max_ms, 0.0
+        while self._queue and not condition() and self.now_ms < end:
+            self.now_ms, _, act = heapq.heappop(self._queue)
             act()
-            if self.now - looked > 100:
-                looked = self.now
-                self._logs_match()
+            if self.now_ms - looked > 100:
+                looked = self.now_ms
+                self._check_log_matching()
 
-    def agreed(self) -> bool:
+    def has_converged(self) -> bool:
         """Whether all voters are up and hold the same state, and no client waits."""
         leader = self.leader
-        if self.open or leader is None or leader.node is None:
+        if self.open_operations or leader is None or leader.node is None:
             return False
-        core = leader.node.core
-        for name in core.members.names:
+        core = leader.node.raft
+        for name in core.membership.names:
             node = self.hosts[name].node
-            if node is None or node.core.applied != core.log.last or node.core.hard.recovering:
+            if (
+                node is None
+                or node.raft.applied_index != core.log.last_index
+                or node.raft.hard_state.recovering
+            ):
                 return False
-        return core.applied == core.log.last
+        return core.applied_index == core.log.last_index
 
-    def judge(self) -> None:
+    def check_final_state(self) -> None:
         leader = self.leader
         assert leader and leader.node
         states = [
-            host.node.machine.state
+            host.node.state_machine.state
             for name, host in sorted(self.hosts.items())
-            if host.node and name in leader.node.core.members.names
+            if host.node and name in leader.node.raft.membership.names
         ]
         assert all(state == states[0] for state in states), "replicas hold different states"
-        self._logs_match()
-        wrong = violations([*self.history, *self.open.values()])
+        self._check_log_matching()
+        wrong = violations([*self.history, *self.open_operations.values()])
         assert not wrong, f"no order explains what was seen of {wrong}"
 
 
-def _quietly(act: Callable[[], Any]) -> None:
+def _ignore_refusal(act: Callable[[], Any]) -> None:
     with contextlib.suppress(RefusedError):
         act()
 
 
-def play(seed: int, size: int) -> Sim:
+def run_seed(seed: int, size: int) -> ClusterSimulation:
     """One seed; a failure tells how to play it again."""
-    sim = Sim(seed, size)
+    sim = ClusterSimulation(seed, size)
     try:
         sim.run()
     except Exception as error:
-        again = f"def test_seed_{seed}_of_{size}() -> None:\n    play({seed}, {size})"
+        again = f"def test_seed_{seed}_of_{size}() -> None:\n    run_seed({seed}, {size})"
         raise AssertionError(f"{error}\n\n{again}\n\nor: python tests/storesim.py {size} {seed}") from error
     return sim
 
@@ -595,7 +637,7 @@
     ops = steps = bad = 0
     for seed in range(first, last + 1):
         try:
-            sim = play(seed, size)
+            sim = run_seed(seed, size)
             ops, steps = ops + len(sim.history), steps + sim.steps
         except AssertionError as error:
             bad += 1
--- a/tests/test_linear.py
+++ b/tests/test_linear.py
@@ -5,14 +5,14 @@
 import math
 import random
 
-from linear import Op, violations
+from linear import Operation, violations
 
 
-def op(kind: str, value: str | None, began: float, ended: float, **more: object) -> Op:
-    return Op("k", kind, value, began, ended, **more)  # type: ignore[arg-type]
+def op(kind: str, value: str | None, began: float, ended: float, **more: object) -> Operation:
+    return Operation("k", kind, value, began, ended, **more)  # type: ignore[arg-type]
 
 
-def history(rng: random.Random, count: int = 60) -> list[Op]:
+def history(rng: random.Random, count: int = 60) -> list[Operation]:
     """Concurrent operations that did have an order: each takes effect at a moment within its time."""
     made, state = [], None
     moment = 0.0
@@ -29,7 +29,7 @@
             old = rng.choice((state, "other"))
             good = old == state
             state = f"v{at}" if good else state
-            made.append(op("swap", f"v{at}", began, ended, old=old, good=good))
+            made.append(op("swap", f"v{at}", began, ended, expected=old, succeeded=good))
     return made
 
 
@@ -52,7 +52,7 @@
 
 def test_two_swaps_of_one_value_are_found() -> None:
     ops = [op("write", "1", 0, 1)]
-    ops += [op("swap", f"{at}", 2, 5, old="1", good=True) for at in (2, 3)]
+    ops += [op("swap", f"{at}", 2, 5, expected="1", succeeded=True) for at in (2, 3)]
     assert violations(ops) == ["k"]
 
 
@@ -82,6 +82,6 @@
         if not writes:
             continue
         stale = ops[at]
-        ops[at] = op("read", writes[0], stale.began, stale.ended)
+        ops[at] = op("read", writes[0], stale.start, stale.end)
         found += bool(violations(ops))
     assert found > 80
--- a/tests/test_store_changes.py
+++ b/tests/test_store_changes.py
@@ -13,10 +13,10 @@
 from basaltpoint.links.frames import PROTOCOL_VERSION, Greeting
 from basaltpoint.links.transport import Link
 from basaltpoint.store import command
-from basaltpoint.store import machine as kv
 from basaltpoint.store import protocol as p
+from basaltpoint.store import state_machine as kv
 from basaltpoint.store.client import Client, Endpoint, StoreError
-from basaltpoint.store.messages import Member, Members
+from basaltpoint.store.messages import Member, Membership
 
 LOST = "lost"  # the connection ends in place of an answer
 
@@ -26,7 +26,7 @@
 
     def __init__(self, answers: list[tuple[str, str]], members: list[str]) -> None:
         self.answers = answers
-        self.members = Members(tuple(Member(name, f"{name}:1") for name in members))
+        self.members = Membership(tuple(Member(name, f"{name}:1") for name in members))
         self.asked = 0
         self.transfers_needed = 1  # so many requests until r1 leads
 
@@ -36,24 +36,24 @@
     def link_closed(self, link: Link) -> None:
         pass
 
-    def standing(self, ident: int) -> p.Standing:
+    def standing(self, ident: int) -> p.ReplicaStatus:
         term = commit = applied = last = revision = 1
         log = (term, commit, applied, last, revision)
         leader = "r0" if self.asked < self.transfers_needed else "r1"
-        return p.Standing(ident, "r0", "", "leader", leader, *log, 0, self.members, False, "", 0.0)
+        return p.ReplicaStatus(ident, "r0", "", "leader", leader, *log, 0, self.members, False, "", 0.0)
 
     def frame_received(self, link: Link, frame: Any) -> None:
         match frame:
-            case p.Change() | p.Transfer():
+            case p.ChangeMembership() | p.TransferLeadership():
                 self.asked += 1
                 error, text = self.answers.pop(0)
                 if error == LOST:
                     link.close()
                 else:
-                    link.send(p.Done(frame.ident, kv.Result(0, error, text)))
+                    link.send(p.CommandResponse(frame.ident, kv.Result(0, error, text)))
             case p.Get():
                 link.send(p.Page(frame.ident, 0, {}))
-            case p.Status():
+            case p.GetStatus():
                 link.send(self.standing(frame.ident))
 
 
@@ -62,7 +62,7 @@
         socket = str(path / "replica.sock")
         greeting = Greeting(PROTOCOL_VERSION, "")
         server = await asyncio.get_running_loop().create_unix_server(
-            lambda: Link(replica, greeting, True, p.STORE), socket
+            lambda: Link(replica, greeting, True, p.STORE_PROTOCOL), socket
         )
         client = Client([Endpoint(socket)])
         try:
--- a/tests/test_store_replicas.py
+++ b/tests/test_store_replicas.py
@@ -21,8 +21,8 @@
 from basaltpoint.links.transport import Link, connect
 from basaltpoint.store import protocol as p
 from basaltpoint.store.client import Client, Endpoint, StoreError, UnavailableError
-from basaltpoint.store.machine import Check, CompactedError, Put
 from basaltpoint.store.replica import Replica, Setting
+from basaltpoint.store.state_machine import Check, CompactedError, Put
 
 SMALL = "snapshot_entries = 20"
 
@@ -274,7 +274,7 @@
             async for _ in local.watch("", revision + 1):
                 raise AssertionError("told of a part as if it were all")
         values, at = await local.range("")
-        assert values["a"].value == b"69" and error.value.oldest <= at + 1
+        assert values["a"].value == b"69" and error.value.oldest_revision <= at + 1
         await local.put("a", b"last")
         async for events, _ in local.watch("", at + 1):
             if events:
@@ -304,7 +304,7 @@
         writer.stopped = True
         await task
         await writer.check(client)
-        members = (await client.status()).members
+        members = (await client.status()).membership
         assert sorted(members.voters) == sorted(left)
         now = await made.leader()
         target = next(name for name in left if name != now)
@@ -436,9 +436,11 @@
 async def _asks(made: Cluster, greeting: Greeting, tls: object, name: str = "r0") -> list[p.AnyFrame]:
     """What one who greets so is told."""
     heard = Listener()
-    link = await connect(lambda: Link(heard, greeting, False, p.STORE), made.addresses["r0"], name, tls)  # type: ignore[arg-type]
+    link = await connect(
+        lambda: Link(heard, greeting, False, p.STORE_PROTOCOL), made.addresses["r0"], name, tls
+    )  # type: ignore[arg-type]
     link.send(p.Get(1, "", local=True))
-    link.send(p.Do(2, p.kv.Command(p.kv.Open())))
+    link.send(p.ExecuteCommand(2, p.kv.Command(p.kv.OpenSession())))
     async with asyncio.timeout(PATIENCE_S):
         await link.closed
     return heard.frames
@@ -476,7 +478,7 @@
         for raw in (
             b"\xff\xff\xff\xff",
             LENGTH_PREFIX.pack(5) + b"\x93\xa1xyz",
-            encode_frame(p.Done(1, p.kv.Result(1))),
+            encode_frame(p.CommandResponse(1, p.kv.Result(1))),
         ):
             reader, writer = await asyncio.open_unix_connection(str(tmp_path / "a" / "socket"))
             writer.write(encode_frame(Greeting(PROTOCOL_VERSION, "c")) + raw)
@@ -494,8 +496,8 @@
     asyncio.run(story())
 
 
-def _alone(name: str) -> p.messages.Members:
-    return p.messages.Members((p.messages.Member(name),))
+def _alone(name: str) -> p.messages.Membership:
+    return p.messages.Membership((p.messages.Member(name),))
 
 
 # --- Folders ------------------------------------------------------------
@@ -564,7 +566,7 @@
         done = 0
         while done < times:
             value = await client.get("n", within_s=PATIENCE_S)
-            held, revision = (int(value.value), value.changed) if value else (0, 0)
+            held, revision = (int(value.value), value.modified_revision) if value else (0, 0)
             try:
                 put = Put("n", b"%d" % (held + 1))
                 await client.txn([put], [Check("n", revision)], within_s=PATIENCE_S)
