--- a/basaltpoint/config/settings.py
+++ b/basaltpoint/config/settings.py
@@ -74,14 +74,14 @@
     effect, scope = row.word("effect"), row.word("dedupScope", "all")
     if effect not in EFFECTS:
         raise SettingsError(f"settings: {row.path}.effect is unknown: {effect}")
-    if scope not in {s.value for s in api.Scope}:
+    if scope not in {s.value for s in api.DedupScope}:
         raise SettingsError(f"settings: {row.path}.dedupScope is unknown: {scope}")
     return api.RequestClass(
         aim_ms=row.number("aimMs"),
         deadline_ms=row.number("hardLimitMs"),
         effect=EFFECTS[effect],
-        scope=api.Scope(scope),
-        window_ms=row.number("windowMs", 0),
+        dedup_scope=api.DedupScope(scope),
+        dedup_window_ms=row.number("windowMs", 0),
         late_worth=row.number("lateWorth", 0),
         stream=row.flag("stream"),
         aim_stretch=row.number("aimStretch", 0),
@@ -94,12 +94,12 @@
     return api.Plan(
         rate=row.number("rate", 0),
         burst=row.number("mostAtOnce", 0),
-        parallel=int(row.number("parallel", 0)),
+        max_parallel=int(row.number("parallel", 0)),
         ceiling_rate=row.number("capRate", 0),
         ceiling_depth=row.number("neverOverDepth", 0),
         ceiling_slack=row.number("capSlack", 0),
-        over_worth=row.number("overWorth", 0),
-        over_cost=row.number("beyondCosts", 0),
+        excess_worth=row.number("overWorth", 0),
+        excess_cost=row.number("beyondCosts", 0),
         name=row.word("name", ""),
     )
 
@@ -124,26 +124,26 @@
     prices = root.table("prices") if "prices" in root.raw else _Table({}, "prices")
     report = root.table("report") if "report" in root.raw else _Table({}, "report")
     return api.Settings(
-        me=int(root.number("me")),
-        gateways=int(root.number("balancers")),
+        limiter_index=int(root.number("me")),
+        limiter_count=int(root.number("balancers")),
         zone=int(root.number("myZone", 0)),
         classes=tuple(_request_class(row) for row in root.tables("services")),
         plans=tuple(_plan(row) for row in root.tables("contracts")),
-        cold_from=rules.number("coldFrom"),
-        cold_ms=rules.number("coldMs"),
-        tip_multiple=rules.number("tipMultiple"),
-        fall_ms=rules.number("fallMs"),
+        cold_start_fraction=rules.number("coldFrom"),
+        cold_duration_ms=rules.number("coldMs"),
+        overload_crash_ratio=rules.number("tipMultiple"),
+        overload_crash_ms=rules.number("fallMs"),
         drain_grace_ms=rules.number("drainGraceMs"),
-        ask_within_ms=rules.number("askWithinMs", 0),
-        meter_ms=extra.number("meteringMs", 0),
+        discovery_confirm_ms=rules.number("askWithinMs", 0),
+        meter_period_ms=extra.number("meteringMs", 0),
         post_paid=extra.flag("postPaid"),
         max_attempts=int(limits.number("maxAttempts")),
-        second_copies=limits.flag("secondCopies"),
+        may_hedge=limits.flag("secondCopies"),
         may_cancel=limits.flag("cancel"),
         may_probe=limits.flag("probing"),
-        advice_ms=limits.number("maxRetryAfterMs", 0) if limits.flag("retryAfter") else 0.0,
+        max_retry_after_ms=limits.number("maxRetryAfterMs", 0) if limits.flag("retryAfter") else 0.0,
         must_subscribe=root.word("registryMode", "automatic") == "subscribe",
         report_fields=_fields(report),
-        most_units=extra.number("mostUnits", 0),
-        handshake_price=prices.number("handshake", 0),
+        max_request_units=extra.number("mostUnits", 0),
+        handshake_cost=prices.number("handshake", 0),
     )
--- a/basaltpoint/core/table.py
+++ b/basaltpoint/core/table.py
@@ -98,7 +98,7 @@
     request: int
     result: RequestResult
     retry_in_ms: float = 0.0
-    reason: api.Why | None = None
+    reason: api.RefusalReason | None = None
     payload: object = None
 
 
@@ -275,7 +275,7 @@
         """The request's body is being streamed: no attempt can follow this one, and the deadline rests."""
         if (entry := self.requests.get(ident)) and entry.active_attempt is not None:
             entry.body_consumed = entry.is_uploading = True
-            self._events.append(api.Uploading(ident, entry.active_attempt))
+            self._events.append(api.UploadInProgress(ident, entry.active_attempt))
         return self._run(now)
 
     def upload_finished(self, now: float, ident: int, left_ms: float) -> None:
@@ -388,7 +388,7 @@
             case api.Send():
                 self._send(now, action)
             case api.Refuse():
-                self._answer(action.request, RequestResult.REFUSED, action.retry_in_ms, action.why)
+                self._answer(action.request, RequestResult.REFUSED, action.retry_in_ms, action.reason)
             case api.Fail():
                 self._answer(action.request, RequestResult.FAILED)
             case api.Cancel():
@@ -430,7 +430,7 @@
             now,
             until,
         )
-        self._effects.append(StartAttempt(ident, number, action.server, until, action.whole_ms))
+        self._effects.append(StartAttempt(ident, number, action.server, until, action.fully_written_by_ms))
 
     def _moot(self, outcome: api.Outcome) -> None:
         """Tell of a send that can't be made; a module that answers each with another must not hang all."""
@@ -441,7 +441,7 @@
             self._effects.append(Fault(f"the module sends what can't be sent, again and again: {outcome!r}"))
 
     def _answer(
-        self, ident: int, ending: RequestResult, retry_ms: float = 0.0, why: api.Why | None = None
+        self, ident: int, ending: RequestResult, retry_ms: float = 0.0, why: api.RefusalReason | None = None
     ) -> None:
         entry = self.requests.get(ident)
         if entry and entry.is_open and not entry.response_started_ms:
--- a/basaltpoint/daemon/balances.py
+++ b/basaltpoint/daemon/balances.py
@@ -42,21 +42,22 @@
         self.waiting: dict[int, None] = {}  # asked since they were looked at, the longest ago first
 
     def due(
-        self, asked: Iterable[int], standing_of: Callable[[int], api.Standing | None]
-    ) -> dict[int, api.Standing]:
+        self, asked: Iterable[int], standing_of: Callable[[int], api.QuotaStatus | None]
+    ) -> dict[int, api.QuotaStatus]:
         """Of accounts that have asked, and those left over, as many as may be written now."""
         for account in asked:
             self.waiting[account] = None
-        found: dict[int, api.Standing] = {}
+        found: dict[int, api.QuotaStatus] = {}
         while self.waiting and len(found) < BUDGET:
             account = next(iter(self.waiting))
             del self.waiting[account]
             standing = standing_of(account)
             if (
                 standing
-                and abs(self._written.get(account, standing.burst) - standing.left) >= STEP * standing.burst
+                and abs(self._written.get(account, standing.burst) - standing.units_left)
+                >= STEP * standing.burst
             ):
-                self._written[account] = standing.left
+                self._written[account] = standing.units_left
                 found[account] = standing
         return found
 
@@ -65,14 +66,16 @@
         self._written.clear()
 
 
-def recall(customer: int, plan: api.Plan, held: Balance, now: Timestamp, down_s: float) -> api.Recall:
+def recall(
+    customer: int, plan: api.Plan, held: Balance, now: Timestamp, down_s: float
+) -> api.RestoredBalance:
     """Where an account goes on. `down_s`: for how long nothing was drawn, at least."""
     passed = now.seconds_since(held.at)
     left = min(plan.burst, held.left + plan.rate * passed)
     ceiling = (
         held.ceiling + plan.ceiling_rate * min(passed, down_s) if held.final else plan.ceiling_rate * down_s
     )
-    return api.Recall(customer, left, min(plan.ceiling_depth, ceiling))
+    return api.RestoredBalance(customer, left, min(plan.ceiling_depth, ceiling))
 
 
 class SignOfLife(msgspec.Struct, frozen=True):
--- a/basaltpoint/daemon/platform.py
+++ b/basaltpoint/daemon/platform.py
@@ -107,7 +107,7 @@
     path = socket_path(os.environ.get("TMPDIR"), config.name) if held else None
     found = claim(path) if path else None
     grace_s = config.settings.drain_grace_ms / 1000
-    ask_within_s = config.settings.ask_within_ms / 1000 if config.settings.must_subscribe else None
+    ask_within_s = config.settings.discovery_confirm_ms / 1000 if config.settings.must_subscribe else None
     lease = MembershipLease(time.monotonic(), grace_s, ask_within_s)
     log.info("lists of servers are %s", "pushed" if ask_within_s is None else "asked for")
     limiter = Limiter(config, inherit(found[1]) if found else None, lease)
--- a/basaltpoint/daemon/platform_upgrade.py
+++ b/basaltpoint/daemon/platform_upgrade.py
@@ -54,7 +54,7 @@
     # --- As the newer of two --------------------------------------------------------------------
     def join(self, text: bytes) -> None:
         """The older one's last word: it takes nothing new any more."""
-        gateway, now = self._limiter.gateway, self._limiter.now()
+        gateway, now = self._limiter.decision_module, self._limiter.now()
         state.whole(gateway, now)
         self._joined = True
         if (inherited := inherit(text)) is None:
@@ -72,7 +72,7 @@
         self._clients.listen()  # nobody else takes what comes, whether the list is confirmed by now or not
         if not self._joined:
             log.info("the older process ended without a last word")
-            state.whole(self._limiter.gateway, self._limiter.now())
+            state.whole(self._limiter.decision_module, self._limiter.now())
 
     # --- As the older of two --------------------------------------------------------------------
     def _successor_came(self, sock: socket.socket) -> None:
@@ -89,7 +89,7 @@
             log.warning("the newer process ended; this one goes on alone")
             self._listen_for_successor()  # the name was the newer one's
             self._clients.part = 1.0
-            state.whole(self._limiter.gateway, self._limiter.now())
+            state.whole(self._limiter.decision_module, self._limiter.now())
 
     async def hand_over(self) -> None:
         """After SIGTERM: pass state and connections to the newer one, where there is one."""
--- a/basaltpoint/daemon/standalone.py
+++ b/basaltpoint/daemon/standalone.py
@@ -89,7 +89,9 @@
         if left:
             # One that the older process did not know may have drawn all of its ceiling a moment ago.
             self.relay = Relay(self._own(self.setup), self._seed, 0.0, left.origin_s, left.started_ms)
-            for problem in upgrade_state.put(self.relay.gateway, left, self._names(), self.relay.now()):
+            for problem in upgrade_state.put(
+                self.relay.decision_module, left, self._names(), self.relay.now()
+            ):
                 log.warning("not taken over: %s", problem)
             log.info("took over from the older process")
         else:
@@ -183,9 +185,9 @@
         if member:
             listeners.append(FLEET)
         now = relay.now()
-        module = state.take(relay.gateway, now)
-        state.spend(relay.gateway, now, self.setup.file.clients.drain_s * 1000)
-        names["account"] = {n: i for n, i in names["account"].items() if i in relay.gateway.customers}
+        module = state.take(relay.decision_module, now)
+        state.spend(relay.decision_module, now, self.setup.file.clients.drain_s * 1000)
+        names["account"] = {n: i for n, i in names["account"].items() if i in relay.decision_module.customers}
         shared = self.keeper.pass_on() if self.keeper else None
         return UpgradeState(
             upgrade_state.VERSION,
--- a/basaltpoint/daemon/store_side.py
+++ b/basaltpoint/daemon/store_side.py
@@ -57,7 +57,7 @@
                 relay.do(relay.table.handle_event(relay.now(), event))
         for name, (light, mean_ms) in keeper.learned.items() if recalls else ():
             if name in setup.pools:
-                learned = api.Learned(setup.pools[name], light, mean_ms)
+                learned = api.RestoredLatencies(setup.pools[name], light, mean_ms)
                 relay.do(relay.table.handle_event(relay.now(), learned))
         if keeper.balances and recalls:
             log.info(
@@ -92,17 +92,17 @@
     # --- What the next life needs ------------------------------------------------------------------------
     def due_balances(self, final: bool) -> dict[str, Balance]:
         relay = self._limiter.relay
-        gateway, now, at = relay.gateway, relay.now(), timestamps.now()
+        gateway, now, at = relay.decision_module, relay.now(), timestamps.now()
         if final:
-            told = {n: standing for n in gateway.customers if (standing := gateway.standing(now, n))}
+            told = {n: standing for n in gateway.customers if (standing := gateway.quota_status(now, n))}
         else:
             told = self.balances.due(
-                gateway.asked_since(self._looked), lambda number: gateway.standing(now, number)
+                gateway.customers_since(self._looked), lambda number: gateway.quota_status(now, number)
             )
             self._looked = now
         return {
             self._numbers[number]: Balance(
-                standing.left, standing.ceiling, at.unix_ms, final, at.boot_id, at.boot_s
+                standing.units_left, standing.ceiling_units_left, at.unix_ms, final, at.boot_id, at.boot_s
             )
             for number, standing in told.items()
             if number in self._numbers
@@ -113,6 +113,6 @@
         names = {number: name for name, number in self._limiter.setup.pools.items()}
         return {
             names[number]: (tuple(pool.light_latencies_ms), pool.servers.mean_latency_ms)
-            for number, pool in self._limiter.relay.gateway.pools.items()
+            for number, pool in self._limiter.relay.decision_module.pools.items()
             if number in names and min(pool.light_latencies_ms) < math.inf
         }
--- a/basaltpoint/fronts/http/passage.py
+++ b/basaltpoint/fronts/http/passage.py
@@ -9,7 +9,7 @@
 from basaltpoint.fronts.http import message
 from basaltpoint.fronts.http.connection import ClientConnection
 from basaltpoint.fronts.http.message import Headers, Outgoing, Request
-from basaltpoint.interface import Status, Why
+from basaltpoint.interface import RefusalReason, Status
 from basaltpoint.routing.accounts import Account
 from basaltpoint.routing.routes import Route
 from basaltpoint.upstream.servers import AttemptResult
@@ -26,13 +26,13 @@
     RequestResult.DUPLICATE: (409, "a request of this name is open"),
 }
 REFUSALS = {
-    Why.QUOTA: (429, "quota"),
-    Why.CEILING: (429, "ceiling"),
-    Why.PARALLEL: (429, "too many at once"),
-    Why.LOAD: (503, "load"),
-    Why.SERVERS: (503, "no server"),
-    Why.MEMBERSHIP: (503, "servers not confirmed"),
-    Why.LATE: (503, "too late"),
+    RefusalReason.QUOTA: (429, "quota"),
+    RefusalReason.CEILING: (429, "ceiling"),
+    RefusalReason.PARALLEL: (429, "too many at once"),
+    RefusalReason.LOAD: (503, "load"),
+    RefusalReason.SERVERS: (503, "no server"),
+    RefusalReason.MEMBERSHIP: (503, "servers not confirmed"),
+    RefusalReason.LATE: (503, "too late"),
 }
 
 
@@ -243,7 +243,7 @@
             self.connection.answer(code, "", kept, b"".join(self.kept))
             return
         code, reason = (
-            REFUSALS[effect.reason or Why.LOAD]
+            REFUSALS[effect.reason or RefusalReason.LOAD]
             if effect.result is RequestResult.REFUSED
             else CODES[effect.result]
         )
--- a/basaltpoint/fronts/http/relay.py
+++ b/basaltpoint/fronts/http/relay.py
@@ -32,9 +32,9 @@
 from basaltpoint.fronts.shell import EARLY_MS, Shell
 from basaltpoint.fronts.unread import FIRST_S
 from basaltpoint.interface import Effect as Repeats
-from basaltpoint.interface import ServerState, Status, Why
+from basaltpoint.interface import RefusalReason, ServerState, Status
 from basaltpoint.membership.checks import Checks
-from basaltpoint.policy import Gateway
+from basaltpoint.policy import DecisionModule
 from basaltpoint.routing.accounts import UnknownClient, client_address, is_trusted
 from basaltpoint.system.pending_connections import PendingConnections
 from basaltpoint.telemetry.figures import Figures
@@ -69,10 +69,12 @@
         self.head_limit = file.limits.head_kb * 1024
         self.buffer = file.limits.buffer_kb * 1024
         self.closing = False
-        self.gateway = Gateway(setup.settings, seed)
+        self.decision_module = DecisionModule(setup.settings, seed)
         self.figures = Figures([cls.name for cls in setup.settings.classes])
         super().__init__(
-            RequestTable(self.gateway, setup.settings.max_attempts, file.limits.requests, self.figures)
+            RequestTable(
+                self.decision_module, setup.settings.max_attempts, file.limits.requests, self.figures
+            )
         )
         self._origin = self._origin if origin_s is None else origin_s
         self._joining = PendingConnections()
@@ -92,14 +94,14 @@
         self._checking: asyncio.TimerHandle | None = None
         self._memory = int(file.limits.memory_mb * (1 << 20))
         self._held = 0  # bytes of bodies
-        self.gateway.born = self.now() - down_ms  # what ceilings have filled since then is sure
+        self.decision_module.started_ms = self.now() - down_ms  # what ceilings have filled since then is sure
         self._apply(setup, first=True)
 
     # --- Configuration -----------------------------------------------------------------------------
     def apply(self, setup: Setup) -> None:
         """Go over to another configuration at once; requests that are out keep what they were taken with."""
         self.figures.update_classes([cls.name for cls in setup.settings.classes])
-        self.do(self.table.handle_event(self.now(), api.NewSettings(setup.settings)))
+        self.do(self.table.handle_event(self.now(), api.SettingsChanged(setup.settings)))
         self._apply(setup, first=False)
 
     def _apply(self, setup: Setup, first: bool) -> None:
@@ -124,7 +126,7 @@
             del self._started[number]
         rules = {spec.number: spec.probe for spec in setup.servers if spec.probe and not spec.drain}
         for number in self._checks.listed(now, rules):
-            self.do(self.table.handle_event(now, api.Checked(number, True)))
+            self.do(self.table.handle_event(now, api.HealthCheckResult(number, True)))
         self._arm_checks()
 
     def _server(self, spec: ServerSpec) -> api.Server:
@@ -311,7 +313,7 @@
             good = answer.status is Status.OK and check.good
             if (up := self._checks.heard(self.now(), server, good)) is not None:
                 log.info("server %d is %s by its checks", server, "up" if up else "down")
-                self.do(self.table.handle_event(self.now(), api.Checked(server, up)))
+                self.do(self.table.handle_event(self.now(), api.HealthCheckResult(server, up)))
             self._arm_checks()
 
         until = self.loop_time(self.now() + health.timeout_ms)
@@ -325,11 +327,11 @@
             return headers
         if effect.retry_in_ms > 0:
             headers.append((b"Retry-After", b"%d" % math.ceil(effect.retry_in_ms / 1000)))
-        standing = self.gateway.standing(self.now(), passage.account.number)
-        if standing and effect.reason in (Why.QUOTA, Why.CEILING, Why.PARALLEL):
+        standing = self.decision_module.quota_status(self.now(), passage.account.number)
+        if standing and effect.reason in (RefusalReason.QUOTA, RefusalReason.CEILING, RefusalReason.PARALLEL):
             window, full = math.ceil(standing.burst / standing.rate), math.ceil(standing.full_in_ms / 1000)
             headers.append((b"RateLimit-Policy", b'"quota";q=%d;w=%d' % (standing.burst, window)))
-            headers.append((b"RateLimit", b'"quota";r=%d;t=%d' % (standing.left, full)))
+            headers.append((b"RateLimit", b'"quota";r=%d;t=%d' % (standing.units_left, full)))
         return headers
 
     # --- Bounds in time ------------------------------------------------------------------------------
--- a/basaltpoint/fronts/platform/config.py
+++ b/basaltpoint/fronts/platform/config.py
@@ -112,7 +112,7 @@
         raise ConfigError(str(error)) from None
     zones = settings.get("zones", [])
     idle_s = _number(ceilings, "connIdleMs", IDLE_MS) / 1000
-    priced = decoded.handshake_price > 0
+    priced = decoded.handshake_cost > 0
     return Config(
         name=environ.get("GW_NAME") or str(raw.get("name", "")),
         listen=parse_address(environ.get("GW_LISTEN") or raw.get("listen")),
@@ -124,7 +124,7 @@
         body_bytes=_body_bytes(_number(limits, "memory_mb", MEMORY_MB)),
         max_open=int(min(MAX_OPEN, _number(ceilings, "maxOpen", MAX_OPEN))),
         # On sockets a refusal may always tell when to come back, whatever the simulator's clients hear.
-        settings=replace(decoded, advice_ms=_number(ceilings, "maxRetryAfterMs", ADVICE_MS)),
+        settings=replace(decoded, max_retry_after_ms=_number(ceilings, "maxRetryAfterMs", ADVICE_MS)),
         zones=tuple(str(zone) for zone in zones) if isinstance(zones, list) else (),
         connect_s=_number(ceilings, "connectTimeoutMs", CONNECT_MS) / 1000,
         idle_s=idle_s,
--- a/basaltpoint/fronts/platform/limiter.py
+++ b/basaltpoint/fronts/platform/limiter.py
@@ -34,7 +34,7 @@
 from basaltpoint.membership.hosts import HostList, parse_list
 from basaltpoint.membership.lease import MembershipLease
 from basaltpoint.membership.server_starts import ServerStarts
-from basaltpoint.policy import Gateway
+from basaltpoint.policy import DecisionModule
 from basaltpoint.telemetry import trace
 from basaltpoint.telemetry.figures import Figures, Gauges
 from basaltpoint.upstream.buffered import BufferedAttempt, platform_connection
@@ -84,10 +84,10 @@
         `lease`: of the list of servers; without one it needs no confirmation.
         """
         self._settings = config.settings
-        self.gateway = Gateway(config.settings, config.seed)
+        self.decision_module = DecisionModule(config.settings, config.seed)
         self.figures = Figures([cls.name for cls in config.settings.classes])
         super().__init__(
-            RequestTable(self.gateway, config.settings.max_attempts, config.max_open, self.figures)
+            RequestTable(self.decision_module, config.settings.max_attempts, config.max_open, self.figures)
         )
         self._origin = inherited.origin_s if inherited else self._origin  # what is left tells its times
         most = int((config.sockets - MARGIN) * SERVER_PART)
@@ -133,10 +133,10 @@
     # --- Two processes of one limiter ----------------------------------------------------------
     def _inherit(self, inherited: PlatformState) -> None:
         now = self.now()
-        for what in put(self.gateway, inherited.module, now):
+        for what in put(self.decision_module, inherited.module, now):
             log.warning("not taken over: %s", what)
-        self.gateway.born = now  # of a customer that is not known nothing may have been left
-        state.halve(self.gateway, now)  # as the older one did once it had written this
+        self.decision_module.started_ms = now  # of a customer that is not known nothing may have been left
+        state.halve(self.decision_module, now)  # as the older one did once it had written this
         self.reserve(inherited.names)
 
     def state_for_successor(self, halved: bool) -> PlatformState:
@@ -144,9 +144,9 @@
         self.listed_servers.add_all_new()
         now = self.now()
         names = sorted(self.table.open_keys - self._reserved)
-        module = state.take(self.gateway, now)
+        module = state.take(self.decision_module, now)
         if halved:
-            state.halve(self.gateway, now)
+            state.halve(self.decision_module, now)
         return PlatformState(
             self._origin,
             self.listed_servers.starts.offset_ms,
@@ -189,7 +189,7 @@
 
     def gauges(self) -> Gauges:
         """What stands now; a server that both lists and the module know counts once."""
-        avoided = self.gateway.avoided(self.now())
+        avoided = self.decision_module.avoided_servers(self.now())
         listed = set(self.listed_servers.numbers.values())
         return Gauges(self.table.open_count, len(listed), len(avoided & listed))
 
@@ -357,7 +357,7 @@
         passage.ended()
         load = read_load(self._settings.report_fields, reply.load)
         # A figure beyond what a request can take is no figure of this server's; it would bind the customer.
-        units = reply.units if reply.units <= (self._settings.most_units or math.inf) else 0.0
+        units = reply.units if reply.units <= (self._settings.max_request_units or math.inf) else 0.0
         self.do(
             self.table.attempt_ended(
                 self.now(),
--- a/basaltpoint/fronts/platform/request_check.py
+++ b/basaltpoint/fronts/platform/request_check.py
@@ -30,8 +30,8 @@
     def __init__(self, settings: Settings) -> None:
         self._classes = {c.name.encode(): (n, c.effect) for n, c in enumerate(settings.classes)}
         self._plans = {plan.name.encode(): n for n, plan in enumerate(settings.plans)}
-        self._gateways = settings.gateways
-        self._most_units = settings.most_units or math.inf
+        self._gateways = settings.limiter_count
+        self._most_units = settings.max_request_units or math.inf
         self._told: dict[bytes, tuple[float, int]] = {}  # terms that were read lately and were good
 
     def terms(self, method: bytes, url: bytes, headers: dict[bytes, bytes], body: bool) -> Terms:
--- a/basaltpoint/handover/platform_state.py
+++ b/basaltpoint/handover/platform_state.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from basaltpoint.handover import state
-from basaltpoint.policy import Gateway
+from basaltpoint.policy import DecisionModule
 
 VERSION = 1  # another one is not read: what its numbers mean is not known
 
@@ -91,9 +91,9 @@
     return float(value)
 
 
-def put(gateway: Gateway, module: dict[str, Any], now: float) -> Iterator[str]:
+def put(gateway: DecisionModule, module: dict[str, Any], now: float) -> Iterator[str]:
     """Take the module's parts over, each for itself; yields what could not be."""
-    parts: tuple[tuple[str, Callable[[Gateway, Any, float], None]], ...] = (
+    parts: tuple[tuple[str, Callable[[DecisionModule, Any, float], None]], ...] = (
         ("clock", state.put_clock),
         ("waits", state.put_waits),
         ("pools", state.put_pools),
--- a/basaltpoint/handover/state.py
+++ b/basaltpoint/handover/state.py
@@ -11,7 +11,7 @@
 from itertools import pairwise
 from typing import Any
 
-from basaltpoint.policy import Gateway
+from basaltpoint.policy import DecisionModule
 from basaltpoint.policy.quota import LAG_STEPS, MAX_DEBT_FRACTION, Customer, TokenBucket
 
 HALF = 0.5  # of what two processes share
@@ -30,9 +30,9 @@
 
 
 # --- Out ----------------------------------------------------------------------------------------
-def take(gateway: Gateway, now: float) -> dict[str, Any]:
+def take(gateway: DecisionModule, now: float) -> dict[str, Any]:
     """The module's state at `now`, which its clock tells in ms; JSON's types, with infinities."""
-    clock = gateway.clock
+    clock = gateway.meter_clock
     return {
         "clock": {
             "errors": clock.errors,
@@ -40,7 +40,7 @@
             "cosine": clock.cosine,
             "begun": clock.first_request_ms,
         },
-        "waits": {name: list(waits) for name, waits in gateway.waits.items()},
+        "waits": {name: list(waits) for name, waits in gateway.class_waits.items()},
         "pools": [_pool(number, pool) for number, pool in gateway.pools.items()],
         "servers": _servers(gateway),
         "customers": [_customer(ident, customer, now) for ident, customer in gateway.customers.items()],
@@ -68,7 +68,7 @@
 HEALTH = ("heard_ms", "retest_ms", "avoid_ms", "up_ms", "backoff", "errors", "suspect", "down")
 
 
-def _servers(gateway: Gateway) -> list[dict[str, Any]]:
+def _servers(gateway: DecisionModule) -> list[dict[str, Any]]:
     return [
         {
             "number": ident,
@@ -105,21 +105,21 @@
 
 
 # --- In -----------------------------------------------------------------------------------------
-def put_clock(gateway: Gateway, raw: Any, now: float) -> None:
+def put_clock(gateway: DecisionModule, raw: Any, now: float) -> None:
     errors = [_number(each, 0.0) for each in raw["errors"]]
     if len(errors) != LAG_STEPS:
         raise ValueError(f"{len(errors)} steps of lag, where there are {LAG_STEPS}")
     sine, cosine, begun = _number(raw["sine"]), _number(raw["cosine"]), _number(raw["begun"])
-    clock = gateway.clock
+    clock = gateway.meter_clock
     clock.errors, clock.sine, clock.cosine, clock.first_request_ms = errors, sine, cosine, begun
 
 
-def put_waits(gateway: Gateway, raw: Any, now: float) -> None:
-    for name, waits in gateway.waits.items():
+def put_waits(gateway: DecisionModule, raw: Any, now: float) -> None:
+    for name, waits in gateway.class_waits.items():
         waits.extend(_number(each) for each in raw.get(name, ()))
 
 
-def put_pools(gateway: Gateway, raw: Any, now: float) -> None:
+def put_pools(gateway: DecisionModule, raw: Any, now: float) -> None:
     for told in raw:
         pool = gateway.pools.get(told["number"])
         if pool is None:
@@ -146,7 +146,7 @@
         )
 
 
-def put_servers(gateway: Gateway, raw: Any, now: float) -> None:
+def put_servers(gateway: DecisionModule, raw: Any, now: float) -> None:
     """Only of processes that run still: a restart is another one."""
     for told in raw:
         for pool in gateway.pools.values():
@@ -164,17 +164,17 @@
             pool.servers.health_changed(peer.entry.id)
 
 
-def put_customer(gateway: Gateway, raw: Any, now: float) -> None:
+def put_customer(gateway: DecisionModule, raw: Any, now: float) -> None:
     customer = read_customer(gateway, raw, now)
     gateway.customers[int(raw["ident"])] = customer
 
 
-def read_customer(gateway: Gateway, raw: Any, now: float) -> Customer:
+def read_customer(gateway: DecisionModule, raw: Any, now: float) -> Customer:
     """A customer as it was left; its plan is the settings' own, whatever it was when it was written."""
     plan = next((each for each in gateway.settings.plans if each.name == raw["plan"]), None)
     if plan is None:
         raise ValueError(f"no plan {raw['plan']!r}")
-    at, doors = _number(raw["at"], high=now), int(_number(raw["doors"], 1, gateway.settings.gateways))
+    at, doors = _number(raw["at"], high=now), int(_number(raw["doors"], 1, gateway.settings.limiter_count))
     customer = Customer(plan, doors, at)
     customer.quota_bucket.level = _number(raw["store"], -MAX_DEBT_FRACTION * plan.burst, plan.burst)
     customer.ceiling = TokenBucket(
@@ -199,7 +199,7 @@
 
 
 # --- Two processes ------------------------------------------------------------------------------
-def halve(gateway: Gateway, now: float) -> None:
+def halve(gateway: DecisionModule, now: float) -> None:
     """Another process has what this one has, from this moment on: each may use half."""
     for customer in gateway.customers.values():
         ceiling, plan = customer.ceiling, customer.plan
@@ -212,7 +212,7 @@
             peer.allowance *= HALF
 
 
-def whole(gateway: Gateway, now: float) -> None:
+def whole(gateway: DecisionModule, now: float) -> None:
     """This process is alone again. What the other may have drawn stays drawn."""
     for customer in gateway.customers.values():
         ceiling, plan = customer.ceiling, customer.plan
@@ -223,7 +223,7 @@
         )
 
 
-def spend(gateway: Gateway, now: float, for_ms: float) -> None:
+def spend(gateway: DecisionModule, now: float, for_ms: float) -> None:
     """Another process has all of it from this moment on: here nothing is drawn on a ceiling for so long."""
     for customer in gateway.customers.values():
         ceiling = customer.ceiling
@@ -231,7 +231,7 @@
             ceiling.level, ceiling.updated_ms = -ceiling.depth - ceiling.rate * for_ms / 1000.0, now
 
 
-def join(gateway: Gateway, rows: Any, now: float, since: float) -> int:
+def join(gateway: DecisionModule, rows: Any, now: float, since: float) -> int:
     """Take what the other process knew of customers at its end; how many could not be read.
 
     `since`: when both began with the same; own draws after that come on top of what the other tells.
--- a/basaltpoint/handover/upgrade_state.py
+++ b/basaltpoint/handover/upgrade_state.py
@@ -12,7 +12,7 @@
 
 from basaltpoint.handover import platform_state
 from basaltpoint.peers.messages import MemberRecord
-from basaltpoint.policy import Gateway
+from basaltpoint.policy import DecisionModule
 
 VERSION = 1  # another one is not read: what it says is not known
 KINDS = {"customers": ("ident", "account"), "servers": ("number", "server"), "pools": ("number", "pool")}
@@ -89,7 +89,7 @@
 
 
 def put(
-    gateway: Gateway, told: UpgradeState, numbers: Mapping[str, Mapping[str, int]], now: float
+    gateway: DecisionModule, told: UpgradeState, numbers: Mapping[str, Mapping[str, int]], now: float
 ) -> Iterator[str]:
     """Take the module's state over, by this process's numbers; yields what could not be."""
     module = dict(told.module)
--- a/basaltpoint/interface.py
+++ b/basaltpoint/interface.py
@@ -21,7 +21,7 @@
     UNSAFE = "unsafe"
 
 
-class Scope(Enum):
+class DedupScope(Enum):
     """Which servers discard the repeats of a keyed request."""
 
     ALL = "all"
@@ -59,7 +59,7 @@
     FAILED = "failed"
 
 
-class Why(Enum):
+class RefusalReason(Enum):
     """Why a request is refused."""
 
     QUOTA = "quota"  # the customer's rate and burst
@@ -78,8 +78,8 @@
     aim_ms: float
     deadline_ms: float
     effect: Effect
-    scope: Scope
-    window_ms: float
+    dedup_scope: DedupScope
+    dedup_window_ms: float
     late_worth: float
     stream: bool = False
     aim_stretch: float = 0.0
@@ -93,12 +93,12 @@
 
     rate: float
     burst: float
-    parallel: int = 0
+    max_parallel: int = 0
     ceiling_rate: float = 0.0
     ceiling_depth: float = 0.0
     ceiling_slack: float = 0.0
-    over_worth: float = 0.0
-    over_cost: float = 0.0
+    excess_worth: float = 0.0
+    excess_cost: float = 0.0
     name: str = ""
 
 
@@ -106,30 +106,30 @@
 class Settings:
     """All that a gateway is told at its start."""
 
-    me: int
-    gateways: int
+    limiter_index: int
+    limiter_count: int
     zone: int
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
-    cold_from: float
-    cold_ms: float
-    tip_multiple: float
-    fall_ms: float
+    cold_start_fraction: float
+    cold_duration_ms: float
+    overload_crash_ratio: float
+    overload_crash_ms: float
     drain_grace_ms: float
-    ask_within_ms: float
-    meter_ms: float
+    discovery_confirm_ms: float
+    meter_period_ms: float
     post_paid: bool
     max_attempts: int
-    second_copies: bool
+    may_hedge: bool
     may_cancel: bool
     may_probe: bool
-    advice_ms: float
+    max_retry_after_ms: float
     must_subscribe: bool
     report_fields: tuple[str, ...]
-    most_units: float = 0.0  # that one request takes; 0: not told
-    handshake_price: float = 0.0  # of all worth, for one new connection a first try
-    sole: bool = False  # no other limiter draws from these quotas; an arrival's plan always counts
-    pools: Mapping[int, tuple[int, ...]] = field(default_factory=dict)  # the classes of each
+    max_request_units: float = 0.0  # that one request takes; 0: not told
+    handshake_cost: float = 0.0  # of all worth, for one new connection a first try
+    is_only_limiter: bool = False  # no other limiter draws from these quotas; an arrival's plan always counts
+    pool_classes: Mapping[int, tuple[int, ...]] = field(default_factory=dict)  # the classes of each
 
 
 @dataclass(frozen=True, slots=True)
@@ -151,7 +151,7 @@
     state: ServerState
     rating: float
     started_ms: float
-    mark: int = 0  # alike at every limiter: all that see the same servers put them into one order
+    ring_position: int = 0  # alike at every limiter: all that see the same servers put them into one order
 
 
 @dataclass(frozen=True, slots=True)
@@ -171,27 +171,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NewSettings:
+class SettingsChanged:
     """Settings that hold from now on; requests that are out keep their class."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
-class Recall:
+class RestoredBalance:
     """What an earlier life left of a customer: units in its quota, and in its ceiling at least."""
 
     customer: int
-    left: float
-    ceiling: float
+    units_left: float
+    ceiling_units_left: float
 
 
 @dataclass(frozen=True, slots=True)
-class Learned:
+class RestoredLatencies:
     """What was learned of a pool: light-load latencies of lane one, two and both, and the mean one, ms."""
 
     pool: int
-    light: tuple[float, ...]
+    light_load_ms: tuple[float, ...]
     mean_ms: float
 
 
@@ -204,7 +204,7 @@
     plan: int
     customer: int
     units: float
-    doors: int
+    customer_limiters: int
     deadline_ms: float
     pool: int = 0
 
@@ -234,7 +234,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Uploading:
+class UploadInProgress:
     """The request's body is on its way: the time of this attempt tells nothing of the server yet."""
 
     request: int
@@ -260,11 +260,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Checked:
+class HealthCheckResult:
     """The verdict of active checks on a server has changed."""
 
     server: int
-    good: bool
+    is_healthy: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -284,31 +284,31 @@
 Event = (
     ServerList
     | MembershipConfirmed
-    | NewSettings
-    | Recall
-    | Learned
+    | SettingsChanged
+    | RestoredBalance
+    | RestoredLatencies
     | Arrival
     | Outcome
     | StreamBegun
-    | Uploading
+    | UploadInProgress
     | Abandoned
     | TimerFired
     | ProbeResult
-    | Checked
+    | HealthCheckResult
     | PeerMessage
     | CounterTotal
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class QuotaStatus:
     """A customer's quota: units a second, units at once, units left, ms until full; the ceiling's left."""
 
     rate: float
     burst: float
-    left: float
+    units_left: float
     full_in_ms: float
-    ceiling: float = 0.0
+    ceiling_units_left: float = 0.0
 
 
 class Send(NamedTuple):
@@ -317,7 +317,7 @@
     request: int
     server: int
     until_ms: float
-    whole_ms: float = math.inf
+    fully_written_by_ms: float = math.inf
 
 
 @dataclass(frozen=True, slots=True)
@@ -332,7 +332,7 @@
 
     request: int
     retry_in_ms: float = 0.0
-    why: Why = Why.LOAD
+    reason: RefusalReason = RefusalReason.LOAD
 
 
 @dataclass(frozen=True, slots=True)
@@ -380,7 +380,7 @@
 class CounterAdd:
     name: int
     amount: float
-    lives_ms: float
+    lifetime_ms: float
 
 
 @dataclass(frozen=True, slots=True)
--- a/basaltpoint/membership/lease.py
+++ b/basaltpoint/membership/lease.py
@@ -20,7 +20,7 @@
 
 import math
 
-from basaltpoint.policy.send_rules import STALL_S
+from basaltpoint.policy.send_rules import MAX_STALL_S
 
 SILENT_S = 6.0  # what a silent watch misses counts as told so long after it fell silent (STANDING)
 MOVED_S = 4.0  # what the new agent has counts as told so long after a change of configuration (STANDING)
@@ -39,7 +39,7 @@
 
         `ask_within_s`: where lists are asked for, how often at least; None where they are pushed.
         """
-        self._allowance_s = max(0.0, grace_s - STALL_S)
+        self._allowance_s = max(0.0, grace_s - MAX_STALL_S)
         asked_for = ask_within_s is not None
         self._unheard_s = self._allowance_s + (SILENT_S if asked_for else 0.0)
         self._expires_at = now + min(SILENT_S, FAILED_CALLS * (ask_within_s or 0.0))
--- a/basaltpoint/policy/__init__.py
+++ b/basaltpoint/policy/__init__.py
@@ -1,5 +1,5 @@
 """The decision module: which server, whether to retry, what is turned away."""
 
-from basaltpoint.policy.gateway import Gateway
+from basaltpoint.policy.decision_module import DecisionModule
 
-__all__ = ["Gateway"]
+__all__ = ["DecisionModule"]
--- a/basaltpoint/policy/gateway.py
+++ b/basaltpoint/policy/decision_module.py
@@ -14,16 +14,16 @@
 from typing import Any
 
 from basaltpoint import interface as api
-from basaltpoint.interface import Effect, Status, Why
+from basaltpoint.interface import Effect, RefusalReason, Status
 from basaltpoint.policy.pool import FIRST_ATTEMPT_FRACTION, MIN_COMPLETIONS, Pool
 from basaltpoint.policy.quota import FORGET_LIGHT_IDLE_MS, Customer, MeterClock
 from basaltpoint.policy.requests import Attempt, Request
 from basaltpoint.policy.send_rules import (
     Denial,
     attempt_denial,
+    dedup_window_end_ms,
     may_be_refused,
-    may_repeat_at,
-    remembered_until,
+    may_retry_at,
 )
 from basaltpoint.policy.server_health import ServerHealth
 from basaltpoint.policy.thresholds import INF
@@ -31,7 +31,7 @@
 # --- Constants: unit, reason -------------------------------------------------------------------
 LITTLE_WORTH = 0.3  # late worth up to which attempts end at the aim
 TIDY_MS = 1000.0  # ms; how often such customers are looked for
-MOST_CUSTOMERS = 5000  # some 2 KB each; beyond, the longest idle go as soon as their ceiling is full
+MAX_CUSTOMERS = 5000  # some 2 KB each; beyond, the longest idle go as soon as their ceiling is full
 EARLY = 0.5  # of the time left; repeatable work is then given up so early, and tried once more
 WAITS = 64  # of a class's latest tries; of these the wait of first ones is read
 WAIT_STEP_MS = 8.0  # waits so near are one: on its way a try loses a little
@@ -40,7 +40,7 @@
 LATEST = 0.5  # of the aim; a repeat with less than the mean latency left, or this, comes too late
 
 
-class Gateway:
+class DecisionModule:
     """One gateway's decisions: `handle` takes each event and returns the actions it causes."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
@@ -48,13 +48,13 @@
         self.healths: dict[int, ServerHealth] = {}
         self.pools: dict[int, Pool] = {}
         self.customers: dict[int, Customer] = {}
-        self.clock = MeterClock(settings.meter_ms, INF)
+        self.meter_clock = MeterClock(settings.meter_period_ms, INF)
         self.requests: dict[int, Request] = {}
-        self.born, self.tidied = INF, 0.0
+        self.started_ms, self.tidied = INF, 0.0
         self.lease_until_ms = INF  # until when the list of servers may be acted on
         self.actions: list[api.Action] = []
-        self.waits: dict[str, deque[float]] = {}
-        self.recalled: dict[int, tuple[float, api.Recall]] = {}
+        self.class_waits: dict[str, deque[float]] = {}
+        self.recalled: dict[int, tuple[float, api.RestoredBalance]] = {}
         self._settle(settings)
         self._pool(0)
         self.acts: dict[type, Callable[[float, Any], None]] = {
@@ -64,21 +64,21 @@
             api.ServerList: self._listed,
             api.MembershipConfirmed: self._confirmed,
             api.StreamBegun: self._begun,
-            api.Uploading: self._uploading,
-            api.NewSettings: self._told,
-            api.Checked: self._checked,
-            api.Recall: self._recall,
-            api.Learned: self._learn,
+            api.UploadInProgress: self._uploading,
+            api.SettingsChanged: self._told,
+            api.HealthCheckResult: self._checked,
+            api.RestoredBalance: self._recall,
+            api.RestoredLatencies: self._learn,
         }
 
     def _settle(self, settings: api.Settings) -> None:
         self.settings = settings
         self.dearest = max((c.worth for c in settings.classes), default=0.0) or 1.0
-        old, self.waits = self.waits, {}
+        old, self.class_waits = self.class_waits, {}
         for number, cls in enumerate(settings.classes):
             name = cls.name or str(number)
-            self.waits[name] = old.get(name, deque(maxlen=WAITS))
-        self.wait_of = list(self.waits.values())
+            self.class_waits[name] = old.get(name, deque(maxlen=WAITS))
+        self.wait_of = list(self.class_waits.values())
 
     def _pool(self, number: int) -> Pool:
         if (pool := self.pools.get(number)) is None:
@@ -106,28 +106,28 @@
                 return (request.pool,)
         return self.pools.values()
 
-    def standing(self, now: float, ident: int) -> api.Standing | None:
+    def quota_status(self, now: float, ident: int) -> api.QuotaStatus | None:
         """What is left of a customer's quota; None for one that nothing is known of."""
         if (customer := self.customers.get(ident)) is None or customer.plan.rate <= 0:
             return None
         plan, left = customer.plan, customer.quota_bucket.refill(now)
         full, ceiling = (plan.burst - left) / plan.rate * 1000.0, customer.ceiling.refill(now)
-        return api.Standing(plan.rate, plan.burst, max(0.0, left), full, max(0.0, ceiling))
+        return api.QuotaStatus(plan.rate, plan.burst, max(0.0, left), full, max(0.0, ceiling))
 
-    def avoided(self, now: float) -> set[int]:
+    def avoided_servers(self, now: float) -> set[int]:
         """The servers of all pools that nothing ordinary is sent to now."""
         return {ident for pool in self.pools.values() for ident in pool.servers.avoided_servers(now)}
 
-    def asked_since(self, then: float) -> Iterable[int]:
+    def customers_since(self, then: float) -> Iterable[int]:
         """The customers that have asked since, the latest first."""
         return takewhile(lambda ident: self.customers[ident].asked_at >= then, reversed(self.customers))
 
-    def _recall(self, now: float, event: api.Recall) -> None:
+    def _recall(self, now: float, event: api.RestoredBalance) -> None:
         self.recalled[event.customer] = now, event
 
-    def _learn(self, now: float, event: api.Learned) -> None:
+    def _learn(self, now: float, event: api.RestoredLatencies) -> None:
         pool = self._pool(event.pool)
-        pool.light_latencies_ms, pool.servers.mean_latency_ms = list(event.light), event.mean_ms
+        pool.light_latencies_ms, pool.servers.mean_latency_ms = list(event.light_load_ms), event.mean_ms
 
     def _tidy(self, now: float) -> None:
         """Forget customers that have been idle for longest, and what the flow no longer counts."""
@@ -135,7 +135,7 @@
             pool.servers.trim_admissions(now)
             if number and not pool.servers.records:  # a peer stays while it has work
                 del self.pools[number]
-        over = len(self.customers) - MOST_CUSTOMERS
+        over = len(self.customers) - MAX_CUSTOMERS
         gone: list[int] = []
         for ident, customer in self.customers.items():  # the longest idle first
             pressed = len(gone) < over
@@ -148,28 +148,31 @@
 
     def _listed(self, now: float, event: api.ServerList) -> None:
         self._pool(event.pool).servers.apply_list(now, event)
-        self.born = min(self.born, now)
+        self.started_ms = min(self.started_ms, now)
         if self.settings.must_subscribe and event.kind in (api.ListKind.CACHED, api.ListKind.FAILED):
             self.actions.append(api.Subscribe(True))
 
     def _confirmed(self, now: float, event: api.MembershipConfirmed) -> None:
         self.lease_until_ms = event.until_ms
 
-    def _told(self, now: float, event: api.NewSettings) -> None:
+    def _told(self, now: float, event: api.SettingsChanged) -> None:
         self._settle(event.settings)
         for pool in self.pools.values():
             pool.update_settings(event.settings)
 
-    def _checked(self, now: float, event: api.Checked) -> None:
+    def _checked(self, now: float, event: api.HealthCheckResult) -> None:
         if health := self.healths.get(event.server):
-            health.down, health.up_ms = not event.good, now if event.good else 0.0  # it may have started anew
+            health.down, health.up_ms = (
+                not event.is_healthy,
+                now if event.is_healthy else 0.0,
+            )  # it may have started anew
 
     def _arrive(self, now: float, event: api.Arrival) -> None:
         """The ordinary path: let-in share, lane cap, server choice; what fails is refused at once."""
         cls, pool = self.settings.classes[event.cls], self._pool(event.pool)
-        pool.first_arrival_ms, self.clock.first_request_ms = (
+        pool.first_arrival_ms, self.meter_clock.first_request_ms = (
             min(pool.first_arrival_ms, now),
-            min(self.clock.first_request_ms, now),
+            min(self.meter_clock.first_request_ms, now),
         )
         customer, worth = self._customer(now, event), cls.worth / self.dearest
         # Where a late answer earns little, an attempt past the aim is waste and feeds a jam.
@@ -178,9 +181,11 @@
         request = Request(event, cls, pool, pool.lanes[event.cls], end, customer)
         self.requests[event.request] = request
         if in_time and self._late(now, event, pool) and not customer.has_spare_units(now, event.units):
-            request.why = Why.LATE
-        elif why := customer.refusal_reason(now, event.units, self.rng.random(), worth, self.settings.sole):
-            request.why = why
+            request.refusal_reason = RefusalReason.LATE
+        elif why := customer.refusal_reason(
+            now, event.units, self.rng.random(), worth, self.settings.is_only_limiter
+        ):
+            request.refusal_reason = why
         else:
             pool.arrivals.append((now, request.lane, event.units))
             pool.servers.admission_times_ms.append(now)
@@ -193,10 +198,10 @@
         """The customer of an arrival, behind all others: the latest to ask."""
         customer, plan = self.customers.pop(event.customer, None), self.settings.plans[event.plan]
         if customer is None:
-            customer = Customer(plan, event.doors, now, self.born)
+            customer = Customer(plan, event.customer_limiters, now, self.started_ms)
             if self.recalled:
                 self._restore(event.customer, customer)
-        elif self.settings.sole and customer.plan is not plan:
+        elif self.settings.is_only_limiter and customer.plan is not plan:
             customer.change_plan(now, plan)
         self.customers[event.customer] = customer
         return customer
@@ -205,8 +210,8 @@
         """Go on from what an earlier life left; both stores have filled since that was told."""
         if known := self.recalled.pop(ident, None):
             store, ceiling = customer.quota_bucket, customer.ceiling
-            store.level, store.updated_ms = min(store.depth, known[1].left), known[0]
-            ceiling.level, ceiling.updated_ms = min(ceiling.depth, known[1].ceiling), known[0]
+            store.level, store.updated_ms = min(store.depth, known[1].units_left), known[0]
+            ceiling.level, ceiling.updated_ms = min(ceiling.depth, known[1].ceiling_units_left), known[0]
 
     def _late(self, now: float, event: api.Arrival, pool: Pool) -> bool:
         """Whether this is a repeat that can hardly be answered within the aim, counted from the first try.
@@ -229,21 +234,21 @@
 
     def _send(self, now: float, request: Request, avoid: set[int]) -> bool:
         """Begin an attempt where the rules and a server allow it; whether one has begun."""
-        event, first, pool = request.event, not request.attempts, request.pool
+        event, first, pool = request.arrival, not request.attempts, request.pool
         customer, usual, number = request.customer, pool.servers.median_latency_ms, len(request.attempts)
         if denial := attempt_denial(now, request, self.settings, self.lease_until_ms):
             if denial is Denial.MEMBERSHIP:
-                request.why = Why.MEMBERSHIP
+                request.refusal_reason = RefusalReason.MEMBERSHIP
             return False
         if first and customer.plan.ceiling_rate > 0 and customer.ceiling.refill(now) < event.units:
-            request.why = Why.CEILING
+            request.refusal_reason = RefusalReason.CEILING
             return False
-        allowed = None if first else partial(may_repeat_at, now, request)  # the first repeats nothing
+        allowed = None if first else partial(may_retry_at, now, request)  # the first repeats nothing
         peer = pool.servers.choose_server(now, allowed, avoid)
         if peer is None:
-            request.why = Why.SERVERS
+            request.refusal_reason = RefusalReason.SERVERS
             return False
-        whole = INF if first else remembered_until(request)
+        whole = INF if first else dedup_window_end_ms(request)
         request.attempts.append(Attempt(number, peer.entry, now))
         peer.outstanding += 1
         peer.allowance -= 1.0
@@ -253,7 +258,7 @@
         request.customer.outstanding += 1
         if first:
             request.customer.draw(now, event.units)
-        until = request.end_ms
+        until = request.useful_until_ms
         part = (
             EARLY
             if pool.losing_responses
@@ -262,7 +267,7 @@
             else 1.0
         )
         rest = (1.0 - part) * (until - now)  # for another try
-        if request.cls.effect is not Effect.UNSAFE and number + 1 < self.settings.max_attempts:
+        if request.request_class.effect is not Effect.UNSAFE and number + 1 < self.settings.max_attempts:
             until -= rest if rest >= usual else 0.0
         pool.attempts_outstanding[event.request, number] = now, request.lane, until, peer.entry.id
         self.actions.append(api.Send(event.request, peer.entry.id, until, whole))
@@ -270,11 +275,11 @@
 
     def _answer(self, now: float, request: Request) -> None:
         """The one place that ends a request: refused where a retry is surely harmless, else failed."""
-        if not request.open or request.streaming:
+        if not request.is_open or request.streaming:
             return
-        ident, request.open = request.event.request, False
+        ident, request.is_open = request.arrival.request, False
         if may_be_refused(now, request):
-            self.actions.append(api.Refuse(ident, self._advice(now, request), request.why))
+            self.actions.append(api.Refuse(ident, self._advice(now, request), request.refusal_reason))
         else:
             self.actions.append(api.Fail(ident))
         self._forget(request)
@@ -283,20 +288,20 @@
         """When to come back, in ms: once what is out has mostly ended, or where the meter says that the
         quota is used up, once the store holds the units again."""
         customer, wait = request.customer, request.pool.servers.mean_latency_ms
-        short = request.event.units - customer.quota_bucket.refill(now)
-        known = self.settings.sole or (customer.usage or 0) >= 100
+        short = request.arrival.units - customer.quota_bucket.refill(now)
+        known = self.settings.is_only_limiter or (customer.usage or 0) >= 100
         if known and short > 0 and customer.plan.rate > 0:
             wait = max(wait, short / customer.plan.rate * 1000.0)
-        return min(self.settings.advice_ms, wait)
+        return min(self.settings.max_retry_after_ms, wait)
 
     def _forget(self, request: Request) -> None:
-        if not request.open and not request.outstanding():
-            self.requests.pop(request.event.request, None)
+        if not request.is_open and not request.has_outstanding():
+            self.requests.pop(request.arrival.request, None)
 
     def _abandon(self, now: float, event: api.Abandoned) -> None:
         """The client has gone: nobody waits for what is still out."""
         if request := self.requests.get(event.request):
-            request.open = False
+            request.is_open = False
             self._cancel(request)
             self._forget(request)
 
@@ -306,15 +311,15 @@
             request.streaming = True
             request.pool.attempts_outstanding.pop((event.request, event.attempt), None)
 
-    def _uploading(self, now: float, event: api.Uploading) -> None:
+    def _uploading(self, now: float, event: api.UploadInProgress) -> None:
         """Its time is its client's for now: a slow one would look like a jam."""
         if request := self.requests.get(event.request):
             request.pool.attempts_outstanding.pop((event.request, event.attempt), None)
 
     def _cancel(self, request: Request) -> None:
         if self.settings.may_cancel and not request.streaming:
-            ident = request.event.request
-            self.actions += [api.Cancel(ident, a.number) for a in request.attempts if a.out]
+            ident = request.arrival.request
+            self.actions += [api.Cancel(ident, a.number) for a in request.attempts if a.outstanding]
 
     def _outcome(self, now: float, event: api.Outcome) -> None:
         """Book an attempt's end, learn from it, then close, retry or answer the request."""
@@ -323,26 +328,26 @@
         peer = pool.servers.records.get(event.server)
         was_suspect = peer is not None and peer.health.suspect and not pool.servers.most_are_suspect()
         pool.servers.record_outcome(now, event)
-        if request is None or not (attempt := request.attempts[event.attempt]).out:
+        if request is None or not (attempt := request.attempts[event.attempt]).outstanding:
             return
-        attempt.out = False
+        attempt.outstanding = False
         attempt.may_have_run = event.status not in NEVER_RAN
         pool.lane_outstanding[request.lane] -= 1
         pool.attempts_outstanding.pop((event.request, event.attempt), None)
         request.customer.outstanding -= 1
-        if event.usage is not None and self.settings.meter_ms > 0:
-            request.customer.apply_reading(now, event.usage, self.clock)
+        if event.usage is not None and self.settings.meter_period_ms > 0:
+            request.customer.apply_reading(now, event.usage, self.meter_clock)
         if self.settings.post_paid and event.status is Status.OK and event.units:
-            request.customer.settle(now, event.units - request.event.units)
+            request.customer.settle(now, event.units - request.arrival.units)
         # Work lost at a suspect says nothing of the back end's load; elsewhere a time-out is a latency.
         if event.status is Status.OK:
             pool.latencies.append((now, request.lane, event.elapsed_ms))
         elif event.status is Status.TIMEOUT and not was_suspect:
             pool.timeouts.append((now, request.lane, event.elapsed_ms))
         if event.closed:
-            request.open = False
+            request.is_open = False
             self._cancel(request)
-        elif request.open and not request.outstanding():
+        elif request.is_open and not request.has_outstanding():
             tried = {a.server.id for a in request.attempts}
             if event.status is Status.MOOT or not self._send(now, request, tried):
                 self._answer(now, request)
--- a/basaltpoint/policy/pool.py
+++ b/basaltpoint/policy/pool.py
@@ -76,7 +76,9 @@
     def update_settings(self, settings: api.Settings) -> None:
         """Take up settings; what was measured stays."""
         self.settings = self.servers.settings = settings
-        own = settings.pools.get(self.number, () if settings.pools else range(len(settings.classes)))
+        own = settings.pool_classes.get(
+            self.number, () if settings.pool_classes else range(len(settings.classes))
+        )
         self.lanes = dict(zip(own, split_lanes([settings.classes[n] for n in own]), strict=True))
 
     def tick(self, now: float) -> list[api.Action]:
@@ -100,7 +102,7 @@
             # One request a server is no jam, and caps that went on falling in one would hold its mean count
             # down for good: by the search's scale, caps follow what is out.
             whole = sum(self.caps[lane] for lane in set(self.lanes.values()))
-            up = max(1.0, len(self.servers.ready) / max(1, self.settings.gateways) / max(whole, 1e-9))
+            up = max(1.0, len(self.servers.ready) / max(1, self.settings.limiter_count) / max(whole, 1e-9))
             self.caps = (self.caps[0] * up, self.caps[1] * up)
         return actions
 
--- a/basaltpoint/policy/quota.py
+++ b/basaltpoint/policy/quota.py
@@ -138,7 +138,7 @@
     ) -> None:
         self.plan = plan
         self.excess_cost = min(
-            1.0, max(0.0, plan.over_cost - plan.over_worth)
+            1.0, max(0.0, plan.excess_cost - plan.excess_worth)
         )  # excess costs so much of its worth
         self.limiter_count = max(1, limiter_count)
         self.quota_bucket = TokenBucket(plan.rate, plan.burst, plan.burst, now)
@@ -309,7 +309,7 @@
 
     def refusal_reason(
         self, now: float, units: float, dice: float, worth: float = 1.0, exact: bool = False
-    ) -> api.Why | None:
+    ) -> api.RefusalReason | None:
         """The let-in share; a store full enough passes without it where it rests on own sends.
 
         None where the request may go on, else why not. `exact`: nobody else draws, so the store alone counts.
@@ -319,12 +319,12 @@
         self.asked_at = now
         if (
             self.outstanding
-            and self.plan.parallel
-            and self.outstanding / self.local_share() >= self.plan.parallel
+            and self.plan.max_parallel
+            and self.outstanding / self.local_share() >= self.plan.max_parallel
         ):
-            return api.Why.PARALLEL
+            return api.RefusalReason.PARALLEL
         if self.plan.rate <= 0:
-            return None if dice < share else api.Why.QUOTA
+            return None if dice < share else api.RefusalReason.QUOTA
         kept = self._reserved_units(1.0 if exact else share, worth)
         left = self.quota_bucket.refill(now) - units - kept
         sure = (
@@ -333,4 +333,4 @@
         )
         # What the others draw unseen may look like all of it; the parts of all still add up to the store.
         sure = sure or (not exact and self.local_bucket.refill(now) - units >= kept)
-        return None if sure or (left >= 0.0 and (exact or dice < share)) else api.Why.QUOTA
+        return None if sure or (left >= 0.0 and (exact or dice < share)) else api.RefusalReason.QUOTA
--- a/basaltpoint/policy/requests.py
+++ b/basaltpoint/policy/requests.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from basaltpoint import interface as api
-from basaltpoint.interface import Why
+from basaltpoint.interface import RefusalReason
 from basaltpoint.policy.pool import Pool
 from basaltpoint.policy.quota import Customer
 
@@ -16,8 +16,8 @@
 
     number: int
     server: api.Server  # as it was then: it may be forgotten before the request is
-    sent: float
-    out: bool = True
+    decided_ms: float
+    outstanding: bool = True
     may_have_run: bool = True
 
 
@@ -25,17 +25,17 @@
 class Request:
     """A client's try that was taken and has not ended, or whose attempts are still out."""
 
-    event: api.Arrival
-    cls: api.RequestClass
+    arrival: api.Arrival
+    request_class: api.RequestClass
     pool: Pool
     lane: int
-    end_ms: float  # work past this is worth nothing
+    useful_until_ms: float  # work past this is worth nothing
     customer: Customer
     attempts: list[Attempt] = field(default_factory=list)
-    open: bool = True
+    is_open: bool = True
     streaming: bool = False
-    why: Why = Why.LOAD  # it would be refused
+    refusal_reason: RefusalReason = RefusalReason.LOAD  # it would be refused
 
-    def outstanding(self) -> bool:
+    def has_outstanding(self) -> bool:
         """Whether an attempt is out."""
-        return bool([attempt for attempt in self.attempts if attempt.out])  # a generator costs more
+        return bool([attempt for attempt in self.attempts if attempt.outstanding])  # a generator costs more
--- a/basaltpoint/policy/server_set.py
+++ b/basaltpoint/policy/server_set.py
@@ -62,7 +62,7 @@
 
 
 def _ring_key(entry: api.Server) -> tuple[int, int]:
-    return entry.mark, entry.id
+    return entry.ring_position, entry.id
 
 
 class ServerSet:
@@ -131,7 +131,7 @@
 
     def _update_entry(self, record: ServerRecord, entry: api.Server) -> None:
         """Applies the list entry of a process that is known already."""
-        if entry.state is record.entry.state and entry.mark == record.entry.mark:
+        if entry.state is record.entry.state and entry.ring_position == record.entry.ring_position:
             record.entry = entry
             return
         self._remove_from_indexes(record)
@@ -182,7 +182,7 @@
         if size == len(self.ring):
             self.subset = self.ready
             return
-        first = self.settings.me * len(self.ring) // max(1, self.settings.gateways)
+        first = self.settings.limiter_index * len(self.ring) // max(1, self.settings.limiter_count)
         self.subset = [self.ring[(first + step) % len(self.ring)] for step in range(size)]
 
     def _shared_health(self, entry: api.Server, previous: ServerRecord | None) -> ServerHealth:
@@ -205,10 +205,10 @@
     def warm_fraction(self, record: ServerRecord, now: float) -> float:
         """The fraction of its capacity that a server is sure to have: from cold_from, linear over cold_ms."""
         started = max(record.entry.started_ms, record.health.up_ms)
-        if started <= 0 or self.settings.cold_ms <= 0:
+        if started <= 0 or self.settings.cold_duration_ms <= 0:
             return 1.0
-        age = max(0.0, now - started) / self.settings.cold_ms
-        return min(1.0, self.settings.cold_from + (1.0 - self.settings.cold_from) * age)
+        age = max(0.0, now - started) / self.settings.cold_duration_ms
+        return min(1.0, self.settings.cold_start_fraction + (1.0 - self.settings.cold_start_fraction) * age)
 
     def _refill_allowance(self, record: ServerRecord, now: float) -> float:
         """Refills a cold server's allowance at its warm fraction of the mean rate per server; returns it."""
--- a/basaltpoint/sim/adapter.py
+++ b/basaltpoint/sim/adapter.py
@@ -7,7 +7,7 @@
 from typing import BinaryIO
 
 from basaltpoint import interface as api
-from basaltpoint.policy import Gateway
+from basaltpoint.policy import DecisionModule
 from basaltpoint.sim import wire
 
 
@@ -15,7 +15,7 @@
     """Isolated gateways, one for each instance; nothing passes between them."""
 
     def __init__(self) -> None:
-        self._gateways: dict[int, Gateway] = {}
+        self._gateways: dict[int, DecisionModule] = {}
 
     def reply(self, now: float, count: int, body: bytes) -> bytes:
         records = wire.decode_batch(count, body)
@@ -36,7 +36,7 @@
 
     def _handle(self, instance: int, now: float, record: wire.Record) -> list[api.Action]:
         if isinstance(record, wire.Spawn):
-            self._gateways[instance] = Gateway(record.settings, record.seed)
+            self._gateways[instance] = DecisionModule(record.settings, record.seed)
             return []
         if isinstance(record, wire.Teardown):
             self._gateways.pop(instance, None)
--- a/basaltpoint/sim/wire.py
+++ b/basaltpoint/sim/wire.py
@@ -225,7 +225,7 @@
     api.Subscribe: lambda a: _FLAG.pack(8, a.on),
     api.Log: lambda a: _text(10, a.text),
     api.CloseIdle: lambda a: _SERVER.pack(11, a.server),
-    api.CounterAdd: lambda a: _COUNT.pack(12, a.name, a.amount, a.lives_ms),
+    api.CounterAdd: lambda a: _COUNT.pack(12, a.name, a.amount, a.lifetime_ms),
 }
 
 
--- a/basaltpoint/upstream/send_guard.py
+++ b/basaltpoint/upstream/send_guard.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterator
 from time import monotonic
 
-from basaltpoint.policy.send_rules import STALL_S, Denial, write_denial
+from basaltpoint.policy.send_rules import MAX_STALL_S, Denial, write_denial
 
 log = logging.getLogger(__name__)
 
@@ -36,7 +36,7 @@
     def record_stall(self, until: float, whole_by: float) -> None:
         """This process stood still for longer than a stall before an attempt went out: was it too late?"""
         self.stalls += 1
-        late = write_denial(monotonic() - STALL_S, True, self.lease_expires_at, until, whole_by)
+        late = write_denial(monotonic() - MAX_STALL_S, True, self.lease_expires_at, until, whole_by)
         if late is not None:
             self.violations[late] += 1
             log.error(
--- a/basaltpoint/upstream/servers.py
+++ b/basaltpoint/upstream/servers.py
@@ -14,7 +14,7 @@
 
 from basaltpoint.config.address import Address
 from basaltpoint.interface import Status
-from basaltpoint.policy.send_rules import STALL_S, Denial, write_denial
+from basaltpoint.policy.send_rules import MAX_STALL_S, Denial, write_denial
 from basaltpoint.system.connecting import connect
 from basaltpoint.system.errors import LOCAL_ORIGINS, ErrorOrigin, connect_error_origin
 from basaltpoint.telemetry import trace
@@ -269,7 +269,7 @@
             self._deny(server, connection, attempt, denial)
             return
         connection.start(attempt)
-        if monotonic() - now > STALL_S:
+        if monotonic() - now > MAX_STALL_S:
             self.guard.record_stall(until, whole_by)
 
     def _deny(self, server: UpstreamServer, connection: Connection, attempt: Attempt, denial: Denial) -> None:
--- a/benchmarks/moments.py
+++ b/benchmarks/moments.py
@@ -35,7 +35,7 @@
 
 from basaltpoint import interface as api
 from basaltpoint.config.settings import parse_settings
-from basaltpoint.policy import Gateway
+from basaltpoint.policy import DecisionModule
 
 LATE_MS = 1000.0  # how old the state is that the late policy sees, and a metered period's end when it is told
 PERIOD_MS = 1000.0  # of the meter
@@ -133,7 +133,7 @@
     """The price of what went beyond, and the part served of what was inside: module's and late policy's."""
     rng = random.Random(seed)
     settings = parse_settings(json.dumps({**SETTINGS, "balancers": limiters}).encode())
-    gateways = [Gateway(settings, seed + number) for number in range(limiters)]
+    gateways = [DecisionModule(settings, seed + number) for number in range(limiters)]
     servers = tuple(
         api.Server(n, 0, 0, api.ServerState.READY, 1.0, 0.0, n) for n in range(max(4, limiters // 2))
     )
--- a/tests/fleetsim.py
+++ b/tests/fleetsim.py
@@ -16,7 +16,7 @@
 from helpers import BASE, server
 
 from basaltpoint import interface as api
-from basaltpoint.policy import Gateway
+from basaltpoint.policy import DecisionModule
 
 PERIOD_MS = 1000.0
 
@@ -50,16 +50,16 @@
     def __init__(self, fleet: Fleet) -> None:
         self.fleet, self.rng = fleet, random.Random(fleet.seed)
         classes = (
-            api.RequestClass(1000, 4000, api.Effect.SAFE, api.Scope.ALL, 0, 0.0, worth=3.0),
-            api.RequestClass(1200, 4000, api.Effect.UNSAFE, api.Scope.ALL, 0, 0.0, worth=5.0),
+            api.RequestClass(1000, 4000, api.Effect.SAFE, api.DedupScope.ALL, 0, 0.0, worth=3.0),
+            api.RequestClass(1200, 4000, api.Effect.UNSAFE, api.DedupScope.ALL, 0, 0.0, worth=5.0),
         )
         self.settings = replace(
             BASE,
-            gateways=fleet.limiters,
+            limiter_count=fleet.limiters,
             classes=classes,
             plans=(fleet.plan,),
             post_paid=fleet.true_units is not None,
-            most_units=4.0,
+            max_request_units=4.0,
         )
         self.heap: list[tuple[float, int, Callable[[float], None]]] = []
         self.order = self.requests = 0
@@ -67,7 +67,9 @@
         self.at = [0.0] * fleet.servers
         self.version = [0] * fleet.servers
         self.gateways = [self.born(n, 0.0) for n in range(fleet.limiters)]
-        self.owner: dict[int, tuple[Gateway, int, int, float]] = {}  # limiter, class, customer, arrived
+        self.owner: dict[
+            int, tuple[DecisionModule, int, int, float]
+        ] = {}  # limiter, class, customer, arrived
         self.attempts: Counter[int] = Counter()
         self.usage: defaultdict[tuple[int, int], float] = defaultdict(float)  # of (customer, period)
         self.ends: list[tuple[float, str]] = []  # of each try: when it came, how it ended
@@ -75,8 +77,10 @@
         self.sent: list[tuple[float, int, float]] = []  # first sends: when, customer, units
         self.most_out = 0
 
-    def born(self, number: int, now: float) -> Gateway:
-        gateway = Gateway(replace(self.settings, me=number), seed=self.fleet.seed * 31 + number + int(now))
+    def born(self, number: int, now: float) -> DecisionModule:
+        gateway = DecisionModule(
+            replace(self.settings, limiter_index=number), seed=self.fleet.seed * 31 + number + int(now)
+        )
         ready = tuple(server(n) for n in range(self.fleet.servers))
         gateway.handle(now, api.ServerList(api.ListKind.FULL, ready))
         return gateway
@@ -114,7 +118,7 @@
         event = api.Arrival(self.requests, cls, 0, customer, 1.0, doors, now + 4000.0)
         self.act(now, gateway, gateway.handle(now, event))
 
-    def act(self, now: float, gateway: Gateway, actions: list[api.Action]) -> None:
+    def act(self, now: float, gateway: DecisionModule, actions: list[api.Action]) -> None:
         for action in actions:
             if isinstance(action, api.Send):
                 self.send(now, action)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,33 +6,33 @@
 from typing import Any
 
 from basaltpoint import interface as api
-from basaltpoint.policy import Gateway
+from basaltpoint.policy import DecisionModule
 
-SAFE = api.RequestClass(1000, 4000, api.Effect.SAFE, api.Scope.ALL, 0, 0.0)
-KEYED_ALL = api.RequestClass(1000, 4000, api.Effect.KEYED, api.Scope.ALL, 3000, 0.0)
-KEYED_ZONE = api.RequestClass(3000, 9000, api.Effect.KEYED, api.Scope.ZONE, 2000, 0.0)
-UNSAFE = api.RequestClass(1500, 4000, api.Effect.UNSAFE, api.Scope.ALL, 0, 0.0)
+SAFE = api.RequestClass(1000, 4000, api.Effect.SAFE, api.DedupScope.ALL, 0, 0.0)
+KEYED_ALL = api.RequestClass(1000, 4000, api.Effect.KEYED, api.DedupScope.ALL, 3000, 0.0)
+KEYED_ZONE = api.RequestClass(3000, 9000, api.Effect.KEYED, api.DedupScope.ZONE, 2000, 0.0)
+UNSAFE = api.RequestClass(1500, 4000, api.Effect.UNSAFE, api.DedupScope.ALL, 0, 0.0)
 CLASSES = (SAFE, KEYED_ALL, KEYED_ZONE, UNSAFE)
 
 BASE = api.Settings(
-    me=0,
-    gateways=2,
+    limiter_index=0,
+    limiter_count=2,
     zone=0,
     classes=CLASSES,
     plans=(api.Plan(rate=1000, burst=2000),),
-    cold_from=0.2,
-    cold_ms=10000,
-    tip_multiple=2.0,
-    fall_ms=1000,
+    cold_start_fraction=0.2,
+    cold_duration_ms=10000,
+    overload_crash_ratio=2.0,
+    overload_crash_ms=1000,
     drain_grace_ms=500,
-    ask_within_ms=0,
-    meter_ms=1000,
+    discovery_confirm_ms=0,
+    meter_period_ms=1000,
     post_paid=False,
     max_attempts=3,
-    second_copies=False,
+    may_hedge=False,
     may_cancel=True,
     may_probe=False,
-    advice_ms=0,
+    max_retry_after_ms=0,
     must_subscribe=False,
     report_fields=(),
 )
@@ -46,21 +46,21 @@
     """A gateway with servers and a running request number."""
 
     def __init__(self, servers: list[api.Server] | None = None, **changes: Any) -> None:
-        self.gateway = Gateway(replace(BASE, **changes), seed=1)
+        self.decision_module = DecisionModule(replace(BASE, **changes), seed=1)
         self.number = 0
         if servers is None:
             servers = [server(1), server(2)]
         self.listed(0.0, *servers, kind="full")
 
     def listed(self, now: float, *servers: api.Server, kind: str = "delta") -> list[api.Action]:
-        return self.gateway.handle(now, api.ServerList(api.ListKind(kind), servers))
+        return self.decision_module.handle(now, api.ServerList(api.ListKind(kind), servers))
 
     def arrive(
         self, now: float, cls: int = 0, customer: int = 1, doors: int = 1, deadline: float = 4000.0
     ) -> list[api.Action]:
         self.number += 1
         event = api.Arrival(self.number, cls, 0, customer, 1.0, doors, now + deadline)
-        return self.gateway.handle(now, event)
+        return self.decision_module.handle(now, event)
 
     def done(
         self, now: float, sent: api.Send, status: str, attempt: int = 0, **extra: Any
@@ -75,10 +75,10 @@
             closed,
             **extra,
         )
-        return self.gateway.handle(now, event)
+        return self.decision_module.handle(now, event)
 
     def tick(self, now: float) -> list[api.Action]:
-        return self.gateway.handle(now, api.TimerFired(0))
+        return self.decision_module.handle(now, api.TimerFired(0))
 
 
 def sends(actions: list[api.Action]) -> list[api.Send]:
--- a/tests/standalone.py
+++ b/tests/standalone.py
@@ -101,8 +101,8 @@
     def quiet(self) -> bool:
         """Whether nothing is left of any request."""
         relay = self.limiter.relay
-        pools = relay.gateway.pools.values()
-        left = relay.table.requests or relay._passages or relay._attempts or relay.gateway.requests
+        pools = relay.decision_module.pools.values()
+        left = relay.table.requests or relay._passages or relay._attempts or relay.decision_module.requests
         return not left and not relay._held and all(pool.lane_outstanding == [0, 0] for pool in pools)
 
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -399,7 +399,7 @@
             with contextlib.suppress(ConnectionError):
                 await reader.read()
             await until(lambda: rig.limiter.open == 0 and not rig.limiter.table.requests)
-            assert rig.clients._bytes == 0 and rig.limiter.gateway.pools[0].lane_outstanding == [0, 0]
+            assert rig.clients._bytes == 0 and rig.limiter.decision_module.pools[0].lane_outstanding == [0, 0]
 
     run(test())
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -244,7 +244,7 @@
     """In the decision module's place: it does what the test says."""
 
     def __init__(self, rig: Rig, *events: type) -> None:
-        self.events, self.rest = events, rig.limiter.gateway
+        self.events, self.rest = events, rig.limiter.decision_module
         rig.limiter.table.module = self
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -211,7 +211,7 @@
             born = time.time() * 1000 - 3000
             async with limiter(host("a", "127.0.0.1:1", born_ms=born), watched=watched) as rig:
                 await watched.watches.get()
-                fleet = rig.limiter.gateway.pools[0].servers
+                fleet = rig.limiter.decision_module.pools[0].servers
                 before = fleet.records[0]
                 for seq in range(2, 50):
                     watched.tell(listing(seq, host("a", "127.0.0.1:1", born_ms=born)))
@@ -284,7 +284,7 @@
     async def test() -> None:
         async with backend() as server, agent() as watched:
             async with limiter(host("s-0", server.address), watched=watched) as rig:
-                fleet, numbers = rig.limiter.gateway.pools[0].servers, set[int]()
+                fleet, numbers = rig.limiter.decision_module.pools[0].servers, set[int]()
                 await watched.watches.get()
                 client = await rig.connect()
                 client.send(message("fix", "held"))
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -108,7 +108,7 @@
             if code != 304:
                 assert await client.reader.readexactly(4) == b"body"
             assert len(server.requests) == 1  # a 500 is an answer, no reason to repeat
-            health = next(iter(rig.limiter.relay.gateway.healths.values()))
+            health = next(iter(rig.limiter.relay.decision_module.healths.values()))
             assert health.errors == (1 if code == 500 else 0)
 
     run(test())
@@ -645,7 +645,7 @@
                 had = len(going.requests)
                 assert rig.reload(config(going.address, staying.address, drain=(0,)))
                 # Not only turned away at its door: the module does not choose it any more.
-                fleet = rig.limiter.relay.gateway.pools[1].servers
+                fleet = rig.limiter.relay.decision_module.pools[1].servers
                 assert [peer.entry.id for peer in fleet.ready] == [2]
                 for _ in range(30):
                     client = await rig.connect()
@@ -678,7 +678,7 @@
                 for _ in range(4):
                     assert (await clients[2].ask(request("POST", "/b"))).code == 200
                 assert shared.connections == 2 and len(shared.requests) == 2
-                fleets = rig.limiter.relay.gateway.pools
+                fleets = rig.limiter.relay.decision_module.pools
                 assert fleets[1].servers.records[1].health is fleets[2].servers.records[1].health
 
     run(test())
@@ -768,7 +768,7 @@
         extra = "[health]\nevery_ms = 50\ntimeout_ms = 5000\nrise = 2\nfall = 2\n"
         async with backend(script) as sick, backend(echo) as well:
             async with standalone(tmp_path, config(sick.address, well.address, extra=extra)) as rig:
-                healths = rig.limiter.relay.gateway.healths
+                healths = rig.limiter.relay.decision_module.healths
                 client = await rig.connect()
                 await until(lambda: sum("/health" in r.line for r in sick.requests) > 3)
                 assert not healths[1].down
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -44,7 +44,7 @@
 from basaltpoint.handover.link import Link, claim, socket_path
 from basaltpoint.handover.platform_state import PlatformState, PlatformStateError
 from basaltpoint.handover.upgrade_state import UpgradeState
-from basaltpoint.policy import Gateway
+from basaltpoint.policy import DecisionModule
 
 ROOT = Path(__file__).parent.parent
 
@@ -53,17 +53,17 @@
     return api.Plan(rate, burst, ceiling_rate=rate, ceiling_depth=burst, name="basic")
 
 
-def gateway(seed: int = 1, **changes: Any) -> Gateway:
+def gateway(seed: int = 1, **changes: Any) -> DecisionModule:
     made = parse_settings(json.dumps(SETTINGS).encode())
-    return Gateway(replace(made, plans=(plan(),), **changes), seed)
+    return DecisionModule(replace(made, plans=(plan(),), **changes), seed)
 
 
-def peers(one: Gateway, now: float, started: float = 0.0) -> None:
+def peers(one: DecisionModule, now: float, started: float = 0.0) -> None:
     ready = tuple(api.Server(n, 0, 0, api.ServerState.READY, 1.0, started) for n in range(3))
     one.handle(now, api.ServerList(api.ListKind.FULL, ready))
 
 
-def ask(one: Gateway, now: float, ident: int, customer: int = 7) -> bool:
+def ask(one: DecisionModule, now: float, ident: int, customer: int = 7) -> bool:
     """Whether a request of one unit is sent on; it is answered at once."""
     actions = one.handle(now, api.Arrival(ident, 2, 0, customer, 1.0, 1, now + 1000.0))
     sent = [action for action in actions if isinstance(action, api.Send)]
@@ -72,16 +72,16 @@
     return bool(sent)
 
 
-def passed(old: Gateway, new: Gateway, now: float) -> None:
+def passed(old: DecisionModule, new: DecisionModule, now: float) -> None:
     """What the newer process takes over when it starts, over JSON as between processes."""
     module = json.loads(json.dumps(state.take(old, now)))
     state.halve(old, now)
     assert list(platform_state.put(new, module, now)) == []
-    new.born = now
+    new.started_ms = now
     state.halve(new, now)
 
 
-def finish(old: Gateway, new: Gateway, now: float, since: float) -> None:
+def finish(old: DecisionModule, new: DecisionModule, now: float, since: float) -> None:
     rows = json.loads(json.dumps(state.take(old, now)))["customers"]
     state.whole(new, now)
     assert state.join(new, rows, now, since) == 0
@@ -124,7 +124,7 @@
     now = begin = 1e9
     for one in (old, new):
         peers(one, now)
-        one.born = now - 10_000.0
+        one.started_ms = now - 10_000.0
     sent, handed = 0, rng.randrange(1, 100)
     for n in range(150):
         now += rng.uniform(5, 60)
@@ -135,7 +135,7 @@
             state.spend(old, now, 10_000.0)
             told = upgrade_state.read(upgrade_state.write(told), 1.0)
             list(upgrade_state.put(new, told, {"account": {"a": 9}, "server": {}, "pool": {}}, now))
-            new.born = now
+            new.started_ms = now
         one, customer = (new, 9) if n >= handed and rng.random() < 0.5 else (old, 7)
         sent += ask(one, now, n + 1, customer)
         assert sent <= 10.0 + 5.0 * (now - begin) / 1000.0 + 1e-6
@@ -197,7 +197,7 @@
     old, new = gateway(1), gateway(2)
     for one in (old, new):
         peers(one, 1e9, started=1e9)
-        one.handle(1e9, api.Checked(0, True))
+        one.handle(1e9, api.HealthCheckResult(0, True))
     for n in range(3):
         old.pools[0].servers.records[n].allowance = 0.9
         old.pools[0].servers.records[n].health.suspect = n == 1
--- a/tests/test_jam.py
+++ b/tests/test_jam.py
@@ -26,7 +26,7 @@
     for sent in [sends(rig.arrive(4000.0 + n))[0] for n in range(MIN_COMPLETIONS - 1)]:
         rig.done(5100.0, sent, "timeout", elapsed=1000.0)
     served(rig, 5200.0, 12_000.0, 50.0, 100.0)
-    pool = rig.gateway.pools[0]
+    pool = rig.decision_module.pools[0]
     assert not pool.timeouts
     assert pool.servers.mean_latency_ms == pytest.approx(100.0)
 
@@ -34,7 +34,7 @@
 def test_what_is_out_for_long_tells_of_a_jam_before_any_of_it_ends() -> None:
     rig = Rig()
     served(rig, 200.0, 3000.0, 50.0, 100.0)
-    pool = rig.gateway.pools[0]
+    pool = rig.decision_module.pools[0]
     assert pool.servers.mean_latency_ms == pytest.approx(100.0)
     for n in range(40):
         rig.arrive(3000.0 + n)
@@ -46,10 +46,10 @@
     rig = Rig()
     served(rig, 200.0, 3000.0, 50.0, 100.0)
     [sent] = sends(rig.arrive(3000.0))
-    rig.gateway.handle(3050.0, api.StreamBegun(sent.request, 0, sent.server))
+    rig.decision_module.handle(3050.0, api.StreamBegun(sent.request, 0, sent.server))
     served(rig, 3100.0, 60_000.0, 200.0, 100.0)
-    assert rig.gateway.pools[0].servers.mean_latency_ms == pytest.approx(100.0)
-    assert not rig.gateway.pools[0].attempts_outstanding
+    assert rig.decision_module.pools[0].servers.mean_latency_ms == pytest.approx(100.0)
+    assert not rig.decision_module.pools[0].attempts_outstanding
 
 
 def test_many_answers_shorten_the_window() -> None:
@@ -57,7 +57,7 @@
     rig = Rig()
     served(rig, 200.0, 3000.0, 5.0, 100.0)
     served(rig, 3300.0, 4500.0, 5.0, 300.0)
-    pool = rig.gateway.pools[0]
+    pool = rig.decision_module.pools[0]
     assert len(pool.latencies) <= MAX_SAMPLES + 100
     assert pool.servers.mean_latency_ms == pytest.approx(300.0)
 
@@ -70,7 +70,7 @@
     for sent in out:
         rig.done(4100.0, sent, "timeout", elapsed=1000.0)
     rig.tick(4700.0)
-    assert not rig.gateway.pools[0].losing_responses
+    assert not rig.decision_module.pools[0].losing_responses
 
 
 def test_time_outs_beside_quick_answers_are_lost_answers() -> None:
@@ -81,7 +81,7 @@
     for sent in out:
         rig.done(4100.0, sent, "timeout", elapsed=1000.0)
     served(rig, 4125.0, 4700.0, 25.0, 40.0)
-    assert rig.gateway.pools[0].losing_responses
+    assert rig.decision_module.pools[0].losing_responses
 
 
 def test_silence_in_a_jam_does_not_make_a_suspect() -> None:
@@ -90,7 +90,7 @@
     served(rig, 1000.0, 6000.0, 100.0, 650.0)
     [sent] = sends(rig.arrive(6000.0))
     rig.done(7100.0, sent, "timeout", elapsed=1000.0)
-    assert not rig.gateway.pools[0].servers.suspects
+    assert not rig.decision_module.pools[0].servers.suspects
 
 
 def test_silence_beside_quick_answers_makes_a_suspect() -> None:
@@ -98,13 +98,13 @@
     served(rig, 1000.0, 6000.0, 100.0, 150.0)
     [sent] = sends(rig.arrive(6000.0))
     rig.done(7100.0, sent, "timeout", elapsed=1000.0)
-    assert rig.gateway.pools[0].servers.suspects == {sent.server}
+    assert rig.decision_module.pools[0].servers.suspects == {sent.server}
 
 
 def test_while_most_are_suspects_work_still_goes_to_all() -> None:
     """Short-bursts, seed 11: five of six were suspects, and the sixth got everything."""
     rig = Rig([server(n) for n in range(1, 7)])
-    fleet = rig.gateway.pools[0].servers
+    fleet = rig.decision_module.pools[0].servers
     for peer in list(fleet.ready)[:5]:
         fleet.mark_suspect(peer, 1000.0)
     used = {sent.server for n in range(60) for sent in sends(rig.arrive(1010.0 + n))}
@@ -113,7 +113,7 @@
 
 def test_half_of_the_fleet_in_doubt_is_not_all_of_it() -> None:
     rig = Rig([server(n) for n in range(1, 7)])
-    fleet = rig.gateway.pools[0].servers
+    fleet = rig.decision_module.pools[0].servers
     for peer in list(fleet.ready)[:3]:
         fleet.mark_suspect(peer, 1000.0)
     used = {sent.server for n in range(30) for sent in sends(rig.arrive(1010.0 + n))}
@@ -122,7 +122,7 @@
 
 def test_caps_never_add_up_to_less_than_one_request_a_server_over_all_limiters() -> None:
     rig = Rig([server(n) for n in range(1, 13)])  # of two limiters
-    pool = rig.gateway.pools[0]
+    pool = rig.decision_module.pools[0]
     pool.caps = (0.3, 0.2)
     rig.tick(1000.0)
     assert sum(pool.caps) == pytest.approx(6.0)
@@ -134,7 +134,7 @@
 def test_a_report_counts_without_our_own_requests_and_moves_the_choice_slowly() -> None:
     """Reports up to 1.5 s old, taken as they came, sent three limiters to the same server at once."""
     rig = Rig([server(1), server(2)], report_fields=("inflight",))
-    fleet = rig.gateway.pools[0].servers
+    fleet = rig.decision_module.pools[0].servers
     for ident in (1, 2):
         fleet.records[ident].outstanding = 3
     for step in range(30):
@@ -151,7 +151,7 @@
 def calm(rig: Rig, elapsed: float = 100.0) -> Rig:
     """Answers for three seconds, then caps that hold nothing back."""
     served(rig, 500.0, 3000.0, 25.0, elapsed)
-    pool = rig.gateway.pools[0]
+    pool = rig.decision_module.pools[0]
     pool.caps_updated_ms, pool.caps = 1e12, (INF, INF)
     return rig
 
@@ -173,7 +173,7 @@
 def test_a_server_that_hangs_is_left_alone_before_its_first_time_out() -> None:
     """Short days of a second customer: four in five attempts that timed out went to servers not doubted."""
     rig = calm(Rig(THREE))
-    fleet = rig.gateway.pools[0].servers
+    fleet = rig.decision_module.pools[0].servers
     asked = spread(rig, 3000.0, 3)
     answer(rig, 3100.0, asked[1] + asked[3], 100.0)
     rig.tick(3290.0)
@@ -181,7 +181,7 @@
     rig.tick(3450.0)
     assert fleet.silent == {2} and not fleet.suspects
     assert all(sends(rig.arrive(3460.0))[0].server != 2 for _ in range(30))
-    assert 2 in rig.gateway.avoided(3460.0)
+    assert 2 in rig.decision_module.avoided_servers(3460.0)
     answer(rig, 3900.0, asked[2], 900.0)  # it was slow, and nothing is held against it
     rig.tick(4010.0)
     assert not fleet.silent
@@ -192,14 +192,14 @@
     asked = spread(rig, 3000.0, 6)
     answer(rig, 3150.0, [*asked[1], *asked[3], asked[2][1]], 150.0)
     rig.tick(3900.0)
-    assert not rig.gateway.pools[0].servers.silent
+    assert not rig.decision_module.pools[0].servers.silent
 
 
 def test_where_most_servers_are_silent_none_is_passed_over_for_it() -> None:
     rig = calm(Rig(THREE))
     answer(rig, 3100.0, spread(rig, 3000.0, 3)[1], 100.0)
     rig.tick(3500.0)
-    assert not rig.gateway.pools[0].servers.silent
+    assert not rig.decision_module.pools[0].servers.silent
 
 
 def test_what_was_out_together_is_one_sign_and_not_many() -> None:
@@ -209,7 +209,7 @@
     answer(rig, 3100.0, asked[1] + asked[3], 100.0)
     for sent in asked[2]:
         rig.done(4000.0, sent, "timeout", elapsed=1000.0)
-    health = rig.gateway.pools[0].servers.records[2].health
+    health = rig.decision_module.pools[0].servers.records[2].health
     assert (health.suspect, health.backoff, health.retest_ms) == (True, 1, 5000.0)
     trial = next(s for s in (sends(rig.arrive(5100.0))[0] for _ in range(200)) if s.server == 2)
     assert (health.backoff, health.retest_ms) == (2, 7100.0)
@@ -226,7 +226,7 @@
         rig.done(4000.0, sent, "ok", elapsed=100.0)
     for sent in out:
         rig.done(4000.0, sent, "timeout", elapsed=1000.0)
-    pool = rig.gateway.pools[0]
+    pool = rig.decision_module.pools[0]
     pool.caps_updated_ms = 0.0
     rig.tick(4600.0)  # what was answered before the others began is older than counts
     assert pool.losing_responses is lossy
@@ -243,7 +243,7 @@
 def test_time_is_kept_for_another_try_only_where_that_is_worth_one() -> None:
     """Halves of halves went out in a jam: 620, 433, 216, 107 and 49 ms, where 300 were usual."""
     rig = calm(Rig(THREE), 300.0)
-    rig.gateway.pools[0].losing_responses = True
+    rig.decision_module.pools[0].losing_responses = True
     first = sends(rig.arrive(3000.0))[0]
     assert first.until_ms == 3500.0
     [second] = sends(rig.done(3500.0, first, "timeout", elapsed=500.0))
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -72,7 +72,7 @@
             assert {entry.state for entry in first.servers} == {ServerState.GONE}
             assert len(first.servers) == MANY
             assert len(others) == MANY / SLICE and all(len(each.servers) == SLICE for each in others)
-            assert len(rig.limiter.gateway.pools[0].servers.ready) == MANY
+            assert len(rig.limiter.decision_module.pools[0].servers.ready) == MANY
             assert len(rig.limiter.listed_servers.numbers) == MANY
 
     run(test())
@@ -113,7 +113,7 @@
             hosts = rig.limiter.listed_servers.hosts
             assert hosts["s-3000"].state is ServerState.DRAINING
             assert "s-3001" not in hosts and "{}:{}".format(*hosts["s-3002"].dial) == elsewhere
-            assert len(rig.limiter.gateway.pools[0].servers.ready) == MANY + 1 - 2
+            assert len(rig.limiter.decision_module.pools[0].servers.ready) == MANY + 1 - 2
             assert len(rig.limiter.listed_servers.numbers) == MANY + 1 - 1
 
     run(test())
@@ -146,7 +146,7 @@
             twice = (host("a", nowhere, "left"), host("a", nowhere, born_ms=5.0))
             rig.limiter.listed(parsed(listing(3, *twice, whole=False)))
             assert rig.limiter.ready and len(rig.limiter.listed_servers.numbers) == 1
-            [peer] = rig.limiter.gateway.pools[0].servers.ready
+            [peer] = rig.limiter.decision_module.pools[0].servers.ready
             assert peer.entry.id == rig.limiter.listed_servers.numbers["a"]
 
     run(test())
--- a/tests/test_membership_lease.py
+++ b/tests/test_membership_lease.py
@@ -41,7 +41,7 @@
 from basaltpoint.upstream.streams import StreamConnection
 
 GRACE_S = 0.25
-ALLOWED_S = GRACE_S - lease.STALL_S
+ALLOWED_S = GRACE_S - lease.MAX_STALL_S
 
 
 # --- The machine ----------------------------------------------------------------------------------
@@ -454,7 +454,7 @@
 
         def held_up(self: StreamConnection, attempt: Attempt) -> None:
             guard.lease_expires_at = monotonic() + 0.01
-            time.sleep(0.05 + lease.STALL_S)
+            time.sleep(0.05 + lease.MAX_STALL_S)
             plain(self, attempt)
 
         monkeypatch.setattr(StreamConnection, "start", held_up)
--- a/tests/test_meter.py
+++ b/tests/test_meter.py
@@ -60,6 +60,9 @@
                         answer = await client.ask(message(ident=f"id-{next(number)}", **key))
                         assert answer.code == 200
                 last = (clock[0] - start - LAG_MS) // 1000.0 * 1000.0
-                assert abs(rig.limiter.gateway.clock.reading_period(clock[0])[1] - start - last) <= 150.0
+                assert (
+                    abs(rig.limiter.decision_module.meter_clock.reading_period(clock[0])[1] - start - last)
+                    <= 150.0
+                )
 
     run(test())
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -8,7 +8,7 @@
 from helpers import Rig, sends
 
 from basaltpoint import interface as api
-from basaltpoint.policy import gateway, server_set
+from basaltpoint.policy import decision_module, server_set
 from basaltpoint.policy.quota import Customer, MeterClock
 
 PLAN = api.Plan(rate=10, burst=20)
@@ -94,10 +94,10 @@
 
 def test_a_gateway_starts_with_its_first_request() -> None:
     rig = Rig()
-    assert rig.gateway.clock.first_request_ms > 1e9
+    assert rig.decision_module.meter_clock.first_request_ms > 1e9
     rig.arrive(300.0)
     rig.arrive(700.0)
-    assert rig.gateway.clock.first_request_ms == 300.0
+    assert rig.decision_module.meter_clock.first_request_ms == 300.0
 
 
 def test_units_settled_after_the_answer_count_when_the_meter_counts_them() -> None:
@@ -129,7 +129,7 @@
 def test_the_first_good_answer_settles_whichever_attempt_it_ends(attempt: int) -> None:
     rig = Rig(plans=(PLAN,), post_paid=True)
     [sent] = sends(rig.arrive(10.0))
-    customer = rig.gateway.customers[1]
+    customer = rig.decision_module.customers[1]
     if attempt:
         [sent] = sends(rig.done(20.0, sent, "connect_failed"))
     before = customer.units_drawn_until(1e9)[0]
@@ -142,7 +142,7 @@
         rig = Rig(plans=(PLAN,), post_paid=post_paid)
         [sent] = sends(rig.arrive(10.0))
         rig.done(60.0, sent, "ok", units=units)
-        assert rig.gateway.customers[1].units_drawn_until(1e9)[0] == 1.0
+        assert rig.decision_module.customers[1].units_drawn_until(1e9)[0] == 1.0
 
 
 def test_repeating_a_reading_does_not_wind_the_share_down() -> None:
@@ -180,14 +180,14 @@
 
 
 def test_a_plan_without_a_rate_goes_by_its_meter() -> None:
-    clock, customer = MeterClock(1000.0), Customer(api.Plan(rate=0, burst=0, parallel=4), 3, 0.0)
+    clock, customer = MeterClock(1000.0), Customer(api.Plan(rate=0, burst=0, max_parallel=4), 3, 0.0)
     assert not customer.refusal_reason(5.0, 1.0, 0.99)
     customer.apply_reading(10.0, 400, clock)
     assert customer.refusal_reason(20.0, 1.0, 0.5)
 
 
 def test_the_store_of_a_plan_without_a_rate_rests() -> None:
-    clock, customer = MeterClock(1000.0), Customer(api.Plan(rate=0, burst=8, parallel=4), 3, 0.0)
+    clock, customer = MeterClock(1000.0), Customer(api.Plan(rate=0, burst=8, max_parallel=4), 3, 0.0)
     customer.apply_reading(3000.0, 400, clock)
     assert customer.anchor == (8, 0.0) and customer.quota_bucket.level == 8
 
@@ -217,7 +217,7 @@
     (kept,) = sends(rig.arrive(100.0, customer=99))
     rig.arrive(130000.0, customer=7)
     rig.arrive(260000.0, customer=7)
-    assert set(rig.gateway.customers) == {99, 7}
+    assert set(rig.decision_module.customers) == {99, 7}
     rig.done(260010.0, kept, "ok")
 
 
@@ -228,14 +228,14 @@
     for step in range(5000):
         [sent] = sends(rig.arrive(step * 50.0, customer=step))
         rig.done(step * 50.0 + 20.0, sent, "ok")
-    assert kept and 1_000_000 in rig.gateway.customers
-    assert len(rig.gateway.customers) < 1000
-    assert len(rig.gateway.pools[0].servers.admission_times_ms) < 200
+    assert kept and 1_000_000 in rig.decision_module.customers
+    assert len(rig.decision_module.customers) < 1000
+    assert len(rig.decision_module.pools[0].servers.admission_times_ms) < 200
 
 
 def test_a_flood_of_customers_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     """The longest idle go early, but none before its ceiling is full again: it would be passed."""
-    monkeypatch.setattr(gateway, "MOST_CUSTOMERS", 50)
+    monkeypatch.setattr(decision_module, "MAX_CUSTOMERS", 50)
     slow = api.Plan(rate=1000, burst=2000, ceiling_rate=0.5, ceiling_depth=100.0)
     rig = Rig(plans=(slow,))
     now = 300_000.0
@@ -243,9 +243,9 @@
         [sent] = sends(rig.arrive(now + step, customer=step))
         rig.done(now + step, sent, "ok")
     rig.tick(now + 1050.0)
-    assert len(rig.gateway.customers) == 300
+    assert len(rig.decision_module.customers) == 300
     rig.tick(now + 5000.0)
-    assert len(rig.gateway.customers) == 50
+    assert len(rig.decision_module.customers) == 50
 
 
 def test_a_customers_log_is_bounded_by_time() -> None:
@@ -253,7 +253,7 @@
     for step in range(5000):
         [sent] = sends(rig.arrive(step * 50.0))
         rig.done(step * 50.0 + 20.0, sent, "ok")
-    [customer] = rig.gateway.customers.values()
+    [customer] = rig.decision_module.customers.values()
     assert 200 <= len(customer.draw_log) <= 450
     end = 5000 * 50.0
     assert customer.units_drawn_until(end)[0] - customer.units_drawn_until(end - 5025.0)[0] == 100.0
@@ -272,10 +272,10 @@
 
 def test_a_refusal_tells_when_to_come_back() -> None:
     """Soon where the quota has room; beyond it once the store holds the units, within the bound."""
-    rig = Rig([], plans=(api.Plan(rate=5, burst=1),), advice_ms=500)
+    rig = Rig([], plans=(api.Plan(rate=5, burst=1),), max_retry_after_ms=500)
     [refused] = rig.arrive(1.0, customer=1)
     assert isinstance(refused, api.Refuse) and refused.retry_in_ms == server_set.INITIAL_LATENCY_MS
-    beyond = rig.gateway.customers[1]
+    beyond = rig.decision_module.customers[1]
     beyond.usage, beyond.quota_bucket.level = 300, -0.5
     [refused] = rig.arrive(1.0, customer=1)
     assert isinstance(refused, api.Refuse) and refused.retry_in_ms == pytest.approx(300.0)
@@ -348,7 +348,7 @@
     so that a gateway meets most of them for the first time. The meter is a second late.
     """
     rng, doors = random.Random(seed), 100
-    plan = api.Plan(rate=4, burst=6, over_cost=over_cost)
+    plan = api.Plan(rate=4, burst=6, excess_cost=over_cost)
     clocks = [MeterClock(1000.0) for _ in range(doors)]
     sent = excess = asked_inside = 0
     for number in range(20):
@@ -383,5 +383,5 @@
 
 def test_care_is_what_excess_costs_beside_what_it_earns() -> None:
     for worth, cost, care in ((0.0, 0.5, 0.5), (0.3, 0.0, 0.0), (0.0, 2.0, 1.0), (0.2, 0.6, 0.4)):
-        plan = api.Plan(rate=1, burst=4, over_worth=worth, over_cost=cost)
+        plan = api.Plan(rate=1, burst=4, excess_worth=worth, excess_cost=cost)
         assert Customer(plan, 3, 0.0).excess_cost == pytest.approx(care)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -65,7 +65,7 @@
 
 
 def test_second_copy_goes_elsewhere_where_allowed() -> None:
-    rig = Rig(second_copies=True)
+    rig = Rig(may_hedge=True)
     (sent,) = sends(rig.arrive(1.0, KEYED_ALL))
     copies = [copy for now in range(50, 2000, 50) for copy in sends(rig.tick(float(now)))]
     assert len(copies) <= 1 and all(copy.server != sent.server for copy in copies)
@@ -76,16 +76,16 @@
     (sent,) = sends(rig.arrive(1.0, SAFE, deadline=300.0))
     assert sent.until_ms <= 301.0
     assert kinds(rig.done(301.0, sent, "timeout")) == ["Fail"]
-    assert rig.gateway.handle(301.0, api.Abandoned(sent.request)) == []
+    assert rig.decision_module.handle(301.0, api.Abandoned(sent.request)) == []
     assert rig.done(301.0, sent, "ok") == []
 
 
 def test_abandoned_is_withdrawn_and_never_answered() -> None:
     rig = Rig()
     (sent,) = sends(rig.arrive(1.0, SAFE))
-    assert kinds(rig.gateway.handle(50.0, api.Abandoned(sent.request))) == ["Cancel"]
+    assert kinds(rig.decision_module.handle(50.0, api.Abandoned(sent.request))) == ["Cancel"]
     assert rig.done(52.0, sent, "cancelled") == []
-    assert rig.gateway.requests == {}
+    assert rig.decision_module.requests == {}
 
 
 def test_moot_is_answered_and_draws_no_retry() -> None:
@@ -126,7 +126,7 @@
             cold += sent.server == 1 and step >= 1500 and now < 16000.0
             rig.done(now + 5.0, sent, "ok", elapsed=5.0)
     assert total > 50
-    assert cold <= total / 8 * BASE.cold_from * BASE.tip_multiple
+    assert cold <= total / 8 * BASE.cold_start_fraction * BASE.overload_crash_ratio
 
 
 def ceiling_rig(doors: int, **changes: object) -> tuple[Rig, api.Plan]:
@@ -147,7 +147,7 @@
 
 
 def test_parallel_cap_bounds_attempts_out() -> None:
-    rig = Rig(plans=(api.Plan(rate=1000, burst=1000, parallel=3),))
+    rig = Rig(plans=(api.Plan(rate=1000, burst=1000, max_parallel=3),))
     assert sum(len(sends(rig.arrive(1.0 + n))) for n in range(9)) == 3
 
 
@@ -156,8 +156,8 @@
     rig = Rig()
     for sent in [sends(rig.arrive(1.0 + n))[0] for n in range(30)]:
         rig.done(1100.0, sent, "timeout", elapsed=1000.0)
-    assert not rig.gateway.pools[0].servers.suspects
-    assert len(rig.gateway.pools[0].timeouts) == 30
+    assert not rig.decision_module.pools[0].servers.suspects
+    assert len(rig.decision_module.pools[0].timeouts) == 30
 
 
 def test_a_jam_brings_lane_caps_though_every_latency_is_long() -> None:
@@ -167,13 +167,13 @@
         now = 10.0 * step + 1
         elapsed = 60.0 + 60.0 * (step % 4) if step < 200 else 900.0
         for sent in sends(rig.arrive(now)):
-            rig.gateway.pools[0].lane_outstanding[0] += 1  # as if it stayed out for its latency
+            rig.decision_module.pools[0].lane_outstanding[0] += 1  # as if it stayed out for its latency
             rig.done(now + 1, sent, "ok", elapsed=elapsed)
-            rig.gateway.pools[0].lane_outstanding[0] -= 1
+            rig.decision_module.pools[0].lane_outstanding[0] -= 1
         if step % 5 == 0:
-            rig.gateway.pools[0].mean_outstanding = 9.0
+            rig.decision_module.pools[0].mean_outstanding = 9.0
             rig.tick(now)
-    assert rig.gateway.pools[0].caps[0] < float("inf")
+    assert rig.decision_module.pools[0].caps[0] < float("inf")
 
 
 def test_a_silent_server_is_left_alone_and_tried_again_now_and_then() -> None:
@@ -225,9 +225,9 @@
 
 def test_hundreds_of_gateways_add_up_to_a_cold_servers_part() -> None:
     """big-1 of cca-main-later: each earns less than one send while a hall warms, and so it got none."""
-    rigs = [Rig([server(n) for n in range(1, 41)], gateways=60, me=n) for n in range(60)]
+    rigs = [Rig([server(n) for n in range(1, 41)], limiter_count=60, limiter_index=n) for n in range(60)]
     for seed, rig in enumerate(rigs):
-        rig.gateway.rng.seed(seed)
+        rig.decision_module.rng.seed(seed)
         for now in range(0, 5000, 500):
             rig.done(now + 9.0, sends(rig.arrive(float(now + 1)))[0], "ok", elapsed=8.0)
         rig.listed(5000.0, server(1, started=5000.0))
@@ -264,8 +264,8 @@
 
 def test_a_missing_report_is_not_idleness() -> None:
     """big-1 of tacoma-east-later: servers not heard of lately were taken for idle ones."""
-    rig = Rig([server(n) for n in range(1, 4)], report_fields=("inflight",), gateways=300)
-    fleet = rig.gateway.pools[0].servers
+    rig = Rig([server(n) for n in range(1, 4)], report_fields=("inflight",), limiter_count=300)
+    fleet = rig.decision_module.pools[0].servers
     for now in range(1, 40):
         fleet.record_report(float(now), 1, (9.0,))
         fleet.record_report(float(now), 2, (2.0,))
@@ -286,7 +286,7 @@
             failed += bad
             rig.done(now + 1.0, sent, "error" if bad or step % 50 == 0 else "ok", elapsed=1.0)
     assert failed < 20
-    assert not rig.gateway.pools[0].servers.suspects
+    assert not rig.decision_module.pools[0].servers.suspects
 
 
 @pytest.mark.parametrize(("strays", "late"), [(0, 0), (4, 0), (4, 8)])
@@ -308,7 +308,7 @@
 
 def test_one_reset_is_the_connections_own_and_two_are_the_servers() -> None:
     rig = Rig([server(1)])
-    fleet = rig.gateway.pools[0].servers
+    fleet = rig.decision_module.pools[0].servers
     for now, suspects in ((10.0, 0), (20.0, 1)):
         [sent] = sends(rig.arrive(now, UNSAFE))
         rig.done(now + 1.0, sent, "reset", elapsed=1.0)
@@ -322,7 +322,7 @@
     """zone+vast: a limiter that meets each of 60 servers seldom opens a connection for each request."""
     met: Counter[int] = Counter()
     for me in range(40):
-        rig = Rig([server(n) for n in range(1, 61)], gateways=40, me=me)
+        rig = Rig([server(n) for n in range(1, 61)], limiter_count=40, limiter_index=me)
         own = set()
         for now in range(0, 10000, 100):
             (sent,) = sends(rig.arrive(float(now)))
@@ -335,8 +335,8 @@
 
 def test_a_gateway_whose_own_servers_are_lost_goes_on_with_the_others() -> None:
     own = set(range(1, 13))  # the first gateway's; they stand in one zone, which is lost
-    rig = Rig([server(n, zone=n in own) for n in range(1, 61)], gateways=40, me=0)
-    assert {peer.entry.id for peer in rig.gateway.pools[0].servers.subset} == own
+    rig = Rig([server(n, zone=n in own) for n in range(1, 61)], limiter_count=40, limiter_index=0)
+    assert {peer.entry.id for peer in rig.decision_module.pools[0].servers.subset} == own
     served = 0
     for now in range(0, 4000, 50):
         attempt, due = 0, sends(rig.arrive(float(now)))
--- a/tests/test_server_index.py
+++ b/tests/test_server_index.py
@@ -22,11 +22,11 @@
 
 
 def named(ident: int, state: str = "ready", started: float = 0.0) -> api.Server:
-    return replace(server(ident, state=state, started=started), mark=ident * 2654435761 % 2**32)
+    return replace(server(ident, state=state, started=started), ring_position=ident * 2654435761 % 2**32)
 
 
 def fleet_of(count: int, gateways: int = 100) -> ServerSet:
-    made = ServerSet(replace(BASE, gateways=gateways), random.Random(7), {})
+    made = ServerSet(replace(BASE, limiter_count=gateways), random.Random(7), {})
     made.apply_list(0.0, api.ServerList(ListKind.FULL, tuple(named(n) for n in range(count))))
     return made
 
@@ -52,7 +52,7 @@
     """Compare what is kept up with what a scan of all finds."""
     ready = [peer for peer in fleet.records.values() if peer.entry.state is ServerState.READY]
     assert fleet.ready == ready
-    assert fleet.ring == sorted(ready, key=lambda peer: (peer.entry.mark, peer.entry.id))
+    assert fleet.ring == sorted(ready, key=lambda peer: (peer.entry.ring_position, peer.entry.id))
     assert fleet.suspects == {peer.entry.id for peer in ready if peer.health.suspect}
     assert fleet._trusted.items == [peer for peer in ready if not peer.health.suspect]
 
@@ -62,7 +62,7 @@
     rng, now = random.Random(seed), 0.0
     healths: dict[int, ServerHealth] = {}
     fleets = [
-        ServerSet(replace(BASE, gateways=3), rng, healths) for _ in range(2)
+        ServerSet(replace(BASE, limiter_count=3), rng, healths) for _ in range(2)
     ]  # two pools of one process
     for _ in range(300):
         now += 100.0
--- a/tests/test_server_starts.py
+++ b/tests/test_server_starts.py
@@ -65,7 +65,7 @@
     """Back an hour, and it would get its full part at once; forward, and it would be cold for an hour."""
 
     def share(rig: Rig, name: str) -> float:
-        fleet = rig.limiter.gateway.pools[0].servers
+        fleet = rig.limiter.decision_module.pools[0].servers
         return fleet.warm_fraction(fleet.records[rig.limiter.listed_servers.numbers[name]], rig.limiter.now())
 
     async def test() -> None:
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -212,7 +212,7 @@
         async with backend(script) as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             assert (await client.ask(message("fix", "spoilt"))).code == 502
-            assert not rig.limiter.gateway.pools[0].servers.suspects
+            assert not rig.limiter.decision_module.pools[0].servers.suspects
             assert (await client.ask(message("fix", "next"))).body == b"good"
             assert len(server.requests) == 2
 
@@ -524,7 +524,7 @@
                     client.close()
                 watched.tell(listing(2, host("d", server.address)))  # the others are gone in mid-flight
                 assert {(await client.answer()).code for client in made} <= {200, 429, 502}
-                gateway, sockets = rig.limiter.gateway, rig.limiter._servers
+                gateway, sockets = rig.limiter.decision_module, rig.limiter._servers
                 await until(lambda: not gateway.requests and not rig.limiter.table.requests)
                 await until(lambda: not sockets._connecting)
                 assert (rig.limiter.open, gateway.pools[0].lane_outstanding, rig.limiter.table.open_keys) == (
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -25,7 +25,7 @@
             await client.ask(
                 message("fix", method="POST", **terms) if status != "200 OK" else message(**terms)
             )
-            return rig.limiter.gateway.customers[7].units_drawn_until(1e18)[0]
+            return rig.limiter.decision_module.customers[7].units_drawn_until(1e18)[0]
 
 
 @pytest.mark.parametrize(("value", "units"), [("1", 1.0), ("4", 4.0), ("2", 2.0), ("3.5", 3.5)])
--- a/tests/test_store_daemon.py
+++ b/tests/test_store_daemon.py
@@ -33,7 +33,7 @@
 )
 from basaltpoint.daemon.standalone import Standalone
 from basaltpoint.daemon.store_follower import StartError
-from basaltpoint.interface import Plan, Standing
+from basaltpoint.interface import Plan, QuotaStatus
 from basaltpoint.load import coordinator, scenario
 from basaltpoint.load.command import read_asked, read_attempts
 from basaltpoint.load.ledger import audit
@@ -449,21 +449,21 @@
     run(test())
 
 
-PLAN = Plan(rate=10, burst=100, parallel=0, ceiling_rate=5, ceiling_depth=50)
+PLAN = Plan(rate=10, burst=100, max_parallel=0, ceiling_rate=5, ceiling_depth=50)
 
 
 def test_after_an_orderly_end_a_ceiling_goes_on_from_what_was_left() -> None:
     held = Balance(20, 30, 1_000, final=True)
     told = recall(7, PLAN, held, Timestamp(3_000), down_s=1.5)
-    assert (told.customer, told.left, told.ceiling) == (7, 40, 37.5)
+    assert (told.customer, told.units_left, told.ceiling_units_left) == (7, 40, 37.5)
     told = recall(7, PLAN, held, Timestamp(1e9), 1e6)
-    assert told.ceiling == 50 and told.left == 100
+    assert told.ceiling_units_left == 50 and told.units_left == 100
 
 
 def test_after_a_kill_a_ceiling_holds_what_has_filled_since_the_last_sign_of_life() -> None:
     held = Balance(20, 30, 1_000, final=False)
-    assert recall(7, PLAN, held, Timestamp(9_000), down_s=2).ceiling == 10
-    assert recall(7, PLAN, held, Timestamp(9_000), down_s=0).ceiling == 0
+    assert recall(7, PLAN, held, Timestamp(9_000), down_s=2).ceiling_units_left == 10
+    assert recall(7, PLAN, held, Timestamp(9_000), down_s=0).ceiling_units_left == 0
 
 
 @pytest.mark.parametrize("step_ms", [-3_600_000, -5_000, 5_000, 3_600_000])
@@ -471,8 +471,8 @@
     """Two seconds have passed, whatever the wall clock says; on another boot there is nothing else."""
     held = Balance(20, 30, 10_000_000, False, "boot", 500.0)
     now_ms = held.at_ms + 2_000 + step_ms
-    assert recall(7, PLAN, held, Timestamp(now_ms, "boot", 502.0), 0).left == 40
-    assert recall(7, PLAN, held, Timestamp(now_ms, "next", 502.0), 0).left == (
+    assert recall(7, PLAN, held, Timestamp(now_ms, "boot", 502.0), 0).units_left == 40
+    assert recall(7, PLAN, held, Timestamp(now_ms, "next", 502.0), 0).units_left == (
         20 if step_ms < 0 else min(100, 40 + step_ms / 100)
     )
 
@@ -497,14 +497,14 @@
 ) -> None:
     monkeypatch.setattr("basaltpoint.daemon.balances.BUDGET", 2)
     balances = Balances()
-    standings = {at: Standing(1, 100, 50, 0) for at in range(5)}
+    standings = {at: QuotaStatus(1, 100, 50, 0) for at in range(5)}
     assert list(balances.due(range(5), standings.get)) == [0, 1]
     assert list(balances.waiting) == [2, 3, 4]
     assert list(balances.due([0], standings.get)) == [2, 3]  # those that wait go first
     assert list(balances.due([], standings.get)) == [4]  # and 0 has not moved
-    standings[0] = Standing(1, 100, 45, 0)
+    standings[0] = QuotaStatus(1, 100, 45, 0)
     assert list(balances.due([0], standings.get)) == []
-    standings[0] = Standing(1, 100, 39, 0)
+    standings[0] = QuotaStatus(1, 100, 39, 0)
     assert list(balances.due([0], standings.get)) == [0]
 
 
@@ -513,10 +513,10 @@
         async with backend(good) as server:
             path = tmp_path / "l.toml"
             async with limiter(path, config(server.address, extra=ALONE)) as rig:
-                pool = rig.limiter.relay.gateway.pools[rig.limiter.setup.pools["main"]]
+                pool = rig.limiter.relay.decision_module.pools[rig.limiter.setup.pools["main"]]
                 pool.light_latencies_ms, pool.servers.mean_latency_ms = [3.0, math.inf, 3.0], 7.0
             async with limiter(path) as rig:
-                pool = rig.limiter.relay.gateway.pools[rig.limiter.setup.pools["main"]]
+                pool = rig.limiter.relay.decision_module.pools[rig.limiter.setup.pools["main"]]
                 assert pool.light_latencies_ms == [3.0, math.inf, 3.0] and pool.servers.mean_latency_ms == 7.0
                 store = store_of(rig)
                 value = await store.get("learned/basaltpoint")
@@ -526,7 +526,7 @@
                 store.close()
             path.write_text(path.read_text().replace('dir = "store"', 'dir = "store"\nlearned_s = 0'))
             async with limiter(path) as rig:
-                pool = rig.limiter.relay.gateway.pools[rig.limiter.setup.pools["main"]]
+                pool = rig.limiter.relay.decision_module.pools[rig.limiter.setup.pools["main"]]
                 assert pool.light_latencies_ms == [math.inf] * 3
 
     run(test())
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -119,7 +119,7 @@
             with FailingConnect(name, 8) as connecting:
                 assert (await client.ask(message("fix", "once", Req_Deadline="2.0"))).code == 200
             assert connecting.left == 0 and len(server.requests) == 1
-            assert not rig.limiter.gateway.avoided(rig.limiter.now())
+            assert not rig.limiter.decision_module.avoided_servers(rig.limiter.now())
 
     run(test())
 
@@ -130,7 +130,7 @@
             client = await rig.connect()
             with FailingConnect("EADDRNOTAVAIL"):
                 assert (await client.ask(message("fix", "never", Req_Deadline="0.4"))).code == 429
-            assert not rig.limiter.gateway.avoided(rig.limiter.now())
+            assert not rig.limiter.decision_module.avoided_servers(rig.limiter.now())
             assert (await client.ask(message("fix", "then"))).code == 200
 
     run(test())
@@ -141,7 +141,7 @@
         async with limiter(host("a", unused_address())) as rig:
             client = await rig.connect()
             assert (await client.ask(message("fix", "never", Req_Deadline="0.4"))).code == 429
-            assert rig.limiter.gateway.avoided(rig.limiter.now())
+            assert rig.limiter.decision_module.avoided_servers(rig.limiter.now())
 
     run(test())
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -125,7 +125,7 @@
 
 def test_settings_defaults_and_missing_keys() -> None:
     parsed = parse_settings(json.dumps(SETTINGS).encode())
-    assert parsed.meter_ms == 0 and not parsed.may_probe and parsed.plans[0].parallel == 0
+    assert parsed.meter_period_ms == 0 and not parsed.may_probe and parsed.plans[0].max_parallel == 0
     for path, name in (("me", "me"), ("guarantees", "guarantees")):
         raw = {key: value for key, value in SETTINGS.items() if key != path}
         with pytest.raises(SettingsError, match=name):
