--- a/basaltpoint/daemon/standalone.py
+++ b/basaltpoint/daemon/standalone.py
@@ -32,7 +32,7 @@
 from basaltpoint.handover.upgrade_state import HandoverError, Place, UpgradeState
 from basaltpoint.store.client import StoreError
 from basaltpoint.system.accepting import Acceptor
-from basaltpoint.system.listening import listener_when_free
+from basaltpoint.system.listening import open_listener_when_free
 
 log = logging.getLogger("basaltpoint")
 
@@ -89,7 +89,9 @@
         if left:
             # One that the older process did not know may have drawn all of its ceiling a moment ago.
             self.relay = Relay(self._own(self.setup), self._seed, 0.0, left.origin_s, left.started_ms)
-            for problem in upgrade_state.put(self.relay.gateway, left, self._names(), self.relay.now()):
+            for problem in upgrade_state.put(
+                self.relay.decision_module, left, self._names(), self.relay.now()
+            ):
                 log.warning("not taken over: %s", problem)
             log.info("took over from the older process")
         else:
@@ -97,7 +99,7 @@
         if self.keeper:
             self._kept.begin(self.keeper, recalls=left is None)
         try:
-            sock = held.pop(CLIENTS, None) or await listener_when_free(self.setup.listen, BACKLOG)
+            sock = held.pop(CLIENTS, None) or await open_listener_when_free(self.setup.listen, BACKLOG)
         except OSError as error:
             raise StartError(f"{self.setup.file.listen}: {error}") from None
         for passed in held.values():
@@ -183,9 +185,9 @@
         if member:
             listeners.append(FLEET)
         now = relay.now()
-        module = state.take(relay.gateway, now)
-        state.spend(relay.gateway, now, self.setup.file.clients.drain_s * 1000)
-        names["account"] = {n: i for n, i in names["account"].items() if i in relay.gateway.customers}
+        module = state.take(relay.decision_module, now)
+        state.spend(relay.decision_module, now, self.setup.file.clients.drain_s * 1000)
+        names["account"] = {n: i for n, i in names["account"].items() if i in relay.decision_module.customers}
         shared = self.keeper.pass_on() if self.keeper else None
         return UpgradeState(
             upgrade_state.VERSION,
@@ -273,7 +275,7 @@
                 await self.fleet.leave()
         self.relay.closing = send is None
         if self._acceptor:
-            self._acceptor.take_all()
+            self._acceptor.accept_all()
             self._acceptor.stop()
         end = asyncio.get_running_loop().time() + self.setup.file.clients.drain_s
         while (
--- a/basaltpoint/handover/upgrade_state.py
+++ b/basaltpoint/handover/upgrade_state.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from basaltpoint.handover import platform_state
-from basaltpoint.peers.messages import Row
-from basaltpoint.policy import Gateway
+from basaltpoint.peers.messages import MemberRecord
+from basaltpoint.policy import DecisionModule
 
 VERSION = 1  # another one is not read: what it says is not known
 KINDS = {"customers": ("ident", "account"), "servers": ("number", "server"), "pools": ("number", "pool")}
@@ -32,8 +32,8 @@
 class Place(msgspec.Struct, frozen=True):
     """A member's place among the others, as one process passes it to the next."""
 
-    row: Row  # its own
-    rows: tuple[Row, ...]  # of the others
+    row: MemberRecord  # its own
+    rows: tuple[MemberRecord, ...]  # of the others
     age_ms: float  # of the member, over all its processes
 
 
@@ -89,7 +89,7 @@
 
 
 def put(
-    gateway: Gateway, told: UpgradeState, numbers: Mapping[str, Mapping[str, int]], now: float
+    gateway: DecisionModule, told: UpgradeState, numbers: Mapping[str, Mapping[str, int]], now: float
 ) -> Iterator[str]:
     """Take the module's state over, by this process's numbers; yields what could not be."""
     module = dict(told.module)
--- a/basaltpoint/policy/pool.py
+++ b/basaltpoint/policy/pool.py
@@ -77,7 +77,9 @@
     def update_settings(self, settings: api.Settings) -> None:
         """Applies settings; measurements are retained."""
         self.settings = self.servers.settings = settings
-        classes = settings.pools.get(self.number, () if settings.pools else range(len(settings.classes)))
+        classes = settings.pool_classes.get(
+            self.number, () if settings.pool_classes else range(len(settings.classes))
+        )
         self.lanes = dict(zip(classes, split_lanes([settings.classes[n] for n in classes]), strict=True))
 
     def tick(self, now: float) -> list[api.Action]:
@@ -101,7 +103,9 @@
             # One request per server is no overload. The caps scale with the mean number outstanding, so caps
             # that fell below that would keep the mean, and thereby themselves, low for good.
             total = sum(self.caps[lane] for lane in set(self.lanes.values()))
-            factor = max(1.0, len(self.servers.ready) / max(1, self.settings.gateways) / max(total, 1e-9))
+            factor = max(
+                1.0, len(self.servers.ready) / max(1, self.settings.limiter_count) / max(total, 1e-9)
+            )
             self.caps = (self.caps[0] * factor, self.caps[1] * factor)
         return actions
 
--- a/basaltpoint/policy/quota.py
+++ b/basaltpoint/policy/quota.py
@@ -132,7 +132,7 @@
     ) -> None:
         self.plan = plan
         # Net loss per unit sent beyond the quota, as a fraction of its worth.
-        self.excess_cost = min(1.0, max(0.0, plan.over_cost - plan.over_worth))
+        self.excess_cost = min(1.0, max(0.0, plan.excess_cost - plan.excess_worth))
         self.limiter_count = max(1, limiter_count)
         self.quota_bucket = TokenBucket(plan.rate, plan.burst, plan.burst, now)
         self.seen = self.used = 0.0  # metered time in ms and units used in it, both with decay
@@ -318,7 +318,7 @@
 
     def refusal_reason(
         self, now: float, units: float, random_value: float, worth: float = 1.0, exact: bool = False
-    ) -> api.Why | None:
+    ) -> api.RefusalReason | None:
         """Returns why a request is refused, or None if it is admitted; counts it as requested units.
 
         A request is admitted with the probability of the admitted fraction (`random_value` lies in [0, 1)) if
@@ -330,12 +330,12 @@
         self.asked_at = now
         if (
             self.outstanding
-            and self.plan.parallel
-            and self.outstanding / self.local_share() >= self.plan.parallel
+            and self.plan.max_parallel
+            and self.outstanding / self.local_share() >= self.plan.max_parallel
         ):
-            return api.Why.PARALLEL
+            return api.RefusalReason.PARALLEL
         if self.plan.rate <= 0:
-            return None if random_value < admitted else api.Why.QUOTA
+            return None if random_value < admitted else api.RefusalReason.QUOTA
         reserved = self._reserved_units(1.0 if exact else admitted, worth)
         left = self.quota_bucket.refill(now) - units - reserved
         certain = (
@@ -345,4 +345,8 @@
         # Estimated draws of the other limiters may seem to use up the bucket; but the local shares of all
         # limiters add up to the quota.
         certain = certain or (not exact and self.local_bucket.refill(now) - units >= reserved)
-        return None if certain or (left >= 0.0 and (exact or random_value < admitted)) else api.Why.QUOTA
+        return (
+            None
+            if certain or (left >= 0.0 and (exact or random_value < admitted))
+            else api.RefusalReason.QUOTA
+        )
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -244,7 +244,7 @@
     """In the decision module's place: it does what the test says."""
 
     def __init__(self, rig: Rig, *events: type) -> None:
-        self.events, self.rest = events, rig.limiter.gateway
+        self.events, self.rest = events, rig.limiter.decision_module
         rig.limiter.table.module = self
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
@@ -546,7 +546,7 @@
                 rig.limiter.arm()
             client = await rig.connect()
             assert (await client.ask(message())).code == 200
-            await until(lambda: rig.limiter.table.next_ms is None)
+            await until(lambda: rig.limiter.table.next_tick_ms is None)
 
     run(test())
 
