--- a/basaltpoint/store/backup.py
+++ b/basaltpoint/store/backup.py
@@ -1,6 +1,6 @@
-"""Backups of a whole cluster: written from its state, made a new cluster of.
+"""Backups of a cluster's state, and their restoration as a new cluster.
 
-A file is a magic, u32 CRC-32 of what follows, and one MessagePack structure.
+A backup file consists of a magic, a u32 CRC-32 of the rest, and one MessagePack structure.
 """
 
 from __future__ import annotations
@@ -19,23 +19,24 @@
 
 MAGIC = b"BPbackup1\n"
 CHECKSUM = struct.Struct("<I")
-# Revisions go on from there: a client that saw later ones before the loss is told `compacted`, not nothing.
+# Added to the revision of a restored state. A client that saw later revisions than those in the backup then
+# gets `compacted` for its watch, instead of no events.
 RESTORED_REVISION_GAP = 1 << 32
 
 
 class Backup(msgspec.Struct, frozen=True):
-    """The state of a cluster, and whose it was."""
+    """The state of a cluster and the cluster's name."""
 
     cluster: str
     state: kv.State
 
 
 class BackupError(Exception):
-    """A file that can't be used; the text says why."""
+    """The backup can't be used; the text states the reason."""
 
 
 def write(path: Path, cluster: str, data: bytes) -> Backup:
-    """Write a state as `Client.dump` tells it; the file is there whole or not at all."""
+    """Writes the state that `Client.dump` returned; the file is replaced atomically."""
     backup = Backup(cluster, msgspec.msgpack.decode(data, type=kv.State))
     body = msgspec.msgpack.encode(backup)
     replace_file(path, MAGIC + CHECKSUM.pack(zlib.crc32(body)) + body)
@@ -43,28 +44,28 @@
 
 
 def read(path: Path) -> Backup:
-    """Read a backup; BackupError, OSError."""
+    """Reads a backup. BackupError if it is no valid backup, OSError."""
     raw = path.read_bytes()
     head = len(MAGIC) + CHECKSUM.size
     if not raw.startswith(MAGIC) or len(raw) < head:
-        raise BackupError(f"{path}: no backup of a store")
+        raise BackupError(f"{path}: not a backup of a store")
     if zlib.crc32(raw[head:]) != CHECKSUM.unpack_from(raw, len(MAGIC))[0]:
         raise BackupError(f"{path}: the backup is damaged; use another one")
     return msgspec.msgpack.decode(raw[head:], type=Backup)
 
 
 def restore(backup: Backup, folder: Path, cluster: str, name: str, members: Membership) -> None:
-    """Make the folder of one first replica of a new cluster; the same backup for each of them.
+    """Creates the folder of an initial replica of a new cluster; each of them is made of the same backup.
 
-    BackupError, FolderError where that can't be.
+    Raises BackupError or FolderError if this is not possible.
     """
     if cluster == backup.cluster:
         raise BackupError(
-            f"found cluster {cluster!r}, which the backup is of; allowed: another name, as replicas of the "
-            "old one may still run"
+            f"found cluster {cluster!r}, the one that was backed up; allowed: another name, as "
+            "replicas of the old cluster may still run"
         )
     if name not in members.names:
-        raise BackupError(f"found the replica {name!r}; allowed: one of the first members")
+        raise BackupError(f"found the replica {name!r}; allowed: one of the initial members")
     replica_folder = ReplicaFolder(folder, cluster, name)
     files = OsFiles(replica_folder.log)
     try:
@@ -74,7 +75,7 @@
         state = backup.state
         state.revision += RESTORED_REVISION_GAP
         state.applied_index = 1
-        state.sessions.clear()  # their clients are told, and look themselves what took effect
+        state.sessions.clear()  # their clients get the error `session` and check what took effect
         data = msgspec.msgpack.encode(state)
         for _ in disk.write_snapshot(Snapshot(1, 1, members, data), 0):
             pass
--- a/basaltpoint/store/disk.py
+++ b/basaltpoint/store/disk.py
@@ -1,16 +1,16 @@
-"""A replica's log and snapshots on the disk.
+"""A replica's log and snapshots on disk.
 
-A segment is a row of batches; a batch is written at once, and the next only after it was synced. So a batch
-that is not whole is a torn tail where nothing follows it, and damage where a whole one does. Layout, numbers
-little-endian:
+The log consists of segments, a segment of batches. A batch is written as a whole, and the next one only after
+it was synced. An incomplete batch is therefore a torn tail if nothing follows it, and corruption if a
+complete batch does. Layout, with little-endian numbers:
 
-    batch: magic, u64 number, u32 bytes that follow, u32 CRC-32 of number and these bytes
-    record in it: u32 bytes of data, u64 term, u64 index, u8 kind, data
+    batch: magic, u64 number, u32 length of the records, u32 CRC-32 of number and records
+    record: u32 length of the data, u64 term, u64 index, u8 kind, data
 
-Kinds are those of entries, and three of the disk's own: BASE begins a segment and tells the entry before it,
-RESET does so where a snapshot replaced all that was, HARD holds term and vote. An entry drops all from its
-index on that were written before it. A snapshot is a file of its own: magic, u64 length, u32 CRC-32,
-MessagePack.
+The kinds are those of log entries and three more: BASE_RECORD begins a segment and states index and term of
+the entry before it; RESET_RECORD does the same where a snapshot replaced all earlier entries;
+HARD_STATE_RECORD holds the hard state. An entry replaces all entries from its index on that were written
+before it. A snapshot is a separate file: magic, u64 length, u32 CRC-32, MessagePack.
 """
 
 from __future__ import annotations
@@ -36,29 +36,28 @@
 BASE_RECORD, RESET_RECORD, HARD_STATE_RECORD = 253, 254, 255
 SEGMENT_NAME = re.compile(r"log-(\d{20})\.seg")
 SNAPSHOT_NAME = re.compile(r"snap-(\d{20})\.snap")
-SNAPSHOT_SLICE_BYTES = (
-    2 << 20
-)  # bytes of a snapshot written and synced at once: the replica must go on meanwhile
+SNAPSHOT_SLICE_BYTES = 2 << 20  # written and synced at once; the replica handles messages between slices
 
 _hard_state_decoder = msgspec.msgpack.Decoder(HardState)
 _snapshot_decoder = msgspec.msgpack.Decoder(Snapshot)
 
 
 class CorruptionError(Exception):
-    """What is on the disk can't be trusted; the text says where, and how to go on."""
+    """The data on disk can't be trusted; the text states the place and how to rebuild the replica."""
 
 
 REBUILD_ADVICE = (
-    "this replica stops: it may have promised what it can't read any more. Remove its folder, take it out of "
-    "the cluster (`basaltpoint store remove`) and add it anew under another name; the others bring it up"
+    "this replica stops, as it may have acknowledged entries that it can't read any more. Remove its folder, "
+    "remove it from the cluster (`basaltpoint store remove`) and add it again under another name; the other "
+    "replicas send it their state"
 )
 
 
 @dataclass(slots=True)
 class _Segment:
     number: int
-    last_index: int = 0  # the highest index in it
-    size_bytes: int = 0  # bytes in it that are known to be sound
+    last_index: int = 0  # highest entry index in the segment
+    size_bytes: int = 0  # length of the part that is known to be valid
 
     @property
     def name(self) -> str:
@@ -70,25 +69,28 @@
 
 
 class Disk:
-    """What one replica has written; after an OSError it must be written anew before anything else."""
+    """The log, snapshots and hard state of one replica on disk.
+
+    After an OSError from a write, `rewrite` must succeed before any other write.
+    """
 
     def __init__(self, files: Files, crash_point: CrashPoint = no_crash_point) -> None:
         self._files, self._crash_point = files, crash_point
         self._segments: list[_Segment] = []
         self._last_batch = 0
-        self._snapshot_index = -1  # index of the latest snapshot that is on the disk with its name
-        self._last_entry = (0, 0)  # index and term of the last entry written
+        self._snapshot_index = -1  # index of the latest snapshot that is synced under its final name
+        self._last_entry = (0, 0)  # index, term
         self.hard_state = HardState()
         self.log = Log(Snapshot())
-        self.torn_tail_bytes = 0  # bytes of a torn tail that were dropped at the start
+        self.torn_tail_bytes = 0  # dropped at start
         self._load()
 
     # --- Reading ---------------------------------------------------------------------------------------
     def _load(self) -> None:
-        """DamageError where anything but the end of the last write is not whole."""
+        """Loads all files. CorruptionError if anything but the last write is incomplete."""
         names = self._files.list_names()
         for name in names:
-            if name.endswith(".tmp"):  # a snapshot that was not finished
+            if name.endswith(".tmp"):  # an unfinished snapshot
                 self._files.remove(name)
         snapshots = sorted(name for name in names if SNAPSHOT_NAME.fullmatch(name))
         snapshot = self._read_snapshot(snapshots[-1]) if snapshots else Snapshot()
@@ -107,7 +109,7 @@
             self.log = log
             if not self._segments:
                 self._roll_segment(BASE_RECORD)
-        else:  # ended between a leader's snapshot and the segment that says so
+        else:  # the process ended after installing a snapshot, before the segment that records it
             self.log = Log(snapshot)
             self._roll_segment(RESET_RECORD, snapshot.index, snapshot.term)
 
@@ -118,7 +120,7 @@
             body = memoryview(raw)[SNAPSHOT_HEADER.size :]
             if magic == SNAPSHOT_MAGIC and len(body) == length and zlib.crc32(body) == crc:
                 return _snapshot_decoder.decode(body)
-        raise CorruptionError(f"{name}: the snapshot is not whole; {REBUILD_ADVICE}")
+        raise CorruptionError(f"{name}: the snapshot is incomplete or corrupt; {REBUILD_ADVICE}")
 
     def _read_segment(self, segment: _Segment, contents: _SegmentContents, last: bool) -> None:
         raw, at = self._files.read(segment.name), 0
@@ -127,7 +129,7 @@
             if payload is None:
                 if not last or self._has_later_batch(raw, at + 1):
                     raise CorruptionError(
-                        f"{segment.name}: damage at byte {at}, with sound data behind it; {REBUILD_ADVICE}"
+                        f"{segment.name}: corruption at byte {at}, followed by valid data; {REBUILD_ADVICE}"
                     )
                 self.torn_tail_bytes = len(raw) - at
                 self._files.truncate(segment.name, at)
@@ -135,25 +137,25 @@
             for kind, term, index, data in _parse_records(payload):
                 if not contents.add_record(kind, term, index, data):
                     raise CorruptionError(
-                        f"{segment.name}: entry {index} does not follow what is before it; {REBUILD_ADVICE}"
+                        f"{segment.name}: entry {index} does not follow the preceding entry; {REBUILD_ADVICE}"
                     )
                 segment.last_index = max(segment.last_index, index)
             at += BATCH_HEADER.size + len(payload)
         segment.size_bytes = at
-        if at == 0:  # its first batch never came whole; the one before it still is the last
+        if at == 0:  # no complete batch: the preceding segment is still the last one
             self._files.remove(segment.name)
-            self._files.sync_directory()  # else it could be back behind what is written to the one before it
+            self._files.sync_directory()  # else it could reappear after new writes to the preceding segment
             self._segments.pop()
 
     def _next_batch(self, raw: bytes, at: int) -> memoryview | None:
-        """The batch that begins there, where it is whole and follows the one before it."""
+        """Returns the records of the batch at `at` if it is complete and next in number, else None."""
         if (found := _read_batch(raw, at)) is None or (self._last_batch and found[0] != self._last_batch + 1):
             return None
         self._last_batch, payload = found
         return payload
 
     def _has_later_batch(self, raw: bytes, at: int) -> bool:
-        """Whether any whole batch stands behind a broken one."""
+        """Whether a complete batch begins at `at` or later."""
         while (at := raw.find(BATCH_MAGIC, at)) >= 0:
             if _read_batch(raw, at):
                 return True
@@ -162,7 +164,7 @@
 
     # --- Writing ---------------------------------------------------------------------------------------
     def write(self, entries: tuple[Entry, ...], hard_state: HardState | None) -> None:
-        """Have entries and hard state on the disk; OSError where that can't be."""
+        """Writes and syncs entries and, unless None, the hard state. OSError if the disk fails."""
         records = [_record(entry.kind, entry.term, entry.index, entry.data) for entry in entries]
         if hard_state is not None:
             self.hard_state = hard_state
@@ -194,14 +196,14 @@
         self._crash_point(f"{operation}.synced")
 
     def _roll_segment(self, kind: int, index: int = 0, term: int = 0) -> None:
-        """Begin a segment: it says itself what it follows, and holds term and vote."""
+        """Begins a segment that states the entry before it and holds the hard state."""
         if kind == RESET_RECORD:
             self._last_entry = index, term
         index, term = self._last_entry
         self._begin_segment([_record(kind, term, index)], "roll")
 
     def _begin_segment(self, records: list[bytes], operation: str) -> None:
-        """Begin a segment with these records, and with term and vote; nothing of it counts before its end."""
+        """Begins a segment with these records and the hard state, all in one batch."""
         segment = _Segment(self._segments[-1].number + 1 if self._segments else 1)
         hard_record = _record(HARD_STATE_RECORD, self.hard_state.term, 0, encode(self.hard_state))
         self._write_batch(segment, [*records, hard_record], operation)
@@ -210,11 +212,12 @@
         self._segments.append(segment)
 
     def rewrite(self, log: Log, hard_state: HardState) -> None:
-        """After a failed write or sync: have all on the disk anew, in files that no failed call has touched.
+        """Writes log and hard state to new files after a failed write or sync.
 
-        What a failed fsync(2) left in the page cache may never reach the disk, and a later one may still
-        succeed. OSError where this fails, too; it may be tried again. At each point of it a start finds what
-        was promised: the old files without their unsound ends, or the new ones.
+        Data that a failed fsync(2) left in the page cache may never reach the disk although a later fsync
+        succeeds, so files touched by a failed call are not used again. A start after a crash at any point
+        finds everything that was acknowledged, either in the old files without their invalid ends or in the
+        new ones. OSError if this fails as well; it may be retried.
         """
         self._remove_unfinished()
         if self._segments:
@@ -231,20 +234,20 @@
         self._remove_obsolete(log.snapshot.index, log.last_index, all_but_last=True)
 
     def _remove_unfinished(self) -> None:
-        """Remove snapshots and segments that were being written when a call failed; that makes room, too."""
+        """Removes snapshots and segments that were unfinished when a call failed, which also frees space."""
         held = {segment.name for segment in self._segments}
         for name in self._files.list_names():
             if name.endswith(".tmp") or (SEGMENT_NAME.fullmatch(name) and name not in held):
                 self._files.remove(name)
 
     def write_snapshot(self, snapshot: Snapshot, base_index: int) -> Iterator[None]:
-        """Write a snapshot of what was applied, a slice a step; entries up to `base` are needed no more."""
+        """Writes a snapshot, one slice per step of the iterator; then drops entries up to `base_index`."""
         yield from self._write_snapshot(snapshot, "snapshot")
         self._roll_segment(BASE_RECORD)
         self._remove_obsolete(snapshot.index, base_index)
 
     def install_snapshot(self, snapshot: Snapshot) -> None:
-        """Write a leader's snapshot in the place of all that is held."""
+        """Writes a snapshot from the leader, which replaces all entries."""
         for _ in self._write_snapshot(snapshot, "install"):
             pass
         self._roll_segment(RESET_RECORD, snapshot.index, snapshot.term)
@@ -256,7 +259,7 @@
         name = f"snap-{snapshot.index:020}.snap"
         temporary = name + ".tmp"
         self._crash_point(f"{operation}.begin")
-        if temporary in self._files.list_names():  # of one that was given up
+        if temporary in self._files.list_names():  # left by an abandoned snapshot
             self._files.remove(temporary)
         self._files.append(temporary, SNAPSHOT_HEADER.pack(SNAPSHOT_MAGIC, len(body), zlib.crc32(body)))
         for at in range(0, len(body), SNAPSHOT_SLICE_BYTES):
@@ -272,20 +275,20 @@
         self._crash_point(f"{operation}.named")
 
     def _remove_obsolete(self, index: int, base_index: int, all_but_last: bool = False) -> None:
-        """Remove what a durable snapshot made superfluous, the oldest first."""
+        """Removes snapshots and segments that a durable snapshot made obsolete, the oldest first."""
         for name in self._files.list_names():
             if (match := SNAPSHOT_NAME.fullmatch(name)) and int(match[1]) < index:
                 self._files.remove(name)
         while len(self._segments) > 1 and (all_but_last or self._segments[0].last_index <= base_index):
             self._files.remove(self._segments[0].name)
             del self._segments[0]
-            # Else a later one could be gone after a power failure, and an earlier one be there.
+            # Otherwise, after a power failure, a later segment could be missing while an earlier one remains.
             self._files.sync_directory()
             self._crash_point("forget.removed")
 
 
 class _SegmentContents:
-    """What the segments say, in their order."""
+    """The records of all segments, read in order."""
 
     def __init__(self) -> None:
         self.hard_state = HardState()
@@ -299,7 +302,7 @@
         return self._base or (0, 0)
 
     def add_record(self, kind: int, term: int, index: int, data: bytes) -> bool:
-        """Take a record in; False where it does not fit."""
+        """Adds a record; returns False if it does not follow the records before it."""
         if kind == HARD_STATE_RECORD:
             self.hard_state = _hard_state_decoder.decode(data)
         elif kind == RESET_RECORD or (kind == BASE_RECORD and self._base is None):
@@ -315,7 +318,7 @@
         return True
 
     def build_log(self, snapshot: Snapshot) -> Log | None:
-        """The log on this snapshot; None where entries don't agree with it: they were on their way out."""
+        """Returns the log that starts with a snapshot; None if the entries are superseded by the snapshot."""
         base = self._base or (0, 0)
         at = snapshot.index - base[0]
         term = base[1] if at == 0 else self._entries[at - 1].term if 0 < at <= len(self._entries) else None
@@ -325,7 +328,7 @@
 
 
 def _read_batch(raw: bytes, at: int) -> tuple[int, memoryview] | None:
-    """Number and records of the batch that begins there; None where it is not whole."""
+    """Returns number and records of the batch at `at`; None if it is incomplete or corrupt."""
     if len(raw) - at < BATCH_HEADER.size:
         return None
     magic, number, length, crc = BATCH_HEADER.unpack_from(raw, at)
--- a/basaltpoint/store/files.py
+++ b/basaltpoint/store/files.py
@@ -1,4 +1,4 @@
-"""The few operations on files that the disk needs; tests put another in their place that loses things."""
+"""The file operations that `Disk` needs; tests substitute an implementation that simulates data loss."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 
 
 class Files(Protocol):
-    """One folder. OSError where the system can't."""
+    """The files of one folder. All methods raise OSError if the operating system reports a failure."""
 
     def list_names(self) -> list[str]: ...
 
     def read(self, name: str) -> bytes: ...
 
     def append(self, name: str, data: bytes) -> None:
-        """Write behind what a file holds; it comes to be with the first byte."""
+        """Appends to a file and creates it if it does not exist."""
 
     def truncate(self, name: str, size: int) -> None:
-        """Shorten a file, on the disk as well."""
+        """Truncates a file to `size` bytes and syncs it."""
 
     def sync(self, name: str) -> None:
-        """Have all of a file's bytes on the disk."""
+        """Syncs a file's data to disk."""
 
     def rename(self, old: str, new: str) -> None: ...
 
     def remove(self, name: str) -> None: ...
 
     def sync_directory(self) -> None:
-        """Have the folder itself on the disk: without it, a new file may be gone after a power failure."""
+        """Syncs the folder itself; otherwise a new file may be missing after a power failure."""
 
 
 class OsFiles:
-    """The system's files."""
+    """Files of the operating system."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -63,7 +63,7 @@
         os.fsync(handle)
 
     def sync(self, name: str) -> None:
-        # The size is data that must be found again, and fdatasync writes it, too.
+        # fdatasync(2) also writes the file size, which is needed to read the data back.
         os.fdatasync(self._descriptor(name))
 
     def rename(self, old: str, new: str) -> None:
@@ -87,7 +87,7 @@
 
 
 def sync_directory(path: Path) -> None:
-    """Have a folder's names on the disk."""
+    """Syncs a folder's entries to disk."""
     descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
@@ -96,7 +96,7 @@
 
 
 def replace_file(path: Path, data: bytes) -> None:
-    """Have a file hold these bytes, on the disk: whole, or as it was. Its owner alone may read it."""
+    """Replaces a file's content atomically and durably. Only its owner may read it."""
     temporary = path.with_name(path.name + ".tmp")
     with open(temporary, "wb") as file:
         os.fchmod(file.fileno(), 0o600)
--- a/basaltpoint/store/folder.py
+++ b/basaltpoint/store/folder.py
@@ -1,4 +1,4 @@
-"""A replica's folder: whose it is, that one process uses it, and whether it is an older copy of itself."""
+"""A replica's folder: its identity, its lock, and the detection of copies that were put back."""
 
 from __future__ import annotations
 
@@ -17,20 +17,23 @@
 
 
 class FolderError(Exception):
-    """The folder can't be used; the text says why and what to do."""
+    """The folder can't be used; the text states the reason and the remedy."""
 
 
 class Identity(msgspec.Struct, kw_only=True):
-    """What stands in the folder."""
+    """Content of the identity file."""
 
     cluster: str
     name: str
-    # Device, inode and time of change of the stamp: a copy can't have the same time, as none can set it.
+    # Device, inode and ctime (ns) of the stamp file. No program can set a ctime, so a copy has another one.
     stamp: tuple[int, int, int]
 
 
 class ReplicaFolder:
-    """Opened and locked; FolderError where it is another's."""
+    """An open and locked folder.
+
+    FolderError if it belongs to another replica or cluster, or another process uses it.
+    """
 
     def __init__(self, path: Path, cluster: str, name: str) -> None:
         self.path = path
@@ -81,7 +84,7 @@
         return found.st_dev, found.st_ino, found.st_ctime_ns
 
     def write_stamp(self) -> None:
-        """This copy is the replica from now on: to be called when its doubt is on the disk."""
+        """Makes this copy the replica's folder. To be called once the recovery state is on disk."""
         with open(self.path / STAMP_FILE, "w") as stamp:
             os.fsync(stamp.fileno())
         self._identity.stamp = self._read_stamp()
--- a/basaltpoint/store/log.py
+++ b/basaltpoint/store/log.py
@@ -1,4 +1,4 @@
-"""The log in memory: a snapshot, and entries from some way before it to the last."""
+"""The log in memory: the latest snapshot, and the entries from the preceding snapshot on."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class Log:
-    """Entries after `base`; indexes count from 1, and 0 stands before all.
+    """The entries after `base_index`; indexes start at 1, and 0 is the position before the first entry.
 
-    Entries before the snapshot are kept from the last one on: a follower that took that one in still finds
-    what follows it, and need not begin with the next.
+    Entries between the preceding and the latest snapshot are kept, so that a follower that has just installed
+    the preceding one can continue with entries and does not need the latest snapshot.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         return self.entries[-1].term if self.entries else self.base_term
 
     def term_at(self, index: int) -> int | None:
-        """The term of an entry; None where it is not held any more or not yet."""
+        """Returns the term of an entry; None if the log does not hold it."""
         at = index - self.base_index
         if at == 0:
             return self.base_term
@@ -42,30 +42,30 @@
     def entries_after(
         self, index: int, max_bytes: int | None = None, last: int | None = None
     ) -> tuple[Entry, ...]:
-        """Entries after an index: all up to another, or as many as `size` bytes hold but one at least."""
+        """Returns the entries after `index`, up to `last` and within `max_bytes` but at least one."""
         at = index - self.base_index
-        assert at >= 0, "entries that a snapshot replaced were asked for"
+        assert at >= 0, "the requested entries were replaced by a snapshot"
         end = len(self.entries) if last is None else last - self.base_index
         if max_bytes is None:
             return tuple(self.entries[at:end])
-        found: list[Entry] = []
-        while at < end and (not found or max_bytes >= len(self.entries[at].data)):
-            found.append(self.entries[at])
+        entries: list[Entry] = []
+        while at < end and (not entries or max_bytes >= len(self.entries[at].data)):
+            entries.append(self.entries[at])
             max_bytes -= len(self.entries[at].data) + 32
             at += 1
-        return tuple(found)
+        return tuple(entries)
 
     def append(self, entry: Entry) -> None:
         assert entry.index == self.last_index + 1
         self.entries.append(entry)
 
     def truncate(self, index: int) -> None:
-        """Drop the entries from an index on."""
-        assert index > self.snapshot.index, "entries in a snapshot are committed and can't be dropped"
+        """Drops the entries from an index on."""
+        assert index > self.snapshot.index, "entries covered by a snapshot are committed and can't be dropped"
         del self.entries[index - self.base_index - 1 :]
 
     def membership(self, last: int | None = None) -> tuple[Membership, int]:
-        """Who belongs to the cluster by the latest entry that says so, and that entry's index."""
+        """Returns the latest membership up to entry `last`, if given, and the index of its entry."""
         for entry in reversed(self.entries):
             if entry.index <= self.snapshot.index:
                 break
@@ -74,13 +74,13 @@
         return self.snapshot.membership, self.snapshot.index
 
     def compact(self, snapshot: Snapshot) -> None:
-        """A newer snapshot of what is held; entries up to the one before it go."""
+        """Adopts a newer snapshot of this log and drops the entries up to the preceding snapshot."""
         old, self.snapshot = self.snapshot, snapshot
         assert old.index <= snapshot.index <= self.last_index
         del self.entries[: old.index - self.base_index]
         self.base_index, self.base_term = old.index, old.term
 
     def restore(self, snapshot: Snapshot) -> None:
-        """A leader's snapshot in the place of all that is held."""
+        """Replaces the whole log by a snapshot from the leader."""
         self.snapshot, self.entries = snapshot, []
         self.base_index, self.base_term = snapshot.index, snapshot.term
--- a/basaltpoint/store/messages.py
+++ b/basaltpoint/store/messages.py
@@ -1,7 +1,7 @@
-"""What the consensus core speaks of: entries, members, what must be kept on disk, and messages.
+"""Structures of the consensus layer: log entries, membership, persistent state and messages between replicas.
 
-All are msgspec structures: on disk and on the wire they are MessagePack. New fields come last, with a
-default, so that replicas of two versions understand each other while one after the other is replaced.
+All are msgspec structures, written to disk and to the wire as MessagePack arrays. New fields are appended
+with a default, so that replicas of two versions understand each other during a rolling upgrade.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 
 class EntryKind(IntEnum):
-    """What an entry of the log holds."""
+    """The content of a log entry."""
 
-    COMMAND = 0  # for the state machine
-    MEMBERSHIP = 1  # who belongs to the cluster from here on
-    NO_OP = 2  # a new leader's first: with it, entries of earlier terms are committed
+    COMMAND = 0  # a command for the state machine
+    MEMBERSHIP = 1  # the cluster's membership from this entry on
+    NO_OP = 2  # the first entry of a new leader; committing it commits entries of earlier terms
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
@@ -29,15 +29,19 @@
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """A replica: its name never comes again, else a new disk could vote for what an old one promised."""
+    """A replica of the cluster.
+
+    A name is never used again after a removal: otherwise a replica with a new disk could vote against
+    promises that the former replica made under the same name.
+    """
 
     name: str
     address: str = ""  # HOST:PORT for its peers
-    voter: bool = True
+    voter: bool = True  # False: a learner
 
 
 class Membership(msgspec.Struct, frozen=True, array_like=True):
-    """Who belongs to the cluster."""
+    """The voters and learners of the cluster."""
 
     members: tuple[Member, ...] = ()
 
@@ -58,17 +62,17 @@
 
 
 class HardState(msgspec.Struct, frozen=True, array_like=True):
-    """What a replica must never forget."""
+    """State that must be on disk before a replica responds to a message."""
 
     term: int = 0
-    voted_for: str = ""  # whom it voted for in the term
-    # While it is not sure to hold all that it acknowledged, it gives no vote (see Raft.recovering).
+    voted_for: str = ""  # the candidate that received the vote in this term; empty: none
+    # While the replica may lack entries that it acknowledged, it grants no vote (see `Raft._enter_recovery`).
     recovering: bool = False
-    recovery_goal: tuple[int, int] = (0, 0)  # term and index of the last entry it must hold again
+    recovery_goal: tuple[int, int] = (0, 0)  # term and index of the last entry needed to end the recovery
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The state up to an entry, in that entry's place."""
+    """The state of the state machine that replaces all entries up to `index`."""
 
     index: int = 0
     term: int = 0
@@ -77,45 +81,47 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Any message between replicas; `term` is the sender's."""
+    """Base of all messages between replicas; `term` is the sender's current term."""
 
     term: int
 
 
 class RequestVote(Message, frozen=True, tag="v"):
-    """Asks for a vote; `pre`: only whether it would be given (Ongaro 9.6)."""
+    """Requests a vote; with `pre_vote`, asks only whether the vote would be granted (Ongaro 9.6)."""
 
     last_index: int
     last_term: int
     pre_vote: bool = False
-    is_transfer: bool = False  # the leader itself hands over, so that a living leader is no reason to refuse
-    acknowledged_index: int = 0  # index up to which the receiver is known to have acknowledged
+    is_transfer: bool = False  # part of a leadership transfer: an active leader is no reason to reject it
+    acknowledged_index: int = 0  # index up to which the receiver is known to have acknowledged entries
 
 
 class RequestVoteResponse(Message, frozen=True, tag="V"):
-    """The answer to it."""
+    """Response to `RequestVote`."""
 
     granted: bool
     pre_vote: bool = False
-    acknowledged_index: int = 0  # index up to which the asker is known to have acknowledged
+    acknowledged_index: int = 0  # index up to which the candidate is known to have acknowledged entries
 
 
 class AppendEntries(Message, frozen=True, tag="a"):
-    """Entries after `prev_index`; with none it is a heartbeat."""
+    """Entries after `prev_index`; without entries, a heartbeat."""
 
     prev_index: int
     prev_term: int
     entries: tuple[Entry, ...]
     commit_index: int
-    heartbeat_round: int  # of heartbeats: its echo proves that the sender still led when it was sent
-    acknowledged_index: int = 0  # index that the receiver has acknowledged to this leader
-    acknowledged_indexes: tuple[
-        tuple[str, int], ...
-    ] = ()  # what others have, for the time when this leader is gone
+    heartbeat_round: int  # echoed in the response: proves that the sender still led when it sent this message
+    acknowledged_index: int = 0  # index up to which the receiver has acknowledged entries to this leader
+    # Acknowledged index of every member. It lets a later leader or voter detect a replica that lost entries.
+    acknowledged_indexes: tuple[tuple[str, int], ...] = ()
 
 
 class AppendEntriesResponse(Message, frozen=True, tag="A"):
-    """The answer to it: `index` is the last that agrees, or with `good` false the last that may."""
+    """Response to `AppendEntries`, and to the last part of `InstallSnapshot`.
+
+    `index` is the last index that matches the leader's log or, without `success`, the last that may match.
+    """
 
     success: bool
     index: int
@@ -123,19 +129,19 @@
 
 
 class InstallSnapshot(Message, frozen=True, tag="c"):
-    """A part of a snapshot for one who lacks entries that the log no longer holds."""
+    """A part of a snapshot, for a follower that needs entries that the leader's log no longer holds."""
 
     last_included_index: int
     last_included_term: int
     membership: Membership
-    offset: int
+    offset: int  # bytes
     total_bytes: int
     data: bytes
     heartbeat_round: int
 
 
 class InstallSnapshotResponse(Message, frozen=True, tag="C"):
-    """The answer to it: the offset wanted next."""
+    """Response to a part of a snapshot that is not the last: the offset in bytes that is needed next."""
 
     last_included_index: int
     next_offset: int
@@ -143,28 +149,28 @@
 
 
 class TimeoutNow(Message, frozen=True, tag="t"):
-    """Stand for election now: the leader hands over (Ongaro 3.10)."""
+    """Tells the target of a leadership transfer to start an election at once (Ongaro 3.10)."""
 
 
 class ReadIndex(Message, frozen=True, tag="r"):
-    """A follower asks the leader up to which index it must have applied for a current read."""
+    """A follower requests the read index: the index that it must have applied for a linearizable read."""
 
     token: int
 
 
 class ReadIndexResponse(Message, frozen=True, tag="R"):
-    """The answer to it; -1 where the asked one does not lead."""
+    """Response to `ReadIndex`; `index` is -1 where the receiver is not the leader."""
 
     token: int
     index: int
 
 
 class RecoveryRequest(Message, frozen=True, tag="h"):
-    """One who may have lost what it acknowledged asks what the others hold."""
+    """A replica that may have lost acknowledged entries asks the others for the end of their logs."""
 
 
 class RecoveryResponse(Message, frozen=True, tag="H"):
-    """The answer to it."""
+    """Response to `RecoveryRequest`."""
 
     last_index: int
     last_term: int
--- a/basaltpoint/store/node.py
+++ b/basaltpoint/store/node.py
@@ -1,6 +1,6 @@
-"""One replica without its sockets: core, state machine and disk, in the order that safety asks for.
+"""One replica without its sockets: Raft, state machine and disk, driven in the order that safety requires.
 
-It is synchronous and knows no clock; the simulator of the tests drives the same code as the shell does.
+The code is synchronous and reads no clock; the simulator of the tests drives it as the replica process does.
 """
 
 from __future__ import annotations
@@ -20,23 +20,26 @@
 log = logging.getLogger(__name__)
 
 SendMessage = Callable[[str, Message], None]
-CommandCallback = Callable[[kv.Result | None], None]  # None: whether it took effect is not known
+CommandCallback = Callable[[kv.Result | None], None]  # None: the outcome is unknown
 ReadCallback = Callable[[bool], None]
-DISK_RETRY_MS = (200.0, 2000.0)  # until a disk that failed is tried again: first, and at most
-LEASE_CHECK_INTERVAL_MS = 100.0  # between two looks for leases that ran out; by so much one may live longer
+DISK_RETRY_MS = (200.0, 2000.0)  # first and longest delay before a failed disk is written again
+LEASE_CHECK_INTERVAL_MS = 100.0  # a lease may outlive its end by this time
 
 
 @dataclass(frozen=True, slots=True)
 class StorageLimits:
-    """When the log is compacted, and what the state may hold."""
+    """Sizes that trigger a snapshot, and the maximum size of the state."""
 
-    snapshot_entries: int = 20_000  # entries since the last snapshot
-    snapshot_bytes: int = 32 << 20  # of these; both lie in memory twice at most
+    snapshot_entries: int = 20_000  # since the last snapshot
+    snapshot_bytes: int = 32 << 20  # bytes of entries; in memory at most twice
     max_state_bytes: int = kv.MAX_STATE_BYTES
 
 
 class Node:
-    """One replica; `broken` tells why it takes no part for now: its disk failed, and is tried again."""
+    """One replica.
+
+    `failure` is empty, or states why the replica takes no part at present: its disk failed and is retried.
+    """
 
     def __init__(
         self,
@@ -46,13 +49,16 @@
         now: float,
         send: SendMessage,
         *,
-        options: RaftOptions = RaftOptions(),  # noqa: B008 - it can't be changed
+        options: RaftOptions = RaftOptions(),  # noqa: B008 - immutable
         limits: StorageLimits = StorageLimits(),
         initial: Membership | None = None,
         may_be_stale: bool = False,
         crash_point: CrashPoint = no_crash_point,
     ) -> None:
-        """`initial`: the members of a new cluster, on an empty disk. DamageError, OSError from the disk."""
+        """`initial`: the membership of a new cluster, used on an empty disk; `now` is in ms.
+
+        Raises CorruptionError or OSError from the disk.
+        """
         self.name, self._send, self._limits = name, send, limits
         self.disk = Disk(files, crash_point)
         if initial and not self.disk.log.last_index and not self.disk.log.snapshot.membership.members:
@@ -61,21 +67,19 @@
         self.state_machine.restore(self.disk.log.snapshot.data)
         self.raft = Raft(name, options, rng, now, self.disk.hard_state, self.disk.log, may_be_stale)
         self.failure = ""
-        self._disk_retry_at_ms = self._disk_retry_delay_ms = (
-            0.0  # when the disk is tried again, and the wait after that
-        )
+        self._disk_retry_at_ms = self._disk_retry_delay_ms = 0.0
         self._now_ms = now
-        self._pending_commands: dict[int, tuple[int, CommandCallback]] = {}  # by index: term
-        self._pending_reads: dict[int, ReadCallback] = {}  # by token
-        self._confirmed_reads: list[tuple[int, int]] = []  # index, token: to be answered when it is applied
+        self._pending_commands: dict[int, tuple[int, CommandCallback]] = {}  # index -> term, callback
+        self._pending_reads: dict[int, ReadCallback] = {}  # token -> callback
+        self._confirmed_reads: list[tuple[int, int]] = []  # read index, token
         self._last_read_token = 0
         self._snapshot_writer: Iterator[None] | None = None
         self._snapshot = Snapshot()
-        self._bytes_since_snapshot = 0  # bytes of entries since the last snapshot
+        self._bytes_since_snapshot = 0  # bytes of entries
         self._lease_timers = kv.LeaseTimers()
         self._next_lease_check_ms = now
         self._was_leader = False
-        self.on_state_changed: Callable[[], None] = lambda: None  # called after the state has changed
+        self.on_state_changed: Callable[[], None] = lambda: None  # called after a change of the state
 
     def _write_initial_snapshot(self, initial: Membership) -> None:
         first = Snapshot(0, 0, initial)
@@ -83,15 +87,22 @@
             pass
         self.disk.log.snapshot = first
 
-    # --- What is asked of it -----------------------------------------------------------------------
+    # --- Requests ----------------------------------------------------------------------------------
     def propose(self, now: float, command: kv.Command, done: CommandCallback) -> None:
-        """Have a command applied; RefusedError where this replica does not lead."""
+        """Proposes a command; `done` receives its result.
+
+        RefusedError where this replica is not the leader.
+        """
         self._now_ms = now
         index = self.raft.propose(now, kv.encode_command(command))
         self._pending_commands[index] = self.raft.hard_state.term, done
 
     def read(self, now: float, done: ReadCallback) -> int:
-        """Wait until the state here is as new as all acknowledged by now; RefusedError with no leader."""
+        """Starts a linearizable read and returns its token.
+
+        `done` is called with True once the local state includes everything acknowledged before the call, with
+        False if that can't be determined. RefusedError where no leader is known.
+        """
         self._now_ms = now
         self._last_read_token += 1
         self.raft.request_read(now, self._last_read_token)
@@ -99,12 +110,12 @@
         return self._last_read_token
 
     def cancel_read(self, token: int) -> None:
-        """Nobody waits for a read any more."""
+        """Forgets a read that nobody waits for."""
         self._pending_reads.pop(token, None)
         self.raft.cancel_read(token)
 
     def change_membership(self, now: float, membership: Membership, done: CommandCallback) -> None:
-        """Change the membership; RefusedError says why not."""
+        """Proposes a membership change; RefusedError states the obstacle."""
         self._now_ms = now
         index = self.raft.change_membership(now, membership)
         self._pending_commands[index] = self.raft.hard_state.term, done
@@ -123,7 +134,7 @@
         if self.is_leader and now >= self._next_lease_check_ms:
             self._next_lease_check_ms = now + LEASE_CHECK_INTERVAL_MS
             for expire in self._lease_timers.expired(now, self.state_machine.state.leases):
-                with suppress(RefusedError):  # while it hands over; the next leader counts anew
+                with suppress(RefusedError):  # a leadership transfer; the next leader starts its own timers
                     self.propose(now, kv.Command(expire), lambda result: None)
 
     @property
@@ -132,7 +143,7 @@
 
     @property
     def next_tick_ms(self) -> float:
-        """When `tick` is due."""
+        """Time in ms at which `tick` is due."""
         if self.failure:
             return self._disk_retry_at_ms
         due = self.raft.next_tick_ms
@@ -140,14 +151,14 @@
 
     @property
     def is_writing_snapshot(self) -> bool:
-        """Whether a snapshot is being written: `pump` goes on with it."""
+        """Whether a snapshot is being written; each `process_output` writes the next slice."""
         return self._snapshot_writer is not None
 
-    # --- Carrying it out -----------------------------------------------------------------------------
+    # --- Processing ----------------------------------------------------------------------------------
     def process_output(self) -> None:
-        """Do all that is due: send, write, apply, answer. To be called after each of the above."""
-        while not self.failure and (out := self.raft.take_output()):
-            self._process(out)
+        """Sends, writes, applies and completes all that is due. To be called after each method above."""
+        while not self.failure and (output := self.raft.take_output()):
+            self._process(output)
         if self._was_leader != self.is_leader:
             self._was_leader = self.is_leader
             self._lease_timers.reset()
@@ -156,32 +167,32 @@
         if not self.failure:
             self._continue_snapshot()
 
-    def _process(self, out: Output) -> None:
-        for to, message in out.early_messages:
-            self._send(to, message)
+    def _process(self, output: Output) -> None:
+        for receiver, message in output.early_messages:
+            self._send(receiver, message)
         try:
-            if out.install_snapshot is not None:
+            if output.install_snapshot is not None:
                 self._snapshot_writer = None
-                self.disk.install_snapshot(out.install_snapshot)
-            if out.entries or out.hard_state is not None:
-                self.disk.write(out.entries, out.hard_state)
+                self.disk.install_snapshot(output.install_snapshot)
+            if output.entries or output.hard_state is not None:
+                self.disk.write(output.entries, output.hard_state)
         except OSError as error:
             self._handle_disk_failure(error)
             return
         self.raft.mark_synced(self._now_ms, self.raft.log.last_index)
-        for to, message in out.messages:
-            self._send(to, message)
-        if out.restore_snapshot is not None:
-            self.state_machine.restore(out.restore_snapshot.data)
+        for receiver, message in output.messages:
+            self._send(receiver, message)
+        if output.restore_snapshot is not None:
+            self.state_machine.restore(output.restore_snapshot.data)
             self._bytes_since_snapshot = 0
-        for entry in out.committed_entries:
+        for entry in output.committed_entries:
             self._apply(entry)
-        self._confirmed_reads += [(index, token) for token, index in out.confirmed_reads]
-        for token in out.failed_reads:
+        self._confirmed_reads += [(index, token) for token, index in output.confirmed_reads]
+        for token in output.failed_reads:
             if done := self._pending_reads.pop(token, None):
                 done(False)
         self._complete_reads()
-        if out.restore_snapshot is not None or out.committed_entries:
+        if output.restore_snapshot is not None or output.committed_entries:
             self.on_state_changed()
 
     def _apply(self, entry: Entry) -> None:
@@ -206,12 +217,12 @@
         self._confirmed_reads = waiting
 
     def _handle_disk_failure(self, error: OSError) -> None:
-        """Nothing more is promised until all that was is on the disk anew."""
+        """Stops voting and acknowledging until log and hard state are written to the disk again."""
         self.failure = f"the disk failed: {error}"
         self._disk_retry_delay_ms = DISK_RETRY_MS[0]
         self._disk_retry_at_ms = self._now_ms + self._disk_retry_delay_ms
         self._snapshot_writer = None
-        log.error("store: %s; this replica votes and acknowledges nothing until it can write", self.failure)
+        log.error("store: %s; this replica neither votes nor acknowledges until it can write", self.failure)
         self.raft.mark_disk_failed()
         self._abandon_commands()
         reads, self._pending_reads, self._confirmed_reads = self._pending_reads, {}, []
@@ -219,7 +230,7 @@
             read(False)
 
     def _retry_disk(self) -> None:
-        """Write all anew, and take part again; where that fails it is tried again later."""
+        """Writes log and hard state to the disk again and resumes; retries later if that fails."""
         try:
             self.disk.rewrite(self.raft.log, self.raft.hard_state)
         except OSError:
@@ -227,12 +238,12 @@
             self._disk_retry_at_ms = self._now_ms + self._disk_retry_delay_ms
             return
         self.failure = ""
-        log.warning("store: the disk takes writes again; this replica takes part again")
+        log.warning("store: the disk accepts writes again; this replica takes part again")
         self.raft.mark_disk_recovered(self._now_ms)
         self._apply_missed_entries()
 
     def _apply_missed_entries(self) -> None:
-        """Apply what was committed when the disk failed, and was dropped with the rest of that turn."""
+        """Applies committed entries from the output that the disk failure left unprocessed."""
         log = self.raft.log
         if self.state_machine.state.applied_index < log.snapshot.index:
             self.state_machine.restore(log.snapshot.data)
@@ -244,7 +255,7 @@
         self.on_state_changed()
 
     def _abandon_commands(self) -> None:
-        """Whether what is under way takes effect, this replica can't tell any more."""
+        """Reports an unknown outcome for all pending commands."""
         pending, self._pending_commands = self._pending_commands, {}
         for _, done in pending.values():
             done(None)
@@ -253,9 +264,9 @@
     def _continue_snapshot(self) -> None:
         snapshot_index = self.raft.log.snapshot.index
         if self._snapshot_writer is None:
-            many = self.raft.applied_index - snapshot_index >= self._limits.snapshot_entries
+            many_entries = self.raft.applied_index - snapshot_index >= self._limits.snapshot_entries
             if (
-                many or self._bytes_since_snapshot >= self._limits.snapshot_bytes
+                many_entries or self._bytes_since_snapshot >= self._limits.snapshot_bytes
             ) and self.raft.applied_index > snapshot_index:
                 self.start_snapshot()
             return
@@ -268,7 +279,10 @@
             self._handle_disk_failure(error)
 
     def start_snapshot(self) -> None:
-        """Begin to write the present state; entries before the snapshot ahead of it go with its end."""
+        """Starts to write a snapshot of the current state.
+
+        Once it is written, entries before the preceding snapshot are dropped.
+        """
         core = self.raft
         index = core.applied_index
         term = core.log.term_at(index)
--- a/basaltpoint/store/protocol.py
+++ b/basaltpoint/store/protocol.py
@@ -1,4 +1,4 @@
-"""What goes over the store's connections after the greeting: requests, answers, messages of replicas."""
+"""Frames on the store's connections after the greeting: requests, responses and messages between replicas."""
 
 from __future__ import annotations
 
@@ -8,27 +8,29 @@
 from basaltpoint.store import messages
 from basaltpoint.store import state_machine as kv
 
-MAX_COMMAND_BYTES = (
-    4 << 20
-)  # bytes of the longest command: with its head it fits into a frame between replicas
-PAGE_BYTES = 1 << 20  # bytes of keys and values in one answer
+MAX_COMMAND_BYTES = 4 << 20  # a command of this size and its header fit into one frame between replicas
+PAGE_BYTES = 1 << 20  # keys and values in one response; a page ends once it reaches this size
 
 
 class ReplicaMessage(Frame, frozen=True, tag="m"):
-    """A message of the core."""
+    """A Raft message from one replica to another."""
 
     message: messages.AnyMessage
 
 
 class ExecuteCommand(Frame, frozen=True, tag="do"):
-    """Apply a command."""
+    """Applies a command of the state machine."""
 
     ident: int
     command: kv.Command
 
 
 class Get(Frame, frozen=True, tag="get"):
-    """What stands under all keys with a prefix, after a key; `local` asks for no proof that it is current."""
+    """Reads the values of all keys with a prefix that sort after `after`.
+
+    `exact` reads the key `prefix` alone. `local` reads the replica's state as it is, without a linearizable
+    read.
+    """
 
     ident: int
     prefix: str
@@ -38,7 +40,7 @@
 
 
 class Watch(Frame, frozen=True, tag="watch"):
-    """Tell all changes from a revision on."""
+    """Subscribes to all changes of keys with a prefix from a revision on."""
 
     ident: int
     prefix: str
@@ -46,19 +48,19 @@
 
 
 class CancelWatch(Frame, frozen=True, tag="unwatch"):
-    """End a watch."""
+    """Ends a watch."""
 
     ident: int
 
 
 class GetStatus(Frame, frozen=True, tag="status"):
-    """Tell how it stands."""
+    """Requests the replica's status."""
 
     ident: int
 
 
 class ChangeMembership(Frame, frozen=True, tag="change"):
-    """Change the membership: what is one of add, promote, remove."""
+    """Changes the membership; `action` is one of add, promote, remove."""
 
     ident: int
     action: str
@@ -67,27 +69,27 @@
 
 
 class TransferLeadership(Frame, frozen=True, tag="transfer"):
-    """Hand the leadership to a member."""
+    """Transfers the leadership to a member."""
 
     ident: int
     name: str
 
 
 class TakeSnapshot(Frame, frozen=True, tag="snap"):
-    """Write a snapshot now."""
+    """Starts to write a snapshot."""
 
     ident: int
 
 
 class DumpState(Frame, frozen=True, tag="dump"):
-    """Tell the whole state, from an offset on; 0 begins anew, with what is current."""
+    """Requests the whole state from an offset in bytes on; offset 0 starts with a linearizable read."""
 
     ident: int
     offset: int
 
 
 class DumpChunk(Frame, frozen=True, tag="U"):
-    """A part of the state."""
+    """A part of the state, in response to `DumpState`."""
 
     ident: int
     total_bytes: int
@@ -96,34 +98,37 @@
 
 
 class CommandResponse(Frame, frozen=True, tag="D"):
-    """The answer to a command; `error` as in machine.Result, or unavailable, unknown, refused."""
+    """Response to a command; its `error` is as in `Result`, or unavailable, unknown, refused."""
 
     ident: int
     result: kv.Result
 
 
 class Page(Frame, frozen=True, tag="P"):
-    """The answer to `Get`: with `more` it is to be asked again, after the last key."""
+    """Response to `Get`; with `more`, the client continues after the last key."""
 
     ident: int
     revision: int
     values: dict[str, kv.Value]
     more: bool = False
     error: str = ""
-    age_ms: float = 0.0  # how long ago this replica knew that it was current
+    age_ms: float = 0.0  # time since this replica last had a leader
 
 
 class WatchEvents(Frame, frozen=True, tag="E"):
-    """Changes, in their order; `compacted` ends the watch: not all of them are held any more."""
+    """Changes in order.
+
+    A nonzero `compacted` ends the watch: it is the oldest revision kept, or -1 for too many watches.
+    """
 
     ident: int
-    revision: int  # all up to it have been told
+    revision: int  # all events up to this revision have been sent
     events: tuple[kv.Event, ...]
     compacted: int = 0
 
 
 class ReplicaStatus(Frame, frozen=True, tag="S"):
-    """How a replica stands."""
+    """Status of a replica."""
 
     ident: int
     name: str
@@ -137,21 +142,22 @@
     revision: int
     state_bytes: int
     membership: messages.Membership
-    recovering: bool
-    failure: str
-    age_ms: float
-    match_indexes: dict[str, int] = msgspec.field(default_factory=dict)  # of a leader: what each member holds
+    recovering: bool  # may lack entries that it acknowledged
+    failure: str  # why the replica takes no part; empty: it does
+    age_ms: float  # time since this replica last had a leader
+    # At the leader: match index of each other member.
+    match_indexes: dict[str, int] = msgspec.field(default_factory=dict)
 
 
 class ForwardedRequest(Frame, frozen=True, tag="f"):
-    """A follower passes a client's request on to the leader."""
+    """A client's request that a follower forwards to the leader."""
 
     ident: int
     request: ExecuteCommand | ChangeMembership | TransferLeadership
 
 
 class ForwardedResponse(Frame, frozen=True, tag="F"):
-    """The leader's answer to it."""
+    """The leader's response to `ForwardedRequest`."""
 
     ident: int
     result: kv.Result
--- a/basaltpoint/store/raft.py
+++ b/basaltpoint/store/raft.py
@@ -1,8 +1,8 @@
-"""The consensus core: Raft without I/O (Ongaro, Consensus: Bridging Theory and Practice, 2014).
+"""Raft without I/O (Ongaro, Consensus: Bridging Theory and Practice, 2014).
 
-It is given messages, the time and what has reached the disk; it returns what to write, send and apply. It
-reads no clock and draws chance from the generator it was given. The caller's part is stated at `Output`;
-sections in brackets are of the dissertation.
+The caller passes in messages, the time and the completion of disk writes; `Raft` returns what to write, send
+and apply. It reads no clock and uses only the random generator that it is given. `Output` states the caller's
+duties. Numbers in brackets are sections of the dissertation.
 """
 
 from __future__ import annotations
@@ -16,21 +16,19 @@
 from basaltpoint.store.messages import Entry, EntryKind, HardState, Membership, Message, Snapshot
 from basaltpoint.store.wire import encode
 
-MAX_APPEND_BYTES = (
-    256 * 1024
-)  # bytes of entries in one message; a frame of the transport holds it and its head
-SNAPSHOT_CHUNK_BYTES = 256 * 1024  # bytes of a snapshot in one message
-MAX_UNACKNOWLEDGED_ENTRIES = (
-    4096  # entries sent on without an answer; beyond, a slow follower would fill the leader's buffers
-)
-MAX_LEARNER_LAG_ENTRIES = (
-    1000  # entries that a learner may lack to become a voter; with more, commits would wait for it
-)
-UNKNOWN_VOTE = "-"  # as a vote: given, to whom is not known any more
+# Bytes of entries in one message; the message with its header fits into one frame of the transport.
+MAX_APPEND_BYTES = 256 * 1024
+SNAPSHOT_CHUNK_BYTES = 256 * 1024
+# Entries sent to a follower without a response; with more, a slow follower would fill the leader's buffers.
+MAX_UNACKNOWLEDGED_ENTRIES = 4096
+# Entries that a learner may lack when it becomes a voter; with more, commits would wait for it.
+MAX_LEARNER_LAG_ENTRIES = 1000
+# Stands in `HardState.voted_for` during a recovery: a vote may have been granted to an unknown candidate.
+UNKNOWN_VOTE = "-"
 
 
 class Role(Enum):
-    """What a replica is at present."""
+    """The role of a replica in its current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -39,16 +37,16 @@
 
 
 class RefusedError(Exception):
-    """A request that can't be granted now, and why."""
+    """The request was refused and not started; the text states the reason."""
 
 
 class BusyError(RefusedError):
-    """A request that may be granted in a moment: nothing of it was begun."""
+    """The request was refused and not started; a retry may succeed shortly."""
 
 
 @dataclass(frozen=True, slots=True)
 class RaftOptions:
-    """Times in ms. The election time is drawn from `election_ms` to twice that."""
+    """Timing, in ms. The election timeout is drawn at random between `election_ms` and twice that."""
 
     election_ms: float = 250.0
     heartbeat_ms: float = 50.0
@@ -56,11 +54,14 @@
 
 @dataclass(slots=True)
 class Output:
-    """What is to be done, in this order.
-
-    Send `early`. Write `install`, `entries` (the first replaces all from its index on) and `hard`, and have
-    them on the disk; then call `Raft.synced`. Only then send `messages`, apply `restore` and `applies`, and
-    answer `reads`.
+    """Work for the caller, to be done in this order.
+
+    1. Send `early_messages`.
+    2. Write and sync `install_snapshot`, `entries` (the first one replaces all entries from its index on) and
+       `hard_state`, then call `Raft.mark_synced`.
+    3. Send `messages`, restore `restore_snapshot`, apply `committed_entries`, complete `confirmed_reads` once
+    their
+       index is applied, and fail `failed_reads`.
     """
 
     early_messages: list[tuple[str, Message]] = field(default_factory=list)
@@ -70,8 +71,8 @@
     messages: list[tuple[str, Message]] = field(default_factory=list)
     restore_snapshot: Snapshot | None = None
     committed_entries: tuple[Entry, ...] = ()
-    confirmed_reads: list[tuple[int, int]] = field(default_factory=list)  # token, index that must be applied
-    failed_reads: list[int] = field(default_factory=list)  # tokens of reads that won't be answered
+    confirmed_reads: list[tuple[int, int]] = field(default_factory=list)  # token, read index
+    failed_reads: list[int] = field(default_factory=list)  # tokens
 
     def __bool__(self) -> bool:
         return any(getattr(self, name) for name in self.__slots__)
@@ -79,30 +80,31 @@
 
 @dataclass(slots=True)
 class Progress:
-    """What a leader knows of another member."""
+    """Replication state that a leader keeps for another member."""
 
     next_index: int
     match_index: int = 0
     last_response_ms: float = 0.0
     acknowledged_round: int = 0
-    probing: bool = True  # one message at a time, until it is known where the logs agree
-    awaits_response: bool = False  # such a message is out
-    snapshot: Snapshot | None = None  # the same one to its end: later ones would begin from nothing
-    snapshot_offset: int = 0
+    probing: bool = True  # sends one message at a time until the last matching index is known
+    awaits_response: bool = False  # a probe or a part of a snapshot has no response yet
+    # The snapshot being sent. It is kept to its end: a newer one would start again at offset 0.
+    snapshot: Snapshot | None = None
+    snapshot_offset: int = 0  # bytes
 
 
 @dataclass(slots=True)
 class PendingRead:
-    """A read that waits for proof that the leader still led when it came."""
+    """A read that waits for a quorum to confirm that this replica was still the leader on its arrival."""
 
     heartbeat_round: int
     read_index: int
     token: int
-    requester: str  # "" for this replica
+    requester: str  # name of the follower that forwarded the read; empty: this replica
 
 
 class Raft:
-    """One replica's part."""
+    """The Raft state of one replica."""
 
     def __init__(
         self,
@@ -114,7 +116,7 @@
         log: Log,
         may_be_stale: bool = False,
     ) -> None:
-        """`suspect`: the disk may be an older copy of itself."""
+        """`now` is in ms. `may_be_stale`: the disk may hold an older copy of this replica's state."""
         self.name, self.options, self.rng = name, options, rng
         self.hard_state, self.log = hard_state, log
         self.role, self.leader = Role.FOLLOWER, ""
@@ -124,26 +126,24 @@
         self.progress: dict[str, Progress] = {}
         self.disk_failed = False
         self._now_ms = self._leader_seen_ms = now
-        self._leader_seen_ms -= options.election_ms  # no leader is known: nothing speaks against a vote
+        self._leader_seen_ms -= options.election_ms  # no leader is known, so votes may be granted at once
         self._election_deadline_ms = 0.0
         self._next_heartbeat_ms = self._next_quorum_check_ms = 0.0
         self._votes: dict[str, bool] = {}
         self._heartbeat_round = 0
         self._pending_reads: list[PendingRead] = []
-        self._forwarded_reads: dict[int, str] = {}  # reads asked of a leader: token, its name
-        self._acknowledged_indexes: dict[
-            str, int
-        ] = {}  # index up to which each has acknowledged committed entries
+        self._forwarded_reads: dict[int, str] = {}  # token -> leader that received the read
+        # Index up to which each member has acknowledged committed entries.
+        self._acknowledged_indexes: dict[str, int] = {}
         self._transfer: tuple[str, float] | None = None
-        self._partial_snapshot: tuple[int, int, bytearray] | None = (
-            None  # term, index and start of a snapshot
-        )
+        # Term, index and received bytes of a snapshot.
+        self._partial_snapshot: tuple[int, int, bytearray] | None = None
         self._recovery_responses: dict[str, m.RecoveryResponse] = {}
-        self._term_start_index = 0  # index of the first entry of this replica's leadership
-        self._has_new_entries = False  # entries were proposed since the last `take`: they go out together
+        self._term_start_index = 0  # index of this leader's first entry in its term
+        self._has_new_entries = False  # entries proposed since the last `take_output`, to be sent together
         self._output = Output()
         self._written_hard_state = hard_state
-        self._next_unwritten_index = log.last_index + 1  # first entry that was not handed out to be written
+        self._next_unwritten_index = log.last_index + 1  # first entry that no output contained yet
         self._reset_election_timer()
         if may_be_stale:
             self._enter_recovery()
@@ -151,7 +151,7 @@
     # --- Time ------------------------------------------------------------------------------------
     @property
     def next_tick_ms(self) -> float:
-        """When `tick` is due."""
+        """Time in ms at which `tick` is due."""
         return (
             min(self._next_heartbeat_ms, self._next_quorum_check_ms)
             if self.role is Role.LEADER
@@ -159,7 +159,11 @@
         )
 
     def tick(self, now: float) -> None:
-        """What is due by now. Each input does this first: one who slept must not act on what it knew."""
+        """Runs expired timers.
+
+        Every other input runs this first, so that a replica that was suspended does not act on outdated
+        knowledge.
+        """
         self._now_ms = max(self._now_ms, now)
         if self.disk_failed:
             return
@@ -178,29 +182,32 @@
     def _tick_leader(self) -> None:
         if self._now_ms >= self._next_quorum_check_ms:
             self._next_quorum_check_ms = self._now_ms + self.options.election_ms
-            since = self._now_ms - self.options.election_ms
-            alive = {name for name, other in self.progress.items() if other.last_response_ms >= since} | {
-                self.name
-            }
-            if not self._is_quorum(alive):  # check quorum [6.2]: its clients would wait for nothing
+            oldest_response_ms = self._now_ms - self.options.election_ms
+            responsive = {
+                name for name, other in self.progress.items() if other.last_response_ms >= oldest_response_ms
+            } | {self.name}
+            if not self._is_quorum(responsive):  # check quorum [6.2]: clients would wait in vain
                 self._become_follower(self.hard_state.term, "")
                 return
         if self._transfer and self._now_ms >= self._transfer[1]:
-            self._transfer = None  # it did not take over in time; go on here
+            self._transfer = None  # the target did not take over in time
         if self._now_ms >= self._next_heartbeat_ms:
             self._broadcast_append()
 
     def _is_quorum(self, names: set[str]) -> bool:
         return sum(name in names for name in self.membership.voters) >= self.membership.quorum
 
-    # --- What is asked of it -------------------------------------------------------------------------
+    # --- Requests ------------------------------------------------------------------------------------
     def _require_leader(self, now: float) -> None:
         self.tick(now)
         if self.role is not Role.LEADER:
             raise RefusedError("this replica does not lead")
 
     def propose(self, now: float, data: bytes, kind: EntryKind = EntryKind.COMMAND) -> int:
-        """Append a command where this replica leads; its index. RefusedError elsewhere."""
+        """Appends a command to the log and returns its index.
+
+        RefusedError where this replica is not the leader.
+        """
         self._require_leader(now)
         if self._transfer:
             raise BusyError("the leadership is being handed over")
@@ -212,7 +219,7 @@
         return index
 
     def request_read(self, now: float, token: int) -> None:
-        """Ask up to where a current read must be applied [6.4]; RefusedError where nobody leads."""
+        """Requests the read index for a linearizable read [6.4]. RefusedError where no leader is known."""
         self.tick(now)
         if self.role is Role.LEADER:
             self._start_read(token, "")
@@ -223,11 +230,11 @@
             raise RefusedError("no leader is known")
 
     def cancel_read(self, token: int) -> None:
-        """Nobody waits for a read any more."""
+        """Forgets a read that nobody waits for."""
         self._forwarded_reads.pop(token, None)
 
     def _start_read(self, token: int, requester: str) -> None:
-        # Until an entry of its own term is committed, it does not know all that is [6.4]; its first one is.
+        # Until its first entry is committed, a leader does not know the true commit index [6.4].
         index = max(self.commit_index, self._term_start_index)
         self._heartbeat_round += 1
         self._pending_reads.append(PendingRead(self._heartbeat_round, index, token, requester))
@@ -235,38 +242,48 @@
         self._confirm_reads()
 
     def change_membership(self, now: float, membership: Membership) -> int:
-        """Begin a change of membership [4.1]; its index. RefusedError says what stands against it."""
+        """Starts a membership change [4.1] and returns the index of its entry.
+
+        RefusedError states the obstacle.
+        """
         self._require_leader(now)
         if self.commit_index < self._term_start_index or self.membership_index > self.commit_index:
             raise BusyError("another change is not committed yet")
-        moved = set(membership.voters) ^ set(self.membership.voters)
-        if len(moved) > 1:
+        changed_voters = set(membership.voters) ^ set(self.membership.voters)
+        if len(changed_voters) > 1:
             raise RefusedError("one voter may come or go at a time")
         if not membership.voters:
             raise RefusedError("one voter must be left")
         if len(set(membership.names)) != len(membership.names):
             raise RefusedError("a name may stand once")
-        for name in moved & set(membership.voters):
+        for name in changed_voters & set(membership.voters):
             self._require_caught_up(name)
         return self.propose(now, encode(membership), EntryKind.MEMBERSHIP)
 
     def _require_caught_up(self, name: str) -> None:
-        other = self.progress.get(name)
-        if other is None:
+        progress = self.progress.get(name)
+        if progress is None:
             raise RefusedError(f"{name} must be a learner first")
-        lack = self.log.last_index - other.match_index
-        if lack > MAX_LEARNER_LAG_ENTRIES or other.last_response_ms < self._now_ms - self.options.election_ms:
+        missing_entries = self.log.last_index - progress.match_index
+        if (
+            missing_entries > MAX_LEARNER_LAG_ENTRIES
+            or progress.last_response_ms < self._now_ms - self.options.election_ms
+        ):
             raise RefusedError(
-                f"{name} lacks {lack} entries or is not heard; up to {MAX_LEARNER_LAG_ENTRIES} may be lacking"
+                f"{name} lacks {missing_entries} entries or is not heard; "
+                f"up to {MAX_LEARNER_LAG_ENTRIES} may be lacking"
             )
 
     def transfer_leadership(self, now: float, name: str) -> None:
-        """Hand the leadership over [3.10], if `name` has it not; RefusedError where that can't be."""
+        """Starts a leadership transfer [3.10].
+
+        RefusedError where this replica is no leader or `name` no voter.
+        """
         self._require_leader(now)
         if name not in self.membership.voters:
             raise RefusedError(f"{name} is no voter")
         if name == self.name:
-            return  # it leads already
+            return  # already the leader
         self._transfer = name, self._now_ms + self.options.election_ms
         self._send_append(name)
         self._send_timeout_now(name)
@@ -279,27 +296,27 @@
         ):
             self._send_after_sync(name, m.TimeoutNow(self.hard_state.term))
 
-    # --- The disk --------------------------------------------------------------------------------------
+    # --- Output and disk -------------------------------------------------------------------------------
     def take_output(self) -> Output:
-        """What is to be done since the last call."""
+        """Returns the work since the last call."""
         if self._has_new_entries and self.role is Role.LEADER:
             for name in self.progress:
                 self._send_append(name)
         self._has_new_entries = False
-        out, self._output = self._output, Output()
+        output, self._output = self._output, Output()
         if self._next_unwritten_index <= self.log.last_index:
-            out.entries = self.log.entries_after(self._next_unwritten_index - 1)
+            output.entries = self.log.entries_after(self._next_unwritten_index - 1)
             self._next_unwritten_index = self.log.last_index + 1
         if self.hard_state != self._written_hard_state:
-            out.hard_state = self._written_hard_state = self.hard_state
-        upto = min(self.commit_index, self.synced_index)
-        if upto > self.applied_index:
-            out.committed_entries = self.log.entries_after(self.applied_index, last=upto)
-            self.applied_index = upto
-        return out
+            output.hard_state = self._written_hard_state = self.hard_state
+        last = min(self.commit_index, self.synced_index)
+        if last > self.applied_index:
+            output.committed_entries = self.log.entries_after(self.applied_index, last=last)
+            self.applied_index = last
+        return output
 
     def mark_synced(self, now: float, index: int) -> None:
-        """All that was handed out is on the disk, the log up to an index."""
+        """Records that all output so far is synced to disk, with the log up to `index`."""
         self.tick(now)
         self.synced_index = min(index, self.log.last_index)
         self._finish_recovery()
@@ -309,19 +326,19 @@
             self._count_votes()
 
     def compact_log(self, snapshot: Snapshot) -> None:
-        """A snapshot of what was applied is on the disk; earlier entries may go."""
+        """Drops entries that a snapshot on disk has made unnecessary."""
         if snapshot.index > self.log.snapshot.index:
             self.log.compact(snapshot)
 
     def mark_disk_failed(self) -> None:
-        """The disk failed: what was promised may not be kept, so nothing more is promised."""
+        """Stops taking part after a disk failure, as promises already made may be lost."""
         if self.role is Role.LEADER:
             self._become_follower(self.hard_state.term, "")
         self.disk_failed, self.role, self._election_deadline_ms = True, Role.FOLLOWER, float("inf")
         self._output.messages.clear()
 
     def mark_disk_recovered(self, now: float) -> None:
-        """The disk holds log and hard state anew: take part again, as a follower that has heard nothing."""
+        """Resumes as a follower without a leader, after log and hard state were written to the disk again."""
         self._output = Output()
         self.disk_failed, self._written_hard_state, self._next_unwritten_index = (
             False,
@@ -334,7 +351,7 @@
 
     # --- Messages ----------------------------------------------------------------------------------------
     def step(self, now: float, sender: str, message: Message) -> None:
-        """Take a message in."""
+        """Handles a message from another replica."""
         self.tick(now)
         if self.disk_failed or self._handle_term(sender, message):
             return
@@ -366,12 +383,15 @@
                 self._handle_recovery_response(sender, message)
 
     def _handle_term(self, sender: str, message: Message) -> bool:
-        """Whether a message is of another term and ends here; a higher one is taken over first."""
+        """Handles a message of another term and returns whether it is done with.
+
+        Adopts a higher term first.
+        """
         term = self.hard_state.term
         if isinstance(message, m.RecoveryRequest | m.RecoveryResponse) or message.term == term:
             return False
         if message.term < term:
-            # It led once, or asks for votes in vain: tell the term.
+            # The sender is an outdated leader or candidate: the response tells it the current term.
             if isinstance(message, m.AppendEntries | m.InstallSnapshot):
                 self._send_after_sync(
                     sender, m.AppendEntriesResponse(term, False, 0, message.heartbeat_round)
@@ -380,7 +400,8 @@
                 self._send_after_sync(sender, m.RequestVoteResponse(term, False, message.pre_vote))
             return True
         if isinstance(message, m.RequestVote):
-            # Nobody takes a living leader down: one cut off or removed would do it again and again [4.2.3].
+            # No vote while a leader is active: removed or partitioned replicas would keep deposing it
+            # [4.2.3].
             if not message.is_transfer and self._has_live_leader():
                 return True
             if message.pre_vote:
@@ -394,13 +415,13 @@
         return False
 
     def _has_live_leader(self) -> bool:
-        """Whether a leader was heard within the shortest election time, or is this replica."""
+        """Whether this replica is the leader or received from one within the minimum election timeout."""
         return self.role is Role.LEADER or (
             bool(self.leader) and self._now_ms - self._leader_seen_ms < self.options.election_ms
         )
 
-    def _send_after_sync(self, to: str, message: Message) -> None:
-        self._output.messages.append((to, message))
+    def _send_after_sync(self, receiver: str, message: Message) -> None:
+        self._output.messages.append((receiver, message))
 
     def _become_follower(self, term: int, leader: str) -> None:
         if term > self.hard_state.term:
@@ -419,7 +440,7 @@
         self._drop_forwarded_reads()
 
     def _drop_forwarded_reads(self) -> None:
-        """Whoever was asked for a read leads no more, or is not heard: the answer may never come."""
+        """Fails reads that were forwarded to a former leader: a response may never come."""
         for token in [token for token, name in self._forwarded_reads.items() if name != self.leader]:
             del self._forwarded_reads[token]
             self._output.failed_reads.append(token)
@@ -441,27 +462,29 @@
                 seen = self._acknowledged_indexes.get(name, 0)
                 self._send_after_sync(name, m.RequestVote(term, last, last_term, pre_vote, is_transfer, seen))
         if pre_vote:
-            self._count_votes()  # a vote for itself counts once it is on the disk
+            self._count_votes()  # in a real election, the vote for itself counts once it is synced
 
     def _handle_vote_request(self, sender: str, message: m.RequestVote) -> None:
         if self._has_lost_entries(message.acknowledged_index):
             return
-        fresh = (message.last_term, message.last_index) >= (self.log.last_term, self.log.last_index)
-        known = self._acknowledged_indexes.get(sender, 0)
+        is_up_to_date = (message.last_term, message.last_index) >= (self.log.last_term, self.log.last_index)
+        acknowledged_index = self._acknowledged_indexes.get(sender, 0)
         if message.pre_vote:
             granted = message.term > self.hard_state.term and not self._has_live_leader()
         else:
             granted = self.hard_state.voted_for in ("", sender)
-        granted = granted and fresh and not self.hard_state.recovering
+        granted = granted and is_up_to_date and not self.hard_state.recovering
         if granted and not message.pre_vote:
             self.hard_state = HardState(self.hard_state.term, sender)
             self._reset_election_timer()
         term = message.term if granted else self.hard_state.term
-        self._send_after_sync(sender, m.RequestVoteResponse(term, granted, message.pre_vote, known))
+        self._send_after_sync(
+            sender, m.RequestVoteResponse(term, granted, message.pre_vote, acknowledged_index)
+        )
 
     def _handle_vote_response(self, sender: str, message: m.RequestVoteResponse) -> None:
-        wanted = Role.PRE_CANDIDATE if message.pre_vote else Role.CANDIDATE
-        if self._has_lost_entries(message.acknowledged_index) or self.role is not wanted:
+        expected_role = Role.PRE_CANDIDATE if message.pre_vote else Role.CANDIDATE
+        if self._has_lost_entries(message.acknowledged_index) or self.role is not expected_role:
             return
         if message.granted and message.term != self.hard_state.term + message.pre_vote:
             return
@@ -485,15 +508,15 @@
         self._broadcast_append()
 
     def _update_progress(self) -> None:
-        """One progress for each other member."""
-        old, self.progress = self.progress, {}
+        """Keeps one `Progress` for each other member."""
+        previous, self.progress = self.progress, {}
         for name in self.membership.names:
             if name != self.name:
-                self.progress[name] = old.get(name) or Progress(
+                self.progress[name] = previous.get(name) or Progress(
                     self.log.last_index + 1, last_response_ms=self._now_ms
                 )
 
-    # --- The leader's side of the log [3.5] ------------------------------------------------------------
+    # --- Log replication by the leader [3.5] -----------------------------------------------------------
     def _broadcast_append(self) -> None:
         self._next_heartbeat_ms = self._now_ms + self.options.heartbeat_ms
         for name, other in self.progress.items():
@@ -501,7 +524,7 @@
             self._send_append(name, force=True)
 
     def _send_append(self, name: str, force: bool = False) -> None:
-        """What a member lacks, as far as it may be sent; with `beat` one message at least."""
+        """Sends missing entries within the flow control limits; with `force`, at least one message."""
         progress = self.progress[name]
         while force or self._can_send(progress):
             force = False
@@ -511,9 +534,11 @@
             prev = progress.next_index - 1
             term = self.log.term_at(prev)
             assert term is not None
-            # While it is probed, or has not answered for long, entries would be sent in vain.
-            full = progress.probing or progress.next_index - progress.match_index > MAX_UNACKNOWLEDGED_ENTRIES
-            entries = () if full else self.log.entries_after(prev, MAX_APPEND_BYTES)
+            # While the match index is unknown or too much is unacknowledged, entries would be sent in vain.
+            withholds_entries = (
+                progress.probing or progress.next_index - progress.match_index > MAX_UNACKNOWLEDGED_ENTRIES
+            )
+            entries = () if withholds_entries else self.log.entries_after(prev, MAX_APPEND_BYTES)
             progress.awaits_response = progress.probing
             progress.next_index += len(entries)
             marks = tuple((each, self._acknowledged_index(each)) for each in (self.name, *self.progress))
@@ -542,7 +567,7 @@
         )
 
     def _acknowledged_index(self, name: str) -> int:
-        """Up to where a member holds committed entries: these it can't lose in good order."""
+        """Index up to which a member holds committed entries, which it never drops in regular operation."""
         match = self.synced_index if name == self.name else self.progress[name].match_index
         return min(match, self.commit_index)
 
@@ -581,11 +606,11 @@
                 progress.next_index = max(progress.next_index, message.index + 1)
             progress.probing = progress.awaits_response = False
             self._advance_commit_index()
-            if self.role is not Role.LEADER:  # that committed its own removal
+            if self.role is not Role.LEADER:  # the commit was its own removal
                 return
             self._send_timeout_now(sender)
         elif not progress.snapshot:
-            # What it held once it may have lost with its disk: what counts is what it says now.
+            # The member may have lost entries with its disk, so the match index may go back.
             progress.match_index = min(progress.match_index, message.index)
             progress.next_index = min(message.index, self.log.last_index) + 1
             progress.probing, progress.awaits_response = True, False
@@ -606,7 +631,7 @@
             self._confirm_reads()
 
     def _confirm_reads(self) -> None:
-        """Reads whose round a quorum has answered: it led when they came."""
+        """Completes reads whose heartbeat round a quorum has acknowledged, as it led on their arrival."""
         while self._pending_reads:
             read = self._pending_reads[0]
             responded = {
@@ -625,7 +650,7 @@
             del self._pending_reads[0]
 
     def _advance_commit_index(self) -> None:
-        """Commit what a quorum holds, where the last entry of it is of this term [3.6.2]."""
+        """Commits entries that a quorum holds, if the last one is of the current term [3.6.2]."""
         match_indexes = sorted(
             (
                 self.synced_index if name == self.name else self.progress[name].match_index
@@ -637,18 +662,18 @@
         if index > self.commit_index and self.log.term_at(index) == self.hard_state.term:
             self.commit_index = index
             if self.membership_index <= index and self.name not in self.membership.voters:
-                self._broadcast_append()  # the others learn that it is committed
+                self._broadcast_append()  # announces the commit of its own removal
                 self._become_follower(self.hard_state.term, "")
 
     def _reload_membership(self) -> None:
-        """Membership holds from the moment that it stands in the log [4.1]."""
+        """Reloads the membership: an entry takes effect once it is in the log [4.1]."""
         self.membership, self.membership_index = self.log.membership()
         if self.role is Role.LEADER:
             self._update_progress()
 
-    # --- The follower's side ---------------------------------------------------------------------------
+    # --- Log replication at a follower ------------------------------------------------------------------
     def _record_leader(self, sender: str) -> None:
-        """A leader of this term has spoken."""
+        """Records a message from the leader of the current term."""
         if self.role is not Role.FOLLOWER:
             self._become_follower(self.hard_state.term, sender)
         self.leader, self._leader_seen_ms = sender, self._now_ms
@@ -659,7 +684,7 @@
         self._record_leader(sender)
         self._acknowledged_indexes.update(message.acknowledged_indexes)
         if self._has_lost_entries(message.acknowledged_index) or self._awaits_recovery_goal():
-            self._request_recovery()  # at each heartbeat: nobody may have heard it the first time
+            self._request_recovery()  # repeated at each heartbeat: earlier requests may be lost
             return
         index = message.prev_index
         if index < self.commit_index and (held := self._committed_match(message)) is not None:
@@ -690,9 +715,9 @@
         )
 
     def _committed_match(self, message: m.AppendEntries) -> int | None:
-        """Entries that are committed here agree in any case; only what lies behind them is compared.
+        """Returns the commit index if all entries are committed or the log no longer reaches back, else None.
 
-        What is to be answered where that is nothing, or where the log no longer goes back so far.
+        Committed entries match the leader's in any case, so only later ones need a comparison.
         """
         last = message.prev_index + len(message.entries)
         if last <= self.commit_index or message.prev_index < self.log.base_index:
@@ -700,7 +725,7 @@
         return None
 
     def _conflict_hint(self, index: int) -> int:
-        """The last index that may agree, before the whole of a term that does not."""
+        """Returns the last index that may match: the one before the conflicting term."""
         if index > self.log.last_index:
             return self.log.last_index
         term = self.log.term_at(index)
@@ -731,7 +756,7 @@
             return
         if (
             self.log.term_at(message.last_included_index) == message.last_included_term
-        ):  # held already, and so is all before it
+        ):  # the log matches up to here already
             self.commit_index = message.last_included_index
             self._send_after_sync(
                 sender,
@@ -791,9 +816,12 @@
         else:
             self._output.confirmed_reads.append((message.token, message.index))
 
-    # --- A disk that may have lost what it acknowledged ---------------------------------------------------
+    # --- Recovery from a disk that may have lost acknowledged entries -----------------------------------
     def _has_lost_entries(self, acknowledged_index: int) -> bool:
-        """Whether another knows that more was acknowledged here than there is: an older disk was put back."""
+        """Whether a peer knows of acknowledged entries that are missing here: an older disk was put back.
+
+        Enters the recovery in this case.
+        """
         if acknowledged_index <= self.log.last_index or (
             self.hard_state.recovering and not self._awaits_recovery_goal()
         ):
@@ -803,9 +831,9 @@
         return True
 
     def _enter_recovery(self) -> None:
-        """Give no vote and acknowledge nothing until the others have told what was promised."""
+        """Starts the recovery: grants no vote and acknowledges nothing until the others report their logs."""
         if self.membership.voters == (self.name,):
-            return  # nobody else could tell
+            return  # there is no other voter to recover from
         if self.role is not Role.FOLLOWER:
             self._become_follower(self.hard_state.term, "")
         self.hard_state = HardState(self.hard_state.term, UNKNOWN_VOTE, True)
@@ -822,7 +850,11 @@
         return self.hard_state.recovering and self.hard_state.recovery_goal == (0, 0)
 
     def _handle_recovery_response(self, sender: str, message: m.RecoveryResponse) -> None:
-        """Of each quorum that it may have been part of, another is among so many others (VR's recovery)."""
+        """Sets the recovery goal once enough voters have responded (see the recovery of Viewstamped
+        Replication).
+
+        Every quorum that this replica may have been part of includes one of those voters.
+        """
         if not self._awaits_recovery_goal():
             return
         self._recovery_responses[sender] = message
@@ -838,11 +870,11 @@
         goal = max((each.last_term, each.last_index) for each in responses)
         self.hard_state = HardState(
             term, UNKNOWN_VOTE, goal != (0, 0), goal
-        )  # where nobody holds anything, nothing is lost
+        )
         self._finish_recovery()
 
     def _finish_recovery(self) -> None:
-        """End the doubt where all is held again that may have been acknowledged."""
+        """Ends the recovery once the synced log reaches the recovery goal."""
         hard = self.hard_state
         if not hard.recovering or self._awaits_recovery_goal():
             return
--- a/basaltpoint/store/state_machine.py
+++ b/basaltpoint/store/state_machine.py
@@ -1,7 +1,8 @@
-"""The state machine: keys and values with revisions, transactions, leases, client sessions, watches.
+"""The replicated state machine: keys and values with revisions, transactions, leases, sessions and watches.
 
-It is told committed commands in their order and answers each; the same commands give the same state and
-answers on every replica. It knows no time: that a lease has run out is a command of the leader's (`Expire`).
+It applies committed commands in log order and returns a result for each; the same commands give the same
+state and results on every replica. It reads no clock: the leader proposes a command when a lease expires
+(`ExpireLease`).
 """
 
 from __future__ import annotations
@@ -12,23 +13,23 @@
 
 import msgspec
 
-# --- Bounds: a command beyond them is refused, on every replica alike ---------------------------------
+# --- Limits: all replicas refuse a command that exceeds them ------------------------------------------
 MAX_KEY_BYTES = 512
-MAX_VALUE_BYTES = 1 << 20  # one document
-MAX_TRANSACTION_OPERATIONS = 256  # operations and comparisons of one transaction, each
-MAX_STATE_BYTES = 256 << 20  # keys and values; a snapshot is made of all of them
-MAX_SESSIONS = 10_000  # the longest unused goes; its client gets `session`, never a second application
+MAX_VALUE_BYTES = 1 << 20
+MAX_TRANSACTION_OPERATIONS = 256  # applies to operations and to checks, each
+MAX_STATE_BYTES = 256 << 20  # keys and values; a snapshot contains all of them
+MAX_SESSIONS = 10_000  # beyond it the least recently used session ends; its client gets the error `session`
 MAX_LEASES = 10_000
-MAX_EVENTS = 20_000  # kept for watches that begin in the past
-MAX_EVENT_BYTES = 32 << 20  # of these
+MAX_EVENTS = 20_000  # kept for watches that start at a past revision
+MAX_EVENT_BYTES = 32 << 20  # of the kept events
 
 
 class TaggedStruct(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """A part of a command."""
+    """Base of the tagged parts of a command."""
 
 
 class Put(TaggedStruct, frozen=True, tag="p"):
-    """Set a key; with a lease it goes when the lease ends."""
+    """Sets a key; with a lease, the key is removed when the lease ends."""
 
     key: str
     value: bytes
@@ -36,14 +37,14 @@
 
 
 class Delete(TaggedStruct, frozen=True, tag="d"):
-    """Remove a key; with `prefix` all that begin with it."""
+    """Removes a key; with `prefix`, all keys that start with `key`."""
 
     key: str
     prefix: bool = False
 
 
 class Check(TaggedStruct, frozen=True, tag="c"):
-    """Holds where a key was last changed by that revision; 0: where there is none."""
+    """Condition: the key was last modified at `revision`; 0: the key does not exist."""
 
     key: str
     revision: int
@@ -53,46 +54,46 @@
 
 
 class Transaction(TaggedStruct, frozen=True, tag="T"):
-    """Where all checks hold, all operations take effect together; else none."""
+    """Applies all operations atomically if all checks hold, else none."""
 
     checks: tuple[Check, ...] = ()
     operations: tuple[Operation, ...] = ()
 
 
 class GrantLease(TaggedStruct, frozen=True, tag="g"):
-    """A new lease."""
+    """Creates a lease."""
 
     ttl_ms: int
 
 
 class RenewLease(TaggedStruct, frozen=True, tag="r"):
-    """A lease begins anew."""
+    """Restarts the time to live of a lease."""
 
     lease: int
 
 
 class RevokeLease(TaggedStruct, frozen=True, tag="x"):
-    """A lease ends, with its keys."""
+    """Ends a lease and removes its keys."""
 
     lease: int
 
 
 class ExpireLease(TaggedStruct, frozen=True, tag="e"):
-    """The leader has seen a lease run out: it ends unless it was renewed meanwhile."""
+    """Ends a lease that expired at the leader, unless its renewal count has changed since."""
 
     lease: int
     renewals: int
 
 
 class OpenSession(TaggedStruct, frozen=True, tag="o"):
-    """A new session."""
+    """Opens a session."""
 
 
 Action = Transaction | GrantLease | RenewLease | RevokeLease | ExpireLease | OpenSession
 
 
 class Command(msgspec.Struct, frozen=True, array_like=True):
-    """What a client asks for: `number` counts up within its session; 0 and 0 for none."""
+    """A client's command. `number` increases within a session; both are 0 for a command without a session."""
 
     action: Action
     session: int = 0
@@ -100,22 +101,22 @@
 
 
 class Result(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to a command. `error` is empty or one of: check, session, lease, limit, old."""
+    """The result of a command. `error` is empty or one of: check, session, lease, limit, old."""
 
     revision: int
     error: str = ""
-    text: str = ""  # what was found and what is allowed
-    ident: int = 0  # of a new lease or session
-    index: int = 0  # of the entry that applied it
+    text: str = ""  # explains the error: what was found and what is allowed
+    ident: int = 0  # of the created lease or session
+    index: int = 0  # log index of the command
 
 
 class Value(msgspec.Struct, frozen=True, array_like=True):
-    """What stands under a key."""
+    """A key's value and its revisions."""
 
     value: bytes
-    created_revision: int  # revision
-    modified_revision: int  # revision
-    lease: int = 0
+    created_revision: int
+    modified_revision: int
+    lease: int = 0  # 0: none
 
 
 class Event(msgspec.Struct, frozen=True, array_like=True):
@@ -127,7 +128,7 @@
 
 
 class Lease(msgspec.Struct, array_like=True):
-    """Keys that live as long as their holder renews it."""
+    """A lease and the keys that are removed when it ends."""
 
     ttl_ms: int
     renewal_count: int
@@ -135,15 +136,15 @@
 
 
 class Session(msgspec.Struct, array_like=True):
-    """The last command of a client and its answer, so that a repeated one is not applied again [6.3]."""
+    """The last command of a client and its result, so that a retry is not applied twice (Ongaro 6.3)."""
 
     last_number: int
     last_result: Result | None
-    last_used_index: int  # index of the last command
+    last_used_index: int  # log index of the last command
 
 
 class State(msgspec.Struct, array_like=True):
-    """All that a snapshot holds."""
+    """The complete state, as a snapshot holds it."""
 
     revision: int = 0
     applied_index: int = 0
@@ -154,7 +155,7 @@
 
 
 class CompactedError(Exception):
-    """A watch or read begins before what is kept; `oldest` is the first revision that can be asked for."""
+    """The requested events are no longer kept; `oldest_revision` is the first revision available."""
 
     def __init__(self, oldest_revision: int) -> None:
         self.oldest_revision = oldest_revision
@@ -173,19 +174,19 @@
 
 
 class StoreStateMachine:
-    """One replica's copy of the state."""
+    """The state of one replica, with the recent events."""
 
     def __init__(self, max_state_bytes: int = MAX_STATE_BYTES) -> None:
         self.state = State(values={}, leases={}, sessions={})
         self.events: deque[Event] = deque()
         self._event_bytes = 0
-        self.oldest_revision = 1  # the first revision whose events are all kept
+        self.oldest_revision = 1  # first revision whose events are all kept
         self._max_state_bytes = max_state_bytes
-        self._keys: list[str] = []  # sorted, for prefixes
+        self._keys: list[str] = []  # sorted, for prefix queries
 
     # --- Commands ------------------------------------------------------------------------------------
     def apply(self, index: int, data: bytes) -> Result:
-        """Apply one committed command, once."""
+        """Applies a committed command; `index` is its log index and must increase."""
         assert index > self.state.applied_index, "a command was applied twice or out of order"
         self.state.applied_index = index
         command = _command_decoder.decode(data)
@@ -201,11 +202,11 @@
         return result
 
     def skip_entry(self, index: int) -> None:
-        """An entry that is no command was committed."""
+        """Records the index of a committed entry that is no command."""
         self.state.applied_index = index
 
     def _previous_result(self, command: Command, index: int) -> Result | None:
-        """The answer to a command that can't be applied any more; None for a new one."""
+        """Returns the result of a repeated command or of one that must not be applied; None for a new one."""
         session = self.state.sessions.get(command.session)
         if session is None:
             text = f"session {command.session} has ended; whether its last command took effect is not known"
@@ -218,7 +219,7 @@
         return None
 
     def _execute(self, action: Action, index: int) -> int:
-        """Carry it out whole or not at all; the ident of what is new."""
+        """Executes an action completely or not at all. Returns the ident of a new lease or session, or 0."""
         match action:
             case Transaction():
                 self._execute_transaction(action)
@@ -269,56 +270,61 @@
             )
         values = self.state.values
         for check in transaction.checks:
-            found = value.modified_revision if (value := values.get(check.key)) else 0
-            if found != check.revision:
+            found_revision = value.modified_revision if (value := values.get(check.key)) else 0
+            if found_revision != check.revision:
                 raise _CommandRefusedError(
-                    "check", f"{check.key}: found revision {found}, expected {check.revision}"
+                    "check", f"{check.key}: found revision {found_revision}, expected {check.revision}"
                 )
         growth = 0
-        for op in transaction.operations:
-            growth += self._check_limits(op)
+        for operation in transaction.operations:
+            growth += self._check_limits(operation)
         if self.state.size_bytes + growth > self._max_state_bytes:
             raise _CommandRefusedError("limit", f"the store would hold over {self._max_state_bytes} bytes")
-        ops = [each for op in transaction.operations for each in self._expand_prefix(op)]
-        if ops:
-            self._apply_operations(ops)
-
-    def _check_limits(self, op: Operation) -> int:
-        """Check one operation; the bytes by which the state may grow, at most."""
-        length = len(op.key.encode())
-        if length > MAX_KEY_BYTES or (not length and not (isinstance(op, Delete) and op.prefix)):
+        expanded = [each for op in transaction.operations for each in self._expand_prefix(op)]
+        if expanded:
+            self._apply_operations(expanded)
+
+    def _check_limits(self, operation: Operation) -> int:
+        """Checks the limits of one operation and returns by how many bytes it may grow the state at most."""
+        key_bytes = len(operation.key.encode())
+        if key_bytes > MAX_KEY_BYTES or (
+            not key_bytes and not (isinstance(operation, Delete) and operation.prefix)
+        ):
             raise _CommandRefusedError(
-                "limit", f"found a key of {length} bytes; allowed: 1 to {MAX_KEY_BYTES}"
+                "limit", f"found a key of {key_bytes} bytes; allowed: 1 to {MAX_KEY_BYTES}"
             )
-        if isinstance(op, Delete):
+        if isinstance(operation, Delete):
             return 0
-        if len(op.value) > MAX_VALUE_BYTES:
+        if len(operation.value) > MAX_VALUE_BYTES:
             raise _CommandRefusedError(
-                "limit", f"{op.key}: found a value of {len(op.value)} bytes; allowed: {MAX_VALUE_BYTES}"
+                "limit",
+                f"{operation.key}: found a value of {len(operation.value)} bytes; allowed: {MAX_VALUE_BYTES}",
             )
-        if op.lease:
-            self._require_lease(op.lease)
-        old = self.state.values.get(op.key)
-        return len(op.value) - len(old.value) if old else length + len(op.value)
-
-    def _expand_prefix(self, op: Operation) -> list[Operation]:
-        if isinstance(op, Delete) and op.prefix:
-            return [Delete(key) for key in self.keys_with_prefix(op.key)]
-        return [op]
-
-    def _apply_operations(self, ops: list[Operation]) -> None:
-        """One revision for all operations together; a removal of what is not there changes nothing."""
+        if operation.lease:
+            self._require_lease(operation.lease)
+        old = self.state.values.get(operation.key)
+        return len(operation.value) - len(old.value) if old else key_bytes + len(operation.value)
+
+    def _expand_prefix(self, operation: Operation) -> list[Operation]:
+        if isinstance(operation, Delete) and operation.prefix:
+            return [Delete(key) for key in self.keys_with_prefix(operation.key)]
+        return [operation]
+
+    def _apply_operations(self, operations: list[Operation]) -> None:
+        """Applies operations under one new revision; removing a missing key changes nothing."""
         state, revision, events = self.state, self.state.revision + 1, []
-        for op in ops:
-            old = state.values.get(op.key)
-            if isinstance(op, Put):
-                new = Value(op.value, old.created_revision if old else revision, revision, op.lease)
+        for operation in operations:
+            old = state.values.get(operation.key)
+            if isinstance(operation, Put):
+                new = Value(
+                    operation.value, old.created_revision if old else revision, revision, operation.lease
+                )
             elif old is None:
                 continue
             else:
                 new = None
-            self._replace_value(op.key, old, new)
-            events.append(Event(revision, op.key, new))
+            self._replace_value(operation.key, old, new)
+            events.append(Event(revision, operation.key, new))
         if events:
             state.revision = revision
             self._record_events(events)
@@ -342,7 +348,7 @@
 
     # --- Reads and watches -----------------------------------------------------------------------------
     def keys_with_prefix(self, prefix: str) -> list[str]:
-        """All keys that begin so, in their order."""
+        """Returns all keys with a prefix, sorted."""
         first = bisect.bisect_left(self._keys, prefix)
         last = first
         while last < len(self._keys) and self._keys[last].startswith(prefix):
@@ -350,7 +356,7 @@
         return self._keys[first:last]
 
     def values_with_prefix(self, prefix: str) -> dict[str, Value]:
-        """What stands under all keys that begin so."""
+        """Returns the values of all keys with a prefix."""
         return {key: self.state.values[key] for key in self.keys_with_prefix(prefix)}
 
     def _record_events(self, events: list[Event]) -> None:
@@ -358,31 +364,34 @@
             self.events.append(event)
             self._event_bytes += estimated_event_bytes(event)
         while self.events and (len(self.events) > MAX_EVENTS or self._event_bytes > MAX_EVENT_BYTES):
-            gone = self.events[0].revision
-            while self.events and self.events[0].revision == gone:  # a transaction is told whole
+            dropped_revision = self.events[0].revision
+            while self.events and self.events[0].revision == dropped_revision:  # drops whole transactions
                 self._event_bytes -= estimated_event_bytes(self.events.popleft())
-            self.oldest_revision = gone + 1
+            self.oldest_revision = dropped_revision + 1
 
     def events_since(self, revision: int, prefix: str) -> list[Event]:
-        """Changes from a revision on; CompactedError where not all are kept."""
+        """Returns the events from a revision on; CompactedError if some of them are no longer kept."""
         if revision < self.oldest_revision:
             raise CompactedError(self.oldest_revision)
-        found: list[Event] = []
+        events: list[Event] = []
         for event in reversed(self.events):
             if event.revision < revision:
                 break
             if event.key.startswith(prefix):
-                found.append(event)
-        found.reverse()
-        return found
+                events.append(event)
+        events.reverse()
+        return events
 
     # --- Snapshots ---------------------------------------------------------------------------------------
     def serialize(self) -> bytes:
-        """All of the state."""
+        """Returns the state as the data of a snapshot."""
         return _encode(self.state)
 
     def restore(self, data: bytes) -> None:
-        """Go over to a snapshot. Its past is not known: a watch from before it is told so."""
+        """Replaces the state by that of a snapshot.
+
+        Earlier events are unknown, so older watches are compacted.
+        """
         self.state = _state_decoder.decode(data) if data else State(values={}, leases={}, sessions={})
         self._keys = sorted(self.state.values)
         self.events.clear()
@@ -390,33 +399,36 @@
 
 
 def estimated_event_bytes(event: Event) -> int:
-    """Bytes that an event takes, near enough."""
+    """Estimated memory of an event, in bytes."""
     return len(event.key) + (len(event.value.value) if event.value else 0) + 64
 
 
 def encode_command(command: Command) -> bytes:
-    """A command as an entry's data."""
+    """Encodes a command as the data of a log entry."""
     return _encode(command)
 
 
 class LeaseTimers:
-    """The leader's view of leases: each may run its whole time again after a change of leader."""
+    """Lease timers of the leader. A new leader starts every lease's full time to live again."""
 
     def __init__(self) -> None:
-        self._first_seen: dict[int, tuple[int, float]] = {}  # lease: renewals, when they were first seen
+        self._first_seen: dict[int, tuple[int, float]] = {}  # lease -> renewal count, time first seen in ms
 
     def reset(self) -> None:
         self._first_seen.clear()
 
     def expired(self, now: float, leases: dict[int, Lease]) -> list[ExpireLease]:
-        """What has run out by now. To be asked at least as often as leases shall be exact."""
+        """Returns commands for the leases that expired by `now` (ms).
+
+        The interval between calls bounds how late an expiry is noticed.
+        """
         for ident in self._first_seen.keys() - leases.keys():
             del self._first_seen[ident]
-        found = []
+        commands = []
         for ident, lease in leases.items():
-            renewals, since = self._first_seen.get(ident, (-1, 0.0))
-            if renewals != lease.renewal_count:
+            renewal_count, first_seen_ms = self._first_seen.get(ident, (-1, 0.0))
+            if renewal_count != lease.renewal_count:
                 self._first_seen[ident] = lease.renewal_count, now
-            elif now - since >= lease.ttl_ms:
-                found.append(ExpireLease(ident, lease.renewal_count))
-        return found
+            elif now - first_seen_ms >= lease.ttl_ms:
+                commands.append(ExpireLease(ident, lease.renewal_count))
+        return commands
--- a/basaltpoint/store/wire.py
+++ b/basaltpoint/store/wire.py
@@ -1,4 +1,4 @@
-"""MessagePack for the store's structures: one encoder, and a decoder for each kind."""
+"""MessagePack encoder and decoders for the store's structures."""
 
 from __future__ import annotations
 
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -109,7 +109,7 @@
     raw = name.read_bytes()
     for at in range(sound_until):
         name.write_bytes(raw[:at] + bytes([raw[at] ^ 4]) + raw[at + 1 :])
-        with pytest.raises(CorruptionError, match=r"log-0+1\.seg: damage at byte \d+.*store remove"):
+        with pytest.raises(CorruptionError, match=r"log-0+1\.seg: corruption at byte \d+.*store remove"):
             Disk(OsFiles(tmp_path))
         assert name.stat().st_size == len(raw), "nothing may be cut from what can't be trusted"
 
@@ -132,7 +132,7 @@
     raw = name.read_bytes()
     for broken in (raw[:-1], raw + b"x", b"", raw[:20] + bytes([raw[20] ^ 1]) + raw[21:]):
         name.write_bytes(broken)
-        with pytest.raises(CorruptionError, match="the snapshot is not whole"):
+        with pytest.raises(CorruptionError, match="the snapshot is incomplete or corrupt"):
             Disk(OsFiles(tmp_path))
 
 
