--- a/basaltpoint/core/__init__.py
+++ b/basaltpoint/core/__init__.py
@@ -1,1 +1,1 @@
-"""The request table: events and the time in, actions out."""
+"""The request table: a state machine that turns events into effects."""
--- a/basaltpoint/core/table.py
+++ b/basaltpoint/core/table.py
@@ -1,13 +1,13 @@
-"""The request table: every request that was taken, its attempts, its deadline and its one final answer.
+"""The request table: every admitted request, its attempts, its deadline and its one final reply.
 
-A machine without I/O: what happened and the time go in, effects come out, to be carried out in their order.
-It reads no clock and sets no timer; `next_ms` says when `tick` is due. Every decision is the module's; the
-table holds it to what must hold whatever the module says:
+A state machine without I/O: callers pass in events and the current time (milliseconds) and carry out the
+returned effects in order. It reads no clock and sets no timer; `next_tick_ms` says when `tick` is due. The
+decision module makes every decision; whatever it decides, the table enforces these invariants:
 
 - a request gets exactly one `Reply`, at its client's deadline at the latest;
-- no attempt goes out while another is out, after the reply, past the deadline or beyond `max_attempts`;
-- each attempt that went out is told the module as ended exactly once, also after the reply;
-- an answer that has begun to be passed on ends whole or visibly cut, never in another answer.
+- no attempt starts while another is active, after the reply, past the deadline or beyond `max_attempts`;
+- the end of each started attempt is reported to the module exactly once, also after the reply;
+- a response whose forwarding has started ends complete or visibly truncated, never as another response.
 """
 
 from __future__ import annotations
@@ -24,43 +24,48 @@
 from basaltpoint.interface import Status
 from basaltpoint.telemetry.figures import Counts, Figures
 
-POSTPONED_MS = 2.0  # by which an answer may come later where the loop was held up
-GRACE_MS = 20.0  # for what is due at the end of all time to be answered by the module itself
-MOOTS = 100  # sends that can't be made, told at a time
-COMPACT = 256  # entries of the timer heap; from here on it is rebuilt once most of them are over
+LATE_TICK_DELAY_MS = 2.0  # how much later a reply may come when the event loop was blocked
+FINAL_DEADLINE_GRACE_MS = 20.0  # lets the module reply itself to what is due at the final deadline
+MAX_SUPERSEDED_SENDS = 100  # superseded sends reported to the module in one processing run
+TIMER_COMPACTION_SIZE = 256  # from this heap size on, the heap is rebuilt once most entries are obsolete
 
 
 class RequestResult(Enum):
     """How a request ended for its client."""
 
     SERVED = "served"
-    REFUSED = "refused"  # a retry is harmless
-    FAILED = "failed"  # promises nothing
-    CUT = "cut"  # the answer had begun and could not be finished
-    OVERDUE = "overdue"  # the module was silent up to the deadline
-    FAULT = "fault"  # the module broke down on it
-    BUSY = "busy"  # not taken: too many are open
-    DUPLICATE = "twin"  # not taken: one of this name is open
+    REFUSED = "refused"  # the client may safely retry
+    FAILED = "failed"  # the request may have been executed
+    CUT = "cut"  # the response had started and could not be completed
+    OVERDUE = "overdue"  # the module did not decide before the deadline
+    FAULT = "fault"  # the module raised an exception on the request
+    BUSY = "busy"  # not admitted: too many requests are open
+    DUPLICATE = "twin"  # not admitted: a request with the same key is open
 
 
 class NewRequest(NamedTuple):
-    """What a front knows of a request: `wait_ms` counts from now, `name` is unique among the open ones."""
+    """A request as a front submits it.
 
-    cls: int
+    `client_wait_ms`: how long the client waits from now on. `key`: unique among the open requests unless
+    empty. `limiter_count`: limiters that share the customer's ceiling.
+    """
+
+    class_number: int
     plan: int
     customer: int
     units: float
-    doors: int
+    limiter_count: int
     client_wait_ms: float
-    reply_margin_ms: float = 0.0  # the module's deadline lies so much before the client's
+    reply_margin_ms: float = 0.0  # how long before the client's deadline the module's deadline lies
     pool: int = 0
     key: bytes = b""
 
 
 class StartAttempt(NamedTuple):
-    """Begin an attempt, to be given up at `until_ms`; its end is owed to `Table.ended`.
+    """Start an attempt. The caller must report its end to `RequestTable.attempt_ended`.
 
-    At `whole_ms` it is given up, too, unless its last byte has gone by then.
+    `end_by_ms`: when the attempt times out. `write_by_ms`: when it times out if its last byte has not been
+    written by then.
     """
 
     request: int
@@ -72,14 +77,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Give an attempt up; its end, cancelled or another, is still owed to `Table.ended`."""
+    """Cancel an attempt. Its end, cancelled or not, must still be reported to `attempt_ended`."""
 
     request: int
     attempt: int
 
 
 class ShortenAttempt(NamedTuple):
-    """Give the attempt that is out up at `until_ms` at the latest, whatever it was begun with."""
+    """Let the active attempt time out at `end_by_ms` at the latest, whatever limit it was started with."""
 
     request: int
     end_by_ms: float
@@ -87,13 +92,13 @@
 
 @dataclass(frozen=True, slots=True)
 class StartResponse:
-    """Pass on the head of the answer that has come; what follows it streams."""
+    """Forward the received response head to the client; the body is streamed after it."""
 
     request: int
 
 
 class Reply(NamedTuple):
-    """The one final answer; `payload` is what came with the attempt that served it."""
+    """The one final reply to a request; `payload` is the payload of the attempt that determined it."""
 
     request: int
     result: RequestResult
@@ -104,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """What must never happen did; the text is for whoever mends it."""
+    """An invariant was violated, by the module or by this program; `text` describes it for the log."""
 
     text: str
 
@@ -123,32 +128,34 @@
 
 
 class EventHandler(Protocol):
-    """The decision module, as the table needs it."""
+    """The decision module, as far as the table needs it."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]: ...
 
 
 @dataclass(slots=True)
 class OpenRequest:
-    """One request; gone once it is answered and nothing is out."""
+    """One request; removed once it has been replied to and no attempt is active."""
 
     key: bytes
     counts: Counts
-    deadline_ms: float  # the module's
-    attempts_sent: int = 0  # that went out
-    active_attempt: int | None = None  # the attempt that is out
-    attempt_server: int = 0  # and where
-    sent_ms: float = 0.0
-    attempt_end_by_ms: float = 0.0  # when that attempt ends by itself
-    response_started_ms: float = 0.0  # when its answer began to be passed on; 0: not yet
-    is_open: bool = True
+    deadline_ms: float  # the module's deadline, not the client's
+    attempts_sent: int = 0
+    active_attempt: int | None = None
+    attempt_server: int = 0  # server number of the last attempt
+    sent_ms: float = 0.0  # start of the last attempt, or the end of its upload
+    attempt_end_by_ms: float = 0.0  # when the last attempt times out
+    response_started_ms: float = 0.0  # when forwarding the response started; 0: not yet
+    is_open: bool = True  # not replied to yet
     client_wait_ms: float = 0.0
-    body_consumed: bool = False  # part of its body is gone: no attempt can follow
-    is_uploading: bool = False  # its body is on its way still: no deadline counts
-    deadline_postponed: bool = False  # its deadline came while an attempt was out, whose end is heard first
+    body_consumed: bool = False  # part of the body was streamed and not kept: no further attempt is possible
+    is_uploading: bool = False  # the body is still being streamed: the deadline is suspended
+    deadline_postponed: bool = (
+        False  # the deadline passed, and the overdue end of an attempt is handled first
+    )
 
     def describe(self, now: float) -> str:
-        """What stands, for the log; times are ms from now on."""
+        """The state of the request, for the log; times are in ms relative to `now`."""
         out = (
             f"attempt {self.active_attempt} out since {self.sent_ms - now:.1f}, "
             f"until {self.attempt_end_by_ms - now:.1f}"
@@ -161,7 +168,7 @@
         )
 
 
-def _counted(counts: Counts, reply: Reply) -> Reply:
+def _count_reply(counts: Counts, reply: Reply) -> Reply:
     if reply.result is RequestResult.SERVED:
         counts.answered += 1
     elif reply.result in (RequestResult.REFUSED, RequestResult.BUSY):
@@ -172,59 +179,66 @@
 
 
 class RequestTable:
-    """All requests in hand."""
+    """All requests that are open or have an active attempt. Times are in ms."""
 
     def __init__(self, module: EventHandler, max_attempts: int, max_open: int, figures: Figures) -> None:
-        """`figures`: where each final answer is counted, by the request's class."""
-        self.module = module
+        """`figures`: counts each final reply, by the request's class."""
+        self.handler = module
         self.figures = figures
         self.max_attempts = max_attempts
         self.max_open = max_open
         self.requests: dict[int, OpenRequest] = {}
-        self.open_keys: set[bytes] = set()  # of the open requests
+        self.open_keys: set[bytes] = set()
         self.open_count = 0
-        self.final_deadline_ms = math.inf  # nothing is answered later; see `shorten_deadlines`
-        self._count = 0
-        self._moots = 0  # sends that could not be made, in this run
-        self._timers: list[tuple[float, int, int]] = []  # when, request (0: the module's), token
+        self.final_deadline_ms = math.inf  # no request is replied to later; see `shorten_deadlines`
+        self._last_request = 0
+        self._superseded_sends = 0  # in the current processing run
+        self._timers: list[tuple[float, int, int]] = []  # heap of (time, request or 0, module's timer token)
         self._events: deque[api.Event] = deque()
         self._effects: list[Effect] = []
 
-    # --- What happens -------------------------------------------------------------------------
-    def admit(self, now: float, ticket: NewRequest) -> tuple[int, list[Effect]]:
-        """Take a request on; from here it gets one reply, before its client gives up."""
-        self._count += 1
-        cls, plan, customer, units, doors, wait_ms, early_ms, pool, name = ticket
-        ident, counts = self._count, self.figures.counts_of(cls)
+    # --- Events -------------------------------------------------------------------------------
+    def admit(self, now: float, request: NewRequest) -> tuple[int, list[Effect]]:
+        """Admits a request, which then gets one reply before its client's deadline; returns its number.
+
+        The reply is immediate if too many requests are open or one with the same key is open.
+        """
+        self._last_request += 1
+        class_number, plan, customer, units, limiter_count, client_wait_ms, reply_margin_ms, pool, key = (
+            request
+        )
+        ident, counts = self._last_request, self.figures.counts_of(class_number)
         if self.open_count >= self.max_open or now >= self.final_deadline_ms:
-            return ident, [_counted(counts, Reply(ident, RequestResult.BUSY))]
-        if name and name in self.open_keys:
-            # Sent on, a server would see it as a second copy of the one that is open.
-            return ident, [_counted(counts, Reply(ident, RequestResult.DUPLICATE))]
-        deadline = now + max(wait_ms - early_ms, wait_ms / 2)
+            return ident, [_count_reply(counts, Reply(ident, RequestResult.BUSY))]
+        if key and key in self.open_keys:
+            # If it were forwarded, a server could not tell it from a repeated attempt of the open request.
+            return ident, [_count_reply(counts, Reply(ident, RequestResult.DUPLICATE))]
+        deadline = now + max(client_wait_ms - reply_margin_ms, client_wait_ms / 2)
         self.requests[ident] = OpenRequest(
-            name, counts, min(deadline, self.final_deadline_ms), client_wait_ms=wait_ms
+            key, counts, min(deadline, self.final_deadline_ms), client_wait_ms=client_wait_ms
         )
-        if name:
-            self.open_keys.add(name)
+        if key:
+            self.open_keys.add(key)
         self.open_count += 1
-        self._plan(now + wait_ms, ident, 0)
-        self._events.append(api.Arrival(ident, cls, plan, customer, units, doors, deadline, pool))
-        return ident, self._run(now)
+        self._schedule(now + client_wait_ms, ident, 0)
+        self._events.append(
+            api.Arrival(ident, class_number, plan, customer, units, limiter_count, deadline, pool)
+        )
+        return ident, self._process(now)
 
     def client_disconnected(self, now: float, ident: int) -> list[Effect]:
-        """The client has hung up: nobody waits for an answer any more."""
+        """The client has disconnected: the request needs no reply any more."""
         if (entry := self.requests.get(ident)) and entry.is_open:
             self._close(ident, entry)
             if entry.response_started_ms and entry.active_attempt is not None:
                 self._effects.append(CancelAttempt(ident, entry.active_attempt))
             self._events.append(api.Abandoned(ident))
-        return self._run(now)
+        return self._process(now)
 
     def response_started(self, now: float, ident: int, attempt: int) -> list[Effect]:
-        """The head of an attempt's good answer has come, and the answer is to be streamed.
+        """The head of an attempt's successful response was received, and the response is to be streamed.
 
-        With no `Begin` among the effects nobody waits for it any more, and the attempt is to be given up.
+        If the effects hold no `StartResponse`, the request is closed and the caller must cancel the attempt.
         """
         entry = self.requests.get(ident)
         if entry is None or not entry.is_open or entry.active_attempt != attempt:
@@ -232,7 +246,7 @@
         entry.response_started_ms = now
         self._effects.append(StartResponse(ident))
         self._events.append(api.StreamBegun(ident, attempt, entry.attempt_server))
-        return self._run(now)
+        return self._process(now)
 
     def attempt_ended(
         self,
@@ -245,101 +259,115 @@
         report: tuple[float, ...] = (),
         units: float = 0.0,
         payload: object = None,
-        final: bool = False,
+        is_final: bool = False,
     ) -> list[Effect]:
-        """An attempt's end: the first good one is the client's, and each is told the module.
+        """An attempt has ended. The first successful one is the reply; the module is notified of each.
 
-        `units`: what the request truly took, where the answer tells; 0: its guess stands.
-        `final`: what came is a whole answer and the client's, though the attempt counts as failed.
+        `usage`: the customer's metered use in percent, if the server reported it. `report`: the load report
+        of the server. `units`: the request's true cost as reported by the server; 0: the estimate stands.
+        `is_final`: the response is complete and goes to the client although the attempt counts as failed.
         """
         entry = self.requests.get(ident)
         if entry is None or entry.active_attempt != attempt:
             return []
         entry.active_attempt = None
-        # A stream takes the time its client does; what the server took shows in the head.
-        elapsed = (entry.response_started_ms or now) - entry.sent_ms
+        # The duration of a stream depends on its client; the time to the head shows the server's latency.
+        elapsed_ms = (entry.response_started_ms or now) - entry.sent_ms
         if entry.is_open and status is Status.OK:
             self._reply(ident, entry, Reply(ident, RequestResult.SERVED, payload=payload))
-        elif entry.is_open and final:
+        elif entry.is_open and is_final:
             self._reply(ident, entry, Reply(ident, RequestResult.FAILED, payload=payload))
         elif entry.is_open and entry.response_started_ms:
             self._reply(ident, entry, Reply(ident, RequestResult.CUT))
-        closed = not entry.is_open
-        self._forget(ident, entry)
+        is_closed = not entry.is_open
+        self._remove_if_finished(ident, entry)
         self._events.append(
-            api.Outcome(ident, attempt, entry.attempt_server, status, elapsed, closed, usage, units, report)
+            api.Outcome(
+                ident, attempt, entry.attempt_server, status, elapsed_ms, is_closed, usage, units, report
+            )
         )
-        return self._run(now)
+        return self._process(now)
 
     def upload_started(self, now: float, ident: int) -> list[Effect]:
-        """The request's body is being streamed: no attempt can follow this one, and the deadline rests."""
+        """Streaming the request's body has started: no retry is possible, and the deadline is suspended."""
         if (entry := self.requests.get(ident)) and entry.active_attempt is not None:
             entry.body_consumed = entry.is_uploading = True
             self._events.append(api.Uploading(ident, entry.active_attempt))
-        return self._run(now)
+        return self._process(now)
+
+    def upload_finished(self, now: float, ident: int, remaining_ms: float) -> None:
+        """The body was sent completely. The attempt's latency and the deadline count from now on.
 
-    def upload_finished(self, now: float, ident: int, left_ms: float) -> None:
-        """The body is whole at the server, whose time counts from now on; `left_ms`: of its client's wait."""
+        `remaining_ms`: how long the client still waits.
+        """
         if (entry := self.requests.get(ident)) and entry.is_uploading:
             entry.is_uploading, entry.sent_ms = False, now
-            entry.deadline_ms = min(now + left_ms, self.final_deadline_ms)
-            self._plan(now + left_ms, ident, 0)
+            entry.deadline_ms = min(now + remaining_ms, self.final_deadline_ms)
+            self._schedule(now + remaining_ms, ident, 0)
 
-    def shorten_deadlines(self, now: float, latest_ms: float) -> list[Effect]:
-        """From here on every request is answered by then, one whose body still comes too: the process ends.
+    def shorten_deadlines(self, now: float, final_deadline_ms: float) -> list[Effect]:
+        """Bounds all deadlines, those of requests still being uploaded included, because the process ends.
 
-        The module goes on deciding by its own times; what it would begin beyond this can't be sent. An answer
-        that is being passed on is neither cut nor changed here.
+        The module keeps its own deadlines; attempts that it would start later are superseded. Responses that
+        are being streamed are not affected.
         """
-        self.final_deadline_ms = latest_ms
+        self.final_deadline_ms = final_deadline_ms
         for ident, entry in self.requests.items():
             if (
                 entry.is_open
                 and not entry.response_started_ms
-                and (entry.is_uploading or entry.deadline_ms > latest_ms)
+                and (entry.is_uploading or entry.deadline_ms > final_deadline_ms)
             ):
-                entry.is_uploading, entry.deadline_ms = False, latest_ms
-                self._plan(math.inf, ident, 0)
+                entry.is_uploading, entry.deadline_ms = False, final_deadline_ms
+                self._schedule(math.inf, ident, 0)
                 if entry.active_attempt is not None:
-                    self._effects.append(ShortenAttempt(ident, latest_ms))
-        return self._run(now)
+                    self._effects.append(ShortenAttempt(ident, final_deadline_ms))
+        return self._process(now)
 
     def handle_event(self, now: float, event: api.Event) -> list[Effect]:
-        """Hand on what is the module's alone: lists, probes' results, new settings."""
+        """Passes an event to the module that the table itself has no use for.
+
+        Examples are server lists, probe results and new settings.
+        """
         self._events.append(event)
-        return self._run(now)
+        return self._process(now)
 
     # --- Time ---------------------------------------------------------------------------------
     @property
     def next_tick_ms(self) -> float | None:
-        """When `tick` is due; None while nothing waits."""
+        """When `tick` is due; None if no timer is pending."""
         while self._timers:
-            when, ident, _ = self._timers[0]
-            if not ident or ((entry := self.requests.get(ident)) and self._waits(entry, when)):
-                return when
+            when_ms, ident, _ = self._timers[0]
+            if not ident or ((entry := self.requests.get(ident)) and self._deadline_applies(entry, when_ms)):
+                return when_ms
             heapq.heappop(self._timers)
         return None
 
-    def _waits(self, entry: OpenRequest, when: float) -> bool:
-        """Whether the deadline that was set for this time still holds."""
-        moved = entry.body_consumed and when < entry.deadline_ms
-        return entry.is_open and not entry.response_started_ms and not entry.is_uploading and not moved
+    def _deadline_applies(self, entry: OpenRequest, deadline_ms: float) -> bool:
+        """Whether the timer that was set for this time is still the request's deadline."""
+        was_postponed = entry.body_consumed and deadline_ms < entry.deadline_ms
+        return (
+            entry.is_open and not entry.response_started_ms and not entry.is_uploading and not was_postponed
+        )
 
     def tick(self, now: float) -> list[Effect]:
-        """What is due by now: the module's timers, and replies to requests that it left unanswered."""
-        while (when := self.next_tick_ms) is not None and when <= now:
+        """Fires the module's timers that are due and replies to requests whose deadline has passed."""
+        while (when_ms := self.next_tick_ms) is not None and when_ms <= now:
             _, ident, token = heapq.heappop(self._timers)
             if not ident:
                 self._events.append(api.TimerFired(token))
                 continue
-            self._hear(now)  # what was due before this deadline may answer the request
-            if (entry := self.requests.get(ident)) and self._waits(entry, when):
-                self._overdue(now, ident, late=now > when)
-        return self._run(now)
-
-    def _overdue(self, now: float, ident: int, late: bool) -> None:
-        """A deadline has come without an answer. Where a call comes late, an attempt that is out has its own
-        end due in the same turn, and what that means is the module's to say: it is heard first."""
+            self._deliver_events(now)  # timers that were due before this deadline may reply to the request
+            if (entry := self.requests.get(ident)) and self._deadline_applies(entry, when_ms):
+                self._deadline_passed(now, ident, late=now > when_ms)
+        return self._process(now)
+
+    def _deadline_passed(self, now: float, ident: int, late: bool) -> None:
+        """Replies to a request whose deadline passed without a decision of the module.
+
+        If `tick` is late because the event loop was blocked, the active attempt may have timed out in the
+        same turn. The module decides what that means, so the deadline is postponed once to report it first.
+        """
         entry = self.requests[ident]
         if (
             late
@@ -348,49 +376,54 @@
             and not entry.deadline_postponed
         ):
             entry.deadline_postponed = True
-            self._plan(now + POSTPONED_MS, ident, 0)
+            self._schedule(now + LATE_TICK_DELAY_MS, ident, 0)
             return
         text = f"request {ident} had no answer at its deadline; {entry.describe(now)}"
         self._effects.append(Fault(text))
-        self._give_up(ident, RequestResult.OVERDUE)
+        self._reply_without_handler(ident, RequestResult.OVERDUE)
 
-    def _plan(self, when: float, ident: int, token: int) -> None:
+    def _schedule(self, when_ms: float, ident: int, token: int) -> None:
         if ident:
-            when = min(when, self.final_deadline_ms + GRACE_MS)
-        heapq.heappush(self._timers, (when, ident, token))
-        if len(self._timers) > COMPACT and len(self._timers) > 2 * self.open_count + COMPACT:
+            when_ms = min(when_ms, self.final_deadline_ms + FINAL_DEADLINE_GRACE_MS)
+        heapq.heappush(self._timers, (when_ms, ident, token))
+        if (
+            len(self._timers) > TIMER_COMPACTION_SIZE
+            and len(self._timers) > 2 * self.open_count + TIMER_COMPACTION_SIZE
+        ):
             self._timers = [t for t in self._timers if not t[1] or t[1] in self.requests]
             heapq.heapify(self._timers)
 
-    # --- The module's actions -----------------------------------------------------------------
-    def _run(self, now: float) -> list[Effect]:
-        """Have the module hear all that has happened; the effects."""
-        self._hear(now)
+    # --- Actions of the module ----------------------------------------------------------------
+    def _process(self, now: float) -> list[Effect]:
+        """Delivers all pending events to the module and returns the effects."""
+        self._deliver_events(now)
         effects, self._effects = self._effects, []
         return effects
 
-    def _hear(self, now: float) -> None:
-        self._moots = 0
+    def _deliver_events(self, now: float) -> None:
+        self._superseded_sends = 0
         while self._events:
             event = self._events.popleft()
             try:
-                actions = self.module.handle(now, event)
+                actions = self.handler.handle(now, event)
             except Exception:
-                # A fault in one request must not end the others; its own client is told of a failure.
+                # An exception on one request must not affect the others; only its own client gets an error.
                 self._effects.append(Fault(f"the module failed on {event!r}: {traceback.format_exc()}"))
-                self._give_up(getattr(event, "request", 0), RequestResult.FAULT)
+                self._reply_without_handler(getattr(event, "request", 0), RequestResult.FAULT)
                 continue
             for action in actions:
-                self._act(now, action)
+                self._apply(now, action)
 
-    def _act(self, now: float, action: api.Action) -> None:
+    def _apply(self, now: float, action: api.Action) -> None:
         match action:
             case api.Send():
-                self._send(now, action)
+                self._start_attempt(now, action)
             case api.Refuse():
-                self._answer(action.request, RequestResult.REFUSED, action.retry_in_ms, action.why)
+                self._reply_unless_started(
+                    action.request, RequestResult.REFUSED, action.retry_in_ms, action.why
+                )
             case api.Fail():
-                self._answer(action.request, RequestResult.FAILED)
+                self._reply_unless_started(action.request, RequestResult.FAILED)
             case api.Cancel():
                 entry = self.requests.get(action.request)
                 if (
@@ -400,59 +433,62 @@
                 ):
                     self._effects.append(CancelAttempt(action.request, action.attempt))
             case api.SetTimer():
-                self._plan(now + action.delay_ms, 0, action.token)
+                self._schedule(now + action.delay_ms, 0, action.token)
             case api.Probe() | api.CloseIdle() | api.Log():
                 self._effects.append(action)
             case api.Subscribe() | api.FetchList():
-                pass  # the watch is always on
+                pass  # the subscription to discovery is always active
             case _:
-                self._effects.append(Fault(f"an action that the table does not know: {action!r}"))
+                self._effects.append(Fault(f"unknown action of the module: {action!r}"))
 
-    def _send(self, now: float, action: api.Send) -> None:
+    def _start_attempt(self, now: float, action: api.Send) -> None:
         ident = action.request
         entry = self.requests.get(ident)
         number = entry.attempts_sent if entry else 0
-        until = min(action.until_ms or entry.deadline_ms, entry.deadline_ms) if entry else 0.0
-        fit = (
+        end_by_ms = min(action.until_ms or entry.deadline_ms, entry.deadline_ms) if entry else 0.0
+        can_send = (
             entry is not None
             and entry.is_open
             and entry.active_attempt is None
             and not (entry.response_started_ms or entry.body_consumed)
         )
-        if entry is None or not fit or now >= until or number >= self.max_attempts:
-            gone = entry is None or not entry.is_open
-            self._moot(api.Outcome(ident, number, action.server, Status.MOOT, 0.0, gone))
+        if entry is None or not can_send or now >= end_by_ms or number >= self.max_attempts:
+            is_closed = entry is None or not entry.is_open
+            self._report_superseded(api.Outcome(ident, number, action.server, Status.MOOT, 0.0, is_closed))
             return
         entry.attempts_sent += 1
         entry.active_attempt, entry.attempt_server, entry.sent_ms, entry.attempt_end_by_ms = (
             number,
             action.server,
             now,
-            until,
+            end_by_ms,
         )
-        self._effects.append(StartAttempt(ident, number, action.server, until, action.whole_ms))
+        self._effects.append(StartAttempt(ident, number, action.server, end_by_ms, action.whole_ms))
 
-    def _moot(self, outcome: api.Outcome) -> None:
-        """Tell of a send that can't be made; a module that answers each with another must not hang all."""
-        self._moots += 1
-        if self._moots <= MOOTS:
+    def _report_superseded(self, outcome: api.Outcome) -> None:
+        """Reports a superseded send to the module.
+
+        The number is limited: a module that reacts to each one with another send must not block the process.
+        """
+        self._superseded_sends += 1
+        if self._superseded_sends <= MAX_SUPERSEDED_SENDS:
             self._events.append(outcome)
-        elif self._moots == MOOTS + 1:
-            self._effects.append(Fault(f"the module sends what can't be sent, again and again: {outcome!r}"))
+        elif self._superseded_sends == MAX_SUPERSEDED_SENDS + 1:
+            self._effects.append(Fault(f"the module keeps sending attempts that can't be sent: {outcome!r}"))
 
-    def _answer(
-        self, ident: int, ending: RequestResult, retry_ms: float = 0.0, why: api.Why | None = None
+    def _reply_unless_started(
+        self, ident: int, result: RequestResult, retry_ms: float = 0.0, reason: api.Why | None = None
     ) -> None:
         entry = self.requests.get(ident)
         if entry and entry.is_open and not entry.response_started_ms:
-            self._reply(ident, entry, Reply(ident, ending, retry_ms, why))
+            self._reply(ident, entry, Reply(ident, result, retry_ms, reason))
 
-    def _give_up(self, ident: int, ending: RequestResult) -> None:
-        """Answer in the module's place; what it still holds of the request is over."""
+    def _reply_without_handler(self, ident: int, result: RequestResult) -> None:
+        """Replies without a decision of the module, which is told that the request was abandoned."""
         entry = self.requests.get(ident)
         if entry and entry.is_open:
             self._reply(
-                ident, entry, Reply(ident, RequestResult.CUT if entry.response_started_ms else ending)
+                ident, entry, Reply(ident, RequestResult.CUT if entry.response_started_ms else result)
             )
             if entry.response_started_ms and entry.active_attempt is not None:
                 self._effects.append(CancelAttempt(ident, entry.active_attempt))
@@ -460,14 +496,14 @@
 
     def _reply(self, ident: int, entry: OpenRequest, reply: Reply) -> None:
         self._close(ident, entry)
-        self._effects.append(_counted(entry.counts, reply))
+        self._effects.append(_count_reply(entry.counts, reply))
 
     def _close(self, ident: int, entry: OpenRequest) -> None:
         entry.is_open = False
         self.open_count -= 1
         self.open_keys.discard(entry.key)
-        self._forget(ident, entry)
+        self._remove_if_finished(ident, entry)
 
-    def _forget(self, ident: int, entry: OpenRequest) -> None:
+    def _remove_if_finished(self, ident: int, entry: OpenRequest) -> None:
         if not entry.is_open and entry.active_attempt is None:
             self.requests.pop(ident, None)
--- a/basaltpoint/fronts/http/relay.py
+++ b/basaltpoint/fronts/http/relay.py
@@ -77,7 +77,7 @@
         self._origin = self._origin if origin_s is None else origin_s
         self._joining = PendingConnections()
         self.connections: dict[ClientConnection, None] = {}
-        make = partial(StreamConnection, head_limit=self.head_limit, buffer=self.buffer)
+        make = partial(StreamConnection, max_head_bytes=self.head_limit, write_buffer_bytes=self.buffer)
         most = int((file.limits.sockets - MARGIN) * SERVER_PART)
         self.most_clients = file.limits.sockets - MARGIN - most
         up = file.upstream
@@ -280,7 +280,7 @@
 
     def ended(self, passage: Passage, status: Status, final: bool) -> None:
         """An attempt of it is over."""
-        self.do(self.table.attempt_ended(self.now(), passage.ident, passage.number, status, final=final))
+        self.do(self.table.attempt_ended(self.now(), passage.ident, passage.number, status, is_final=final))
 
     def _withdraw(self, effect: CancelAttempt) -> None:
         if attempt := self._attempts.get(effect.request):
--- a/basaltpoint/routing/accounts.py
+++ b/basaltpoint/routing/accounts.py
@@ -87,16 +87,16 @@
         """The account of a request, an anonymous one by its client's address, or why there is none."""
         key = self.request_key(headers)
         if key is None:
-            return self._without(self.identity.no_key, address, False)
-        sum_ = key_digest(key) if len(key) <= MAX_KEY_BYTES else UNKNOWN_DIGEST
-        account = self._by_digest.get(sum_)
+            return self._without_account(self.identity.no_key, address, False)
+        found_digest = key_digest(key) if len(key) <= MAX_KEY_BYTES else UNKNOWN_DIGEST
+        account = self._by_digest.get(found_digest)
         if account is None:
-            return self._without(self.identity.unknown_key, address, True)
+            return self._without_account(self.identity.unknown_key, address, True)
         return account
 
-    def _without(self, rule: KeyPolicy, address: str, key_came: bool) -> Account | UnknownClient:
-        if rule is KeyPolicy.REFUSE:
-            return UnknownClient(key_came)
+    def _without_account(self, policy: KeyPolicy, address: str, has_key: bool) -> Account | UnknownClient:
+        if policy is KeyPolicy.REFUSE:
+            return UnknownClient(has_key)
         return Account(anonymous_number(address), self.identity.anonymous_plan, address)
 
 
@@ -122,7 +122,7 @@
     if not trusted:
         return peer
     for entry in reversed([part.strip() for part in forwarded.split(",")] if forwarded else []):
-        if not _within(address, trusted):
+        if not _is_in_networks(address, trusted):
             break
         try:
             ipaddress.ip_address(entry)
@@ -134,10 +134,10 @@
 
 def is_trusted(address: str, networks: Networks) -> bool:
     """Whether an address is that of a trusted proxy."""
-    return bool(networks) and _within(address, networks)
+    return bool(networks) and _is_in_networks(address, networks)
 
 
-def _within(address: str, networks: Networks) -> bool:
+def _is_in_networks(address: str, networks: Networks) -> bool:
     try:
         parsed = ipaddress.ip_address(address)
     except ValueError:
--- a/basaltpoint/routing/path.py
+++ b/basaltpoint/routing/path.py
@@ -17,7 +17,7 @@
 import re
 
 UNRESERVED_BYTES = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
-ESCAPE = re.compile(r"%(..?)?", re.S)
+PERCENT_ESCAPE = re.compile(r"%(..?)?", re.S)
 HEX_DIGITS = frozenset("0123456789abcdefABCDEF")
 SLASHES = re.compile(r"/{2,}")
 # Most paths are in normal form as they come; this tells them in one pass.
@@ -30,7 +30,7 @@
     """A request target that has no normal form; says why."""
 
 
-def _unescape(match: re.Match[str]) -> str:
+def _normalize_escape(match: re.Match[str]) -> str:
     digits = match[1] or ""
     if len(digits) != 2 or not set(digits) <= HEX_DIGITS:
         raise PathError(f"an escape that is none: {match[0]!r}")
@@ -38,7 +38,7 @@
     return chr(code) if code in UNRESERVED_BYTES else f"%{code:02X}"
 
 
-def _without_dots(path: str) -> str:
+def _remove_dot_segments(path: str) -> str:
     kept: list[str] = []
     segments = path.split("/")[1:]
     for segment in segments:
@@ -59,7 +59,7 @@
         raise PathError("the path does not begin with a slash")
     if not NOT_NORMAL.search(path):
         return path
-    return _without_dots(SLASHES.sub("/", ESCAPE.sub(_unescape, path)))
+    return _remove_dot_segments(SLASHES.sub("/", PERCENT_ESCAPE.sub(_normalize_escape, path)))
 
 
 def split_target(target: str) -> tuple[str | None, str, str]:
@@ -76,8 +76,8 @@
             target = "/" + target
         if not authority or "@" in authority:
             raise PathError("the target's authority can't be used")
-    path, mark, query = target.partition("?")
-    return authority, path, mark + query
+    path, question_mark, query = target.partition("?")
+    return authority, path, question_mark + query
 
 
 def normal_host(authority: str) -> str:
--- a/basaltpoint/routing/routes.py
+++ b/basaltpoint/routing/routes.py
@@ -124,8 +124,8 @@
     exact: dict[str, list[tuple[int, Route]]] = field(default_factory=dict)
     prefix: dict[str, list[tuple[int, Route]]] = field(default_factory=dict)
     regex: list[tuple[int, Route]] = field(default_factory=list)
-    every: list[tuple[int, Route]] = field(default_factory=list)
-    found: RegexSet | None = None
+    any_path: list[tuple[int, Route]] = field(default_factory=list)
+    regex_set: RegexSet | None = None
 
     def add(self, rank: int, route: Route) -> None:
         row = rank, route
@@ -137,21 +137,21 @@
             case PathForm.REGEX:
                 self.regex.append(row)
             case PathForm.ANY:
-                self.every.append(row)
+                self.any_path.append(row)
 
     def candidates(self, path: str) -> Iterable[tuple[int, Route]]:
         yield from self.exact.get(path, ())
         if self.prefix:
             yield from self.prefix.get(path, ())
-            at = path.rfind("/")
-            while at >= 0:
-                yield from self.prefix.get(path[: at + 1], ()) if at + 1 < len(path) else ()
-                yield from self.prefix.get(path[:at], ()) if at else ()
-                at = path.rfind("/", 0, at)
-        if self.found is not None:
-            for index in self.found.match(path):
+            slash = path.rfind("/")
+            while slash >= 0:
+                yield from self.prefix.get(path[: slash + 1], ()) if slash + 1 < len(path) else ()
+                yield from self.prefix.get(path[:slash], ()) if slash else ()
+                slash = path.rfind("/", 0, slash)
+        if self.regex_set is not None:
+            for index in self.regex_set.match(path):
                 yield self.regex[index]
-        yield from self.every
+        yield from self.any_path
 
 
 def conditions_match(route: Route, method: str, headers: Mapping[str, str]) -> bool:
@@ -187,38 +187,38 @@
         rows.sort(key=lambda row: row[0])
         self.routes = tuple(routes)
         self._exact: dict[str, _HostRoutes] = {}
-        self._wild: dict[str, _HostRoutes] = {}
-        self._any = _HostRoutes()
+        self._wildcard: dict[str, _HostRoutes] = {}
+        self._any_host = _HostRoutes()
         for rank, (_, host, route) in enumerate(rows):
-            self._bucket(host).add(rank, route)
-        for bucket in (self._any, *self._exact.values(), *self._wild.values()):
+            self._host_routes(host).add(rank, route)
+        for bucket in (self._any_host, *self._exact.values(), *self._wildcard.values()):
             if bucket.regex:
                 assert compile_set is not None, "a route has an expression, and nothing compiles it"
-                bucket.found = compile_set([route.path for _, route in bucket.regex])
+                bucket.regex_set = compile_set([route.path for _, route in bucket.regex])
 
-    def _bucket(self, host: str) -> _HostRoutes:
+    def _host_routes(self, host: str) -> _HostRoutes:
         if not host:
-            return self._any
+            return self._any_host
         if host.startswith("*."):
-            return self._wild.setdefault(host[2:], _HostRoutes())
+            return self._wildcard.setdefault(host[2:], _HostRoutes())
         return self._exact.setdefault(host, _HostRoutes())
 
-    def _buckets(self, host: str) -> Iterable[_HostRoutes]:
+    def _matching_hosts(self, host: str) -> Iterable[_HostRoutes]:
         if bucket := self._exact.get(host):
             yield bucket
-        if self._wild:
+        if self._wildcard:
             at = host.find(".")
             while at >= 0:
-                if bucket := self._wild.get(host[at + 1 :]):
+                if bucket := self._wildcard.get(host[at + 1 :]):
                     yield bucket
                 at = host.find(".", at + 1)
-        yield self._any
+        yield self._any_host
 
     def match(self, host: str, path: str, method: str, headers: Mapping[str, str]) -> RouteMatch:
         """The route of a request; host and path in normal form, header names in lower case."""
         best: tuple[int, Route] | None = None
         allowed: set[str] = set()
-        for bucket in self._buckets(host):
+        for bucket in self._matching_hosts(host):
             for row in bucket.candidates(path):
                 if best is not None and row[0] > best[0]:
                     continue
--- a/basaltpoint/system/accepting.py
+++ b/basaltpoint/system/accepting.py
@@ -44,11 +44,11 @@
         has not); `has_room`: whether one more may be open; `make_room` ends one; `behind_since`: since when
         connections may lie in the backlog by now, monotonic seconds."""
         self._listener = listener
-        self._adopt = on_connection
+        self._on_connection = on_connection
         self._has_room = has_room
         self._make_room = make_room
-        self._active = False
-        self._behind_since: float | None = backlog_since  # None where nothing lies in the backlog
+        self._is_listening = False
+        self._backlog_since: float | None = backlog_since  # None where nothing lies in the backlog
         self.last_accept_at = 0.0  # when a connection was taken, monotonic seconds
 
     @property
@@ -58,22 +58,22 @@
 
     def listen(self) -> None:
         """Take connections as they come."""
-        if not self._active and self._listener.fileno() >= 0:
-            self._active = True
+        if not self._is_listening and self._listener.fileno() >= 0:
+            self._is_listening = True
             loop = asyncio.get_running_loop()
             loop.add_reader(self._listener, self.accept_batch)
-            loop.call_soon(self._look)
+            loop.call_soon(self._accept_waiting)
 
-    def _look(self) -> None:
+    def _accept_waiting(self) -> None:
         """Take what has waited until now; where there is nothing, the next ones will not have waited."""
-        if self._active:
+        if self._is_listening:
             self.accept_batch()
 
     def pause(self) -> None:
         """Leave connections in the backlog."""
-        if self._active:
-            self._active = False
-            self._fall_behind()
+        if self._is_listening:
+            self._is_listening = False
+            self._mark_backlog()
             asyncio.get_running_loop().remove_reader(self._listener)
 
     def stop(self) -> None:
@@ -89,54 +89,54 @@
             if self.accept_batch() is not AcceptResult.MORE:
                 return
 
-    def _rest(self, for_s: float = NO_ROOM_PAUSE_S) -> AcceptResult:
+    def _pause_for(self, seconds: float = NO_ROOM_PAUSE_S) -> AcceptResult:
         self.pause()
-        asyncio.get_running_loop().call_later(for_s, self.listen)
+        asyncio.get_running_loop().call_later(seconds, self.listen)
         return AcceptResult.NO_ROOM
 
-    def _fall_behind(self) -> bool:
+    def _mark_backlog(self) -> bool:
         """Whether connections may lie in the backlog from now on only."""
-        if self._behind_since is not None:
+        if self._backlog_since is not None:
             return False
-        self._behind_since = monotonic()
+        self._backlog_since = monotonic()
         return True
 
     def accept_batch(self) -> AcceptResult:
         """Take a portion of what waits."""
         for _ in range(MAX_ACCEPT_BATCH):
             if not self._has_room() and not self._make_room():
-                return self._rest()
+                return self._pause_for()
             try:
                 sock, _ = self._listener.accept()
             except OSError as error:
-                match trouble := accept_error_origin(error):
+                match origin := accept_error_origin(error):
                     case ErrorOrigin.WOULD_BLOCK:
-                        self._behind_since = None
+                        self._backlog_since = None
                         return AcceptResult.ALL
                     case ErrorOrigin.CONNECTION:
-                        if self._fall_behind():
+                        if self._mark_backlog():
                             log.info("a connection broke before it was accepted: %s", error)
                         continue
-                return self._failed(error, trouble)
+                return self._accept_failed(error, origin)
             self.last_accept_at = monotonic()
-            self._take_one(sock)
-        self._fall_behind()
+            self._hand_over(sock)
+        self._mark_backlog()
         return AcceptResult.MORE
 
-    def _failed(self, error: OSError, trouble: ErrorOrigin) -> AcceptResult:
+    def _accept_failed(self, error: OSError, origin: ErrorOrigin) -> AcceptResult:
         """Nothing can be accepted now, and not for a fault of a connection; each span is logged once."""
-        if self._fall_behind():
-            if trouble in LOCAL_ORIGINS:
-                log.warning("no descriptor for a new connection: %s: %s", trouble.value, error)
+        if self._mark_backlog():
+            if origin in LOCAL_ORIGINS:
+                log.warning("no descriptor for a new connection: %s: %s", origin.value, error)
             else:
                 log.error("accepting failed: %r", error)
-        if trouble is ErrorOrigin.PROCESS:
+        if origin is ErrorOrigin.PROCESS:
             self._make_room()  # where the whole machine lacks room, one of ours makes no difference
-        return self._rest(ACCEPT_RETRY_S)
+        return self._pause_for(ACCEPT_RETRY_S)
 
-    def _take_one(self, sock: socket.socket) -> None:
+    def _hand_over(self, sock: socket.socket) -> None:
         try:
-            self._adopt(sock, self._behind_since)
+            self._on_connection(sock, self._backlog_since)
         except OSError as error:  # it broke in the meantime
             log.info("a connection broke as it was taken: %s", error)
             sock.close()
--- a/basaltpoint/system/errors.py
+++ b/basaltpoint/system/errors.py
@@ -25,7 +25,7 @@
 LOCAL_ORIGINS = (ErrorOrigin.PROCESS, ErrorOrigin.HOST)
 
 # Of both calls: no more descriptors or memory.
-_ROOM = {
+_NO_RESOURCES = {
     errno.EMFILE: ErrorOrigin.PROCESS,
     errno.ENFILE: ErrorOrigin.HOST,
     errno.ENOBUFS: ErrorOrigin.HOST,
@@ -33,7 +33,7 @@
     errno.ENOSR: ErrorOrigin.HOST,
 }
 _ACCEPT = {
-    **_ROOM,
+    **_NO_RESOURCES,
     errno.EAGAIN: ErrorOrigin.WOULD_BLOCK,
     **dict.fromkeys(
         (
@@ -59,7 +59,7 @@
     ),
 }
 _CONNECT = {
-    **_ROOM,
+    **_NO_RESOURCES,
     **dict.fromkeys(
         (
             errno.EADDRNOTAVAIL,  # all local ports are in use
@@ -100,7 +100,7 @@
 
     Sources: recv(2), send(2) (ENOBUFS, ENOMEM), and EAGAIN.
     """
-    return error.errno in _ROOM or error.errno == errno.EAGAIN
+    return error.errno in _NO_RESOURCES or error.errno == errno.EAGAIN
 
 
 def connect_error_origin(error: OSError) -> ErrorOrigin:
--- a/basaltpoint/system/listening.py
+++ b/basaltpoint/system/listening.py
@@ -19,9 +19,9 @@
 def open_listener(address: tuple[str, int], backlog: int) -> socket.socket:
     """A socket that listens there, for a loop; OSError where the address can't be had."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-    made = socket.create_server(address, family=family, backlog=backlog)
-    made.setblocking(False)
-    return made
+    sock = socket.create_server(address, family=family, backlog=backlog)
+    sock.setblocking(False)
+    return sock
 
 
 async def open_listener_when_free(
@@ -34,15 +34,15 @@
     them that it is gone while another one still listens.
     """
     end_s = time.monotonic() + within_s
-    told = False
+    logged = False
     while True:
         try:
             return open_listener(address, backlog)
         except OSError as error:
-            passes = error.errno == errno.EADDRINUSE or is_transient(error)
-            if not passes or time.monotonic() >= end_s:
+            may_pass = error.errno == errno.EADDRINUSE or is_transient(error)
+            if not may_pass or time.monotonic() >= end_s:
                 raise
-            if not told:
+            if not logged:
                 log.warning("%s:%d: %s; tried again for up to %.1f s", *address, error, within_s)
-                told = True
+                logged = True
         await asyncio.sleep(LISTEN_RETRY_S)
--- a/basaltpoint/telemetry/figures.py
+++ b/basaltpoint/telemetry/figures.py
@@ -38,25 +38,25 @@
     """The counts of all classes, by their number in the settings."""
 
     def __init__(self, classes: Sequence[str]) -> None:
-        self._named: dict[str, Counts] = {}
+        self._by_name: dict[str, Counts] = {}
         self.update_classes(classes)
 
     def update_classes(self, classes: Sequence[str]) -> None:
         """Take up other classes; one whose name stays, or comes back, counts on."""
-        self._order = [self._named.setdefault(name, Counts()) for name in classes]
+        self._by_number = [self._by_name.setdefault(name, Counts()) for name in classes]
 
     def counts_of(self, number: int) -> Counts:
         """The counts of a class, which a request in hand keeps whatever the settings become."""
-        return self._order[number]
+        return self._by_number[number]
 
     def metric_lines(self, gauges: Gauges) -> Iterator[str]:
         """The figures, one a line: `gw_NAME{group="CLASS"} COUNT`, then `gw_NAME VALUE` for the gauges."""
-        for part in fields(Counts):
-            for group, counts in self._named.items():
-                yield f'gw_{part.name}{{group="{_quoted(group)}"}} {getattr(counts, part.name)}'
-        for part in fields(Gauges):
-            yield f"gw_{part.name} {getattr(gauges, part.name)}"
+        for field in fields(Counts):
+            for group, counts in self._by_name.items():
+                yield f'gw_{field.name}{{group="{_escape_label(group)}"}} {getattr(counts, field.name)}'
+        for field in fields(Gauges):
+            yield f"gw_{field.name} {getattr(gauges, field.name)}"
 
 
-def _quoted(text: str) -> str:
+def _escape_label(text: str) -> str:
     return text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
--- a/basaltpoint/upstream/__init__.py
+++ b/basaltpoint/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to servers and attempts on the wire."""
+"""Connections to servers, and attempts on them."""
--- a/basaltpoint/upstream/buffered.py
+++ b/basaltpoint/upstream/buffered.py
@@ -1,4 +1,4 @@
-"""The platform's attempts: an answer is held until it is whole, or passed on where it is too long."""
+"""Attempts of the platform's front: a response is buffered until complete, or streamed if it is too large."""
 
 from __future__ import annotations
 
@@ -17,62 +17,72 @@
 log = logging.getLogger(__name__)
 
 MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a buffered response can still be replaced by that of a retry
-MAX_BODY_BYTES = 64 << 20  # bytes; twice the longest body that PROTOCOL's later pages name
+MAX_BODY_BYTES = 64 << 20  # twice the largest body that PROTOCOL's later pages specify
 MAX_HEAD_BYTES = 16 * 1024
 DECIMAL_NUMBER = re.compile(rb"[0-9]{1,5}(\.[0-9]{1,6})?")
-PARTIAL_RESPONSE_TIMEOUT_S = 0.25  # of silence within a held answer; one that stops short is spoilt
+PARTIAL_RESPONSE_TIMEOUT_S = 0.25  # a buffered response that stalls for longer is rejected
 UNKNOWN_LENGTH_DELAY_S = 0.1  # a response without a length is streamed after this time,
 UNKNOWN_LENGTH_BYTES = 4096  # once this much of its body has arrived
 
 
-def _usage(raw: bytes) -> int | None:
-    """The metered use in percent; what is no such number, or one beyond the meter's range, says nothing."""
+def _parse_usage(raw: bytes) -> int | None:
+    """The metered use in percent; None if the header is absent, malformed or beyond the meter's range."""
     return round(float(raw)) if DECIMAL_NUMBER.fullmatch(raw) else None
 
 
-def _units(raw: bytes) -> float:
-    """The units that the request truly took; what is no number says nothing."""
+def _parse_units(raw: bytes) -> float:
+    """The request's true cost in units; 0 if the header is absent or malformed."""
     return float(raw) if DECIMAL_NUMBER.fullmatch(raw) else 0.0
 
 
 def platform_connection(
     servers: ServerConnections, server: UpstreamServer, sock: socket.socket
 ) -> StreamConnection:
-    """A connection to one of the platform's servers, exact about when a request's last byte was written."""
+    """A connection to a server of the platform; it has no write buffer, so that the write time is exact."""
     return StreamConnection(servers, server, sock, MAX_HEAD_BYTES, 0)
 
 
 class StreamTarget(Protocol):
-    """Where an answer goes that is too long to be held, and where the rest of a long request comes from."""
+    """Receives a response that is too large to be buffered, and sends the rest of a large request."""
 
     def start_response(self, content_type: bytes, length: int | None) -> bool:
-        """The answer is passed on from here; False where nobody waits for it any more."""
+        """Streaming of the response starts; False if the client no longer waits for it."""
 
     def response_data(self, data: bytes) -> None:
-        """More of that answer's body; its end is told as the attempt's."""
+        """More of the response body; its end is reported as the end of the attempt."""
 
     def connected(self, stream: StreamConnection) -> None:
-        """The head was written; the rest of the body may be sent, where there is any."""
+        """The request head was written; the rest of the body may be sent, if there is any."""
 
     def writable(self, ready: bool) -> None:
-        """Whether the server takes more of the request's body now."""
+        """Whether more of the request's body may be written now."""
 
     def is_wanted(self, waited_s: float) -> bool:
-        """Whether its client still waits, after so long for a connection."""
+        """Whether the client still waits, after `waited_s` seconds for a connection."""
 
     def current_message(self) -> bytes:
-        """The request as a server gets it now."""
+        """The request as it would be sent to a server now."""
 
 
 class BufferedAttempt(StreamAttempt):
-    """One message to one server; its own receiver.
+    """One message to one server; it is its own receiver.
 
-    An answer of up to `HELD` bytes is held until it is whole, so that one that breaks off can be told from
-    a good one, and another attempt may follow. A longer one goes on as it comes: its first bytes are waited
-    for, and holding it would take the memory that others need. Without `onward` it is spoilt.
+    A response of up to `MAX_BUFFERED_BODY_BYTES` is buffered until it is complete, so that a truncated one is
+    recognized and a retry can follow. A larger one is streamed: the client waits for its first bytes, and
+    buffering it would take memory that other requests need. Without `target` it is rejected.
     """
 
-    __slots__ = ("_body", "_code", "_fields", "_length", "_passing", "_rest", "_size", "_target", "_unsure")
+    __slots__ = (
+        "_body",
+        "_body_bytes",
+        "_code",
+        "_headers",
+        "_is_streaming",
+        "_length",
+        "_partial_timer",
+        "_target",
+        "_unknown_length_timer",
+    )
 
     def __init__(
         self,
@@ -85,14 +95,14 @@
     ) -> None:
         super().__init__(message, end_by, on_end, self, False, on_written, write_by)
         self._target = target
-        self._fields: dict[bytes, bytes] = {}
+        self._headers: dict[bytes, bytes] = {}
         self._code = 0
         self._length: int | None = None
         self._body: list[bytes] = []
-        self._size = 0
-        self._passing = False
-        self._rest: asyncio.TimerHandle | None = None  # runs while an answer has come in part
-        self._unsure: asyncio.TimerHandle | None = None
+        self._body_bytes = 0
+        self._is_streaming = False
+        self._partial_timer: asyncio.TimerHandle | None = None  # runs while a response is incomplete
+        self._unknown_length_timer: asyncio.TimerHandle | None = None
 
     def refresh_message(self, waited_s: float) -> bool:
         if self._target is None:
@@ -102,14 +112,14 @@
         self.message = self._target.current_message()
         return True
 
-    # --- As the connection tells ---------------------------------------------------------------
+    # --- Calls of the connection ---------------------------------------------------------------
     def partial_response_received(self) -> None:
-        """Bytes of an answer have come: more must follow soon, or its end."""
-        if not self._passing:
-            if self._rest:
-                self._rest.cancel()
-            self._rest = asyncio.get_running_loop().call_later(
-                PARTIAL_RESPONSE_TIMEOUT_S, self._spoil, "stopped short"
+        """Part of a response was received: more must follow within PARTIAL_RESPONSE_TIMEOUT_S."""
+        if not self._is_streaming:
+            if self._partial_timer:
+                self._partial_timer.cancel()
+            self._partial_timer = asyncio.get_running_loop().call_later(
+                PARTIAL_RESPONSE_TIMEOUT_S, self._reject_response, "incomplete response timed out"
             )
 
     def connected(self, stream: StreamConnection) -> None:
@@ -121,62 +131,66 @@
             self._target.writable(ready)
 
     def interim(self, code: int, headers: Headers) -> None:
-        self._settle()  # it says nothing of when the final one begins
+        self._cancel_timers()  # an interim response does not tell when the final one starts
 
     def head(self, code: int, reason: bytes, headers: Headers, length: int | None) -> None:
-        self._code, self._fields, self._length = code, dict(headers), length
+        self._code, self._headers, self._length = code, dict(headers), length
         if length is not None and length > (MAX_BODY_BYTES if self._target else MAX_BUFFERED_BODY_BYTES):
-            self._spoil("answer too large")
+            self._reject_response("response too large")
         elif length is not None and length > MAX_BUFFERED_BODY_BYTES:
-            self._pass()
+            self._start_streaming()
         elif length is None and self._target:
-            self._unsure = asyncio.get_running_loop().call_later(UNKNOWN_LENGTH_DELAY_S, self._wonder)
+            self._unknown_length_timer = asyncio.get_running_loop().call_later(
+                UNKNOWN_LENGTH_DELAY_S, self._check_unknown_length
+            )
 
     def data(self, piece: bytes) -> None:
-        self._size += len(piece)
-        if self._passing and self._target:
-            if self._size > MAX_BODY_BYTES:
-                self._spoil("answer too large")
+        self._body_bytes += len(piece)
+        if self._is_streaming and self._target:
+            if self._body_bytes > MAX_BODY_BYTES:
+                self._reject_response("response too large")
             else:
                 self._target.response_data(piece)
             return
         self._body.append(piece)
-        if self._size > MAX_BUFFERED_BODY_BYTES:
-            self._pass()
+        if self._body_bytes > MAX_BUFFERED_BODY_BYTES:
+            self._start_streaming()
 
     def completed(self, trailers: Headers) -> None:
-        self._settle()
+        self._cancel_timers()
 
-    def end(self, reply: AttemptResult) -> None:
-        """The attempt is over; `reply` tells how its connection saw it."""
-        self._settle()
-        super().end(self._answer() if reply.status is Status.OK else reply)
+    def end(self, result: AttemptResult) -> None:
+        """Ends the attempt; `result` is the connection's view, without the buffered response."""
+        self._cancel_timers()
+        super().end(self._result() if result.status is Status.OK else result)
 
-    # --- Passing on ------------------------------------------------------------------------------
-    def _wonder(self) -> None:
-        if self._size >= UNKNOWN_LENGTH_BYTES:
-            self._pass()
+    # --- Streaming -------------------------------------------------------------------------------
+    def _check_unknown_length(self) -> None:
+        if self._body_bytes >= UNKNOWN_LENGTH_BYTES:
+            self._start_streaming()
         else:
-            self._unsure = asyncio.get_running_loop().call_later(UNKNOWN_LENGTH_DELAY_S, self._wonder)
+            self._unknown_length_timer = asyncio.get_running_loop().call_later(
+                UNKNOWN_LENGTH_DELAY_S, self._check_unknown_length
+            )
 
-    def _pass(self) -> None:
-        if self.has_ended or self._passing:
+    def _start_streaming(self) -> None:
+        if self.has_ended or self._is_streaming:
             return
         if self._target is None or self._code != 200:
-            self._spoil("answer too large")
+            self._reject_response("response too large")
             return
-        self._passing = True
-        self._settle()
+        self._is_streaming = True
+        self._cancel_timers()
         self.stop_timeout()
-        if not self._target.start_response(self._fields.get(b"content-type", b""), self._length):
+        if not self._target.start_response(self._headers.get(b"content-type", b""), self._length):
             self.cancel()
             return
         body, self._body = self._body, []
         for piece in body:
             self._target.response_data(piece)
 
-    def _answer(self) -> AttemptResult:
-        fields, declined = self._fields, self._fields.get(b"srv-declined") == b"1"
+    def _result(self) -> AttemptResult:
+        fields, declined = self._headers, self._headers.get(b"srv-declined") == b"1"
         if self._code == 200:
             status = Status.OK
         else:
@@ -185,18 +199,18 @@
             status,
             b"".join(self._body),
             fields.get(b"content-type", b""),
-            _usage(fields.get(b"x-ratelimit-used", b"")),
+            _parse_usage(fields.get(b"x-ratelimit-used", b"")),
             fields.get(b"srv-load", b""),
-            _units(fields.get(b"x-cost-units", b"")),
+            _parse_units(fields.get(b"x-cost-units", b"")),
         )
 
-    def _spoil(self, what: str) -> None:
-        """An answer that can't be read: the server lives and may have run the request; none can be served."""
+    def _reject_response(self, reason: str) -> None:
+        """Rejects an invalid response: the server is alive and may have executed the request."""
         if isinstance(self.connection, StreamConnection):
-            self.connection.reject_response(what)
+            self.connection.reject_response(reason)
 
-    def _settle(self) -> None:
-        for timer in (self._rest, self._unsure):
+    def _cancel_timers(self) -> None:
+        for timer in (self._partial_timer, self._unknown_length_timer):
             if timer:
                 timer.cancel()
-        self._rest = self._unsure = None
+        self._partial_timer = self._unknown_length_timer = None
--- a/basaltpoint/upstream/send_guard.py
+++ b/basaltpoint/upstream/send_guard.py
@@ -1,9 +1,9 @@
-"""The check right before an attempt's first byte is written, and the count of what it found.
+"""The check right before an attempt's first byte is written, and its counts.
 
-Between the decision on an attempt and its writing a connection may have to come up: the server may have begun
-to drain, the list of servers may have lost its confirmation, the client may have gone. The rules are those
-of `policy.send_rules`. What is withheld here is counted by its denial; what was written although a bound had
-passed by the time the write was over is a violation, counted and logged with the times that allowed it.
+Opening a connection may take time between the decision on an attempt and its writing: meanwhile the server
+may have started to drain, the lease of the server list may have expired, or the client may have disconnected.
+The rules are those of `policy.send_rules`. A withheld attempt is counted by its denial. An attempt that was
+written although a limit had passed by the end of the write is a violation, counted and logged with all times.
 """
 
 from __future__ import annotations
@@ -20,36 +20,37 @@
 
 
 class SendGuard:
-    """What one process may write to servers now."""
+    """What one process may write to servers at this moment. Times are monotonic seconds."""
 
     def __init__(self) -> None:
-        self.lease_expires_at = math.inf  # of the list of servers, monotonic seconds
+        self.lease_expires_at = math.inf  # lease of the server list
         self.withheld: Counter[Denial] = Counter()
         self.violations: Counter[Denial] = Counter()
-        self.stalls = 0  # writes that came over a stall late: their servers were told too much time
+        self.stalls = 0  # writes delayed by more than STALL_S: the deadline that the server got was too late
 
     def withhold(self, denial: Denial) -> None:
-        """Count an attempt that is not written."""
+        """Counts an attempt that is not written."""
         self.withheld[denial] += 1
-        log.info("an attempt is withheld: %s", denial.value)
+        log.info("attempt withheld: %s", denial.value)
 
-    def record_stall(self, until: float, whole_by: float) -> None:
-        """This process stood still for longer than a stall before an attempt went out: was it too late?"""
+    def record_stall(self, end_by: float, write_by: float) -> None:
+        """Counts a write that was delayed by more than `STALL_S`, and a violation if it was too late."""
         self.stalls += 1
-        late = write_denial(monotonic() - STALL_S, True, self.lease_expires_at, until, whole_by)
-        if late is not None:
-            self.violations[late] += 1
+        denial = write_denial(monotonic() - STALL_S, True, self.lease_expires_at, end_by, write_by)
+        if denial is not None:
+            self.violations[denial] += 1
             log.error(
-                "violation: an attempt was written though %s; lease %.3f, end %.3f, whole by %.3f, now %.3f",
-                late.value,
+                "violation: an attempt was written though %s; "
+                "lease %.3f, end by %.3f, write by %.3f, now %.3f",
+                denial.value,
                 self.lease_expires_at,
-                until,
-                whole_by,
+                end_by,
+                write_by,
                 monotonic(),
             )
 
     def metric_lines(self) -> Iterator[str]:
-        """The counts, one a line, for the control address."""
+        """The counts, one per line, for the control address."""
         for denial in Denial:
             yield f'gw_withheld{{rule="{denial.name.lower()}"}} {self.withheld[denial]}'
         for denial in Denial:
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -245,7 +245,7 @@
 
     def __init__(self, rig: Rig, *events: type) -> None:
         self.events, self.rest = events, rig.limiter.gateway
-        rig.limiter.table.module = self
+        rig.limiter.table.handler = self
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         if isinstance(event, self.events):
@@ -542,7 +542,7 @@
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
             for late in (5.0, 6.0, -50.0):
-                rig.limiter.table._plan(rig.limiter.now() - late, 0, 77)
+                rig.limiter.table._schedule(rig.limiter.now() - late, 0, 77)
                 rig.limiter.arm()
             client = await rig.connect()
             assert (await client.ask(message())).code == 200
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -790,7 +790,7 @@
         async with backend(echo) as server, standalone(tmp_path, config(server.address)) as rig:
             relay = rig.limiter.relay
             for late in (5.0, 6.0, -50.0):
-                relay.table._plan(relay.now() - late, 0, 77)
+                relay.table._schedule(relay.now() - late, 0, 77)
                 relay.arm()
             client = await rig.connect()
             assert (await client.ask(request())).code == 200
--- a/tests/test_moments_servers.py
+++ b/tests/test_moments_servers.py
@@ -97,9 +97,9 @@
             servers.start_attempt(1, BufferedAttempt(ASK, loop.time() + 20, ended.set_result))
             assert (await ended).status is Status.CONNECT_FAILED
             await until(lambda: not servers._connecting)
-            await until(lambda: servers._open == 0)
+            await until(lambda: servers._open_connections == 0)
             await asyncio.sleep(0.02)  # whatever is told of it later must not count again
-            assert (servers._open, servers._servers[1].open_connections) == (0, 0)
+            assert (servers._open_connections, servers._servers[1].open_connections) == (0, 0)
 
     run(test())
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -535,7 +535,7 @@
                 assert all(customer.outstanding == 0 for customer in gateway.customers.values())
                 assert [peer.outstanding for peer in gateway.pools[0].servers.records.values()] == [0]
                 sockets.close()
-                await until(lambda: sockets._open == 0)
+                await until(lambda: sockets._open_connections == 0)
 
     run(test())
 
--- a/tests/test_table.py
+++ b/tests/test_table.py
@@ -210,7 +210,7 @@
     module = Scripted(Arrival=send, Outcome=again)
     table = RequestTable(module, 3, 10, Figures(["c"]))
     ident, _ = table.admit(0.0, ticket())
-    effects = table.attempt_ended(10.0, ident, 0, Status.ERROR, final=True, payload="500")
+    effects = table.attempt_ended(10.0, ident, 0, Status.ERROR, is_final=True, payload="500")
     assert effects == [Reply(ident, RequestResult.FAILED, payload="500")]
     outcome = module.heard[-2]
     assert isinstance(outcome, api.Outcome) and outcome.closed and outcome.status is Status.ERROR
