--- a/basaltpoint/core/table.py
+++ b/basaltpoint/core/table.py
@@ -103,7 +103,7 @@
     request: int
     result: RequestResult
     retry_in_ms: float = 0.0
-    reason: api.Why | None = None
+    reason: api.RefusalReason | None = None
     payload: object = None
 
 
@@ -292,7 +292,7 @@
         """Streaming the request's body has started: no retry is possible, and the deadline is suspended."""
         if (entry := self.requests.get(ident)) and entry.active_attempt is not None:
             entry.body_consumed = entry.is_uploading = True
-            self._events.append(api.Uploading(ident, entry.active_attempt))
+            self._events.append(api.UploadInProgress(ident, entry.active_attempt))
         return self._process(now)
 
     def upload_finished(self, now: float, ident: int, remaining_ms: float) -> None:
@@ -420,7 +420,7 @@
                 self._start_attempt(now, action)
             case api.Refuse():
                 self._reply_unless_started(
-                    action.request, RequestResult.REFUSED, action.retry_in_ms, action.why
+                    action.request, RequestResult.REFUSED, action.retry_in_ms, action.reason
                 )
             case api.Fail():
                 self._reply_unless_started(action.request, RequestResult.FAILED)
@@ -463,7 +463,9 @@
             now,
             end_by_ms,
         )
-        self._effects.append(StartAttempt(ident, number, action.server, end_by_ms, action.whole_ms))
+        self._effects.append(
+            StartAttempt(ident, number, action.server, end_by_ms, action.fully_written_by_ms)
+        )
 
     def _report_superseded(self, outcome: api.Outcome) -> None:
         """Reports a superseded send to the module.
@@ -477,7 +479,11 @@
             self._effects.append(Fault(f"the module keeps sending attempts that can't be sent: {outcome!r}"))
 
     def _reply_unless_started(
-        self, ident: int, result: RequestResult, retry_ms: float = 0.0, reason: api.Why | None = None
+        self,
+        ident: int,
+        result: RequestResult,
+        retry_ms: float = 0.0,
+        reason: api.RefusalReason | None = None,
     ) -> None:
         entry = self.requests.get(ident)
         if entry and entry.is_open and not entry.response_started_ms:
--- a/basaltpoint/upstream/send_guard.py
+++ b/basaltpoint/upstream/send_guard.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterator
 from time import monotonic
 
-from basaltpoint.policy.send_rules import STALL_S, Denial, write_denial
+from basaltpoint.policy.send_rules import MAX_STALL_S, Denial, write_denial
 
 log = logging.getLogger(__name__)
 
@@ -26,7 +26,9 @@
         self.lease_expires_at = math.inf  # lease of the server list
         self.withheld: Counter[Denial] = Counter()
         self.violations: Counter[Denial] = Counter()
-        self.stalls = 0  # writes delayed by more than STALL_S: the deadline that the server got was too late
+        self.stalls = (
+            0  # writes delayed by more than MAX_STALL_S: the deadline that the server got was too late
+        )
 
     def withhold(self, denial: Denial) -> None:
         """Counts an attempt that is not written."""
@@ -34,9 +36,9 @@
         log.info("attempt withheld: %s", denial.value)
 
     def record_stall(self, end_by: float, write_by: float) -> None:
-        """Counts a write that was delayed by more than `STALL_S`, and a violation if it was too late."""
+        """Counts a write that was delayed by more than `MAX_STALL_S`, and a violation if it was too late."""
         self.stalls += 1
-        denial = write_denial(monotonic() - STALL_S, True, self.lease_expires_at, end_by, write_by)
+        denial = write_denial(monotonic() - MAX_STALL_S, True, self.lease_expires_at, end_by, write_by)
         if denial is not None:
             self.violations[denial] += 1
             log.error(
--- a/basaltpoint/upstream/streams.py
+++ b/basaltpoint/upstream/streams.py
@@ -87,7 +87,7 @@
         max_head_bytes: int,
         write_buffer_bytes: int,
     ) -> None:
-        """`write_buffer_bytes`: limit of buffered request data; with 0 the time of the last write is known."""
+        """`write_buffer_bytes`: limit of unwritten request data; 0: the last write is noticed."""
         super().__init__(servers, server, sock)
         self._max_head_bytes = max_head_bytes
         self._write_buffer_bytes = write_buffer_bytes
