--- a/basaltpoint/routing/__init__.py
+++ b/basaltpoint/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on the way in, free of I/O: normal form of a path, routes, accounts."""
+"""Decisions on an incoming request, without I/O: path normalization, routes, accounts."""
--- a/basaltpoint/routing/accounts.py
+++ b/basaltpoint/routing/accounts.py
@@ -1,9 +1,9 @@
-"""Accounts: who asks, told by an API key or a bearer token, and on which plan.
+"""Accounts: the customer of a request and its plan, identified by an API key or a bearer token.
 
-Keys are known as SHA-256 digests only. They are made by machines and long, so a salt or a slow hash would
-add nothing; a check refuses short ones when a digest is made. A look-up hashes what came and looks for the
-whole digest: its time tells neither how many accounts there are nor how much of a key was right, as nobody
-can choose a key by parts of its digest.
+Keys are stored as SHA-256 digests only. They are generated and long, so a salt or a slow hash would add
+nothing; short keys are rejected when a digest is created. A look-up hashes the received key and searches for
+the whole digest: its duration reveals neither the number of accounts nor how much of a key was right, as
+nobody can choose a key by parts of its digest.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 Networks = tuple[ipaddress.IPv4Network | ipaddress.IPv6Network, ...]
 
-ANONYMOUS_BASE = 1 << 62  # customer numbers from here on are addresses
-IPV6_PREFIX_BITS = 64  # bits of an IPv6 address that one client is taken to hold
-MIN_KEY_BYTES = 12  # bytes; a shorter one could be found by trying
-MAX_KEY_BYTES = 4096  # bytes; a longer one is unknown without being hashed
+ANONYMOUS_BASE = 1 << 62  # customer numbers from here on stand for client addresses
+IPV6_PREFIX_BITS = 64  # addresses with the same prefix count as one client
+MIN_KEY_BYTES = 12  # a shorter one could be found by brute force
+MAX_KEY_BYTES = 4096  # a longer one is treated as unknown without hashing it
 UNKNOWN_DIGEST = bytes(32)
 
 
 class KeyPolicy(Enum):
-    """What becomes of a request with no key, or with an unknown one."""
+    """What happens to a request without a key, or with an unknown one."""
 
     REFUSE = "refuse"
     ANONYMOUS = "anonymous"
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Account:
-    number: int  # of the customer, the same over reloads
+    number: int  # customer number; it stays the same when the configuration is reloaded
     plan: int
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class IdentitySettings:
-    """How keys come and what is done without one; `anonymous_plan` is needed where ANONYMOUS is."""
+    """Where keys are read from, and what happens without one; `anonymous_plan` is used with ANONYMOUS."""
 
     header: str = "x-api-key"
     bearer: bool = True
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownClient:
-    """Why a request has no account; `known` tells whether a key came at all."""
+    """A request has no account; `has_key`: whether it had a key at all."""
 
     has_key: bool
 
@@ -70,11 +70,11 @@
         return len(self._by_digest)
 
     def all(self) -> Iterable[Account]:
-        """Each account, as often as it has keys."""
+        """All accounts; one with several keys occurs once per key."""
         return self._by_digest.values()
 
     def request_key(self, headers: Mapping[str, str]) -> bytes | None:
-        """The key that a request brings; the header goes before the bearer token."""
+        """The key of a request; the header takes precedence over the bearer token."""
         if value := headers.get(self.identity.header):
             return value.encode("latin-1", "replace")
         if self.identity.bearer:
@@ -84,7 +84,7 @@
         return None
 
     def account_of(self, headers: Mapping[str, str], address: str) -> Account | UnknownClient:
-        """The account of a request, an anonymous one by its client's address, or why there is none."""
+        """The account of a request, an anonymous one for its client's address, or `UnknownClient`."""
         key = self.request_key(headers)
         if key is None:
             return self._without_account(self.identity.no_key, address, False)
@@ -101,7 +101,7 @@
 
 
 def anonymous_number(address: str) -> int:
-    """The customer number of a client without an account: its address, an IPv6 one's network."""
+    """The customer number of a client without an account, from its address or its IPv6 network."""
     try:
         parsed = ipaddress.ip_address(address.partition("%")[0])
     except ValueError:
@@ -114,9 +114,9 @@
 
 
 def client_address(peer: str, forwarded: str, trusted: Networks) -> str:
-    """Who asks, behind proxies that are trusted: the last address of X-Forwarded-For that is not one of them.
+    """The client's address: the last address in X-Forwarded-For that is not a trusted proxy.
 
-    Without trusted proxies it is the connection's peer; what a client writes itself never counts.
+    Without trusted proxies it is the connection's peer; a header that the client itself sent is ignored.
     """
     address = peer
     if not trusted:
@@ -133,7 +133,7 @@
 
 
 def is_trusted(address: str, networks: Networks) -> bool:
-    """Whether an address is that of a trusted proxy."""
+    """Whether the address belongs to a trusted proxy."""
     return bool(networks) and _is_in_networks(address, networks)
 
 
--- a/basaltpoint/routing/path.py
+++ b/basaltpoint/routing/path.py
@@ -1,15 +1,15 @@
-"""The one normal form of a request target in which paths are matched.
+"""The normal form of a request target, in which paths are matched.
 
-What is forwarded is the target as it came, unless a route rewrites it. The steps, in this order:
+The target is forwarded as received unless a route rewrites it. The steps of normalization, in this order:
 
-1. the query (from the first `?`) is cut off; it plays no part in matching;
+1. the query (from the first `?`) is cut off; it is not matched;
 2. escapes of unreserved characters are decoded (RFC 3986, 6.2.2.2), all others get upper-case digits, so
    `%2e` is a dot but `%2F` stays data: an encoded slash never separates segments;
-3. runs of slashes become one;
+3. repeated slashes are merged into one;
 4. `.` and `..` segments are removed (RFC 3986, 5.2.4).
 
-A path that climbs above the root, or holds an escape that is none, is refused: two readers of it could
-disagree on where it leads.
+A path that leads above the root, or contains a malformed escape, is rejected: the limiter and a server could
+interpret it differently.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 PERCENT_ESCAPE = re.compile(r"%(..?)?", re.S)
 HEX_DIGITS = frozenset("0123456789abcdefABCDEF")
 SLASHES = re.compile(r"/{2,}")
-# Most paths are in normal form as they come; this tells them in one pass.
+# A path without a match is in normal form already, as most are.
 NOT_NORMAL = re.compile(r"%|//|/\.")
 TARGET_CHARACTERS = re.compile(r"[\x21-\x7e]+")
 SCHEME = re.compile(r"https?://([^/?#]*)", re.I)
 
 
 class PathError(ValueError):
-    """A request target that has no normal form; says why."""
+    """A request target has no normal form; the message gives the reason."""
 
 
 def _normalize_escape(match: re.Match[str]) -> str:
@@ -54,7 +54,7 @@
 
 
 def normal_path(path: str) -> str:
-    """The normal form of a path without its query; PathError where there is none."""
+    """The normal form of a path without its query; raises PathError if there is none."""
     if not path.startswith("/"):
         raise PathError("the path does not begin with a slash")
     if not NOT_NORMAL.search(path):
@@ -65,7 +65,7 @@
 def split_target(target: str) -> tuple[str | None, str, str]:
     """(authority or None, path, query with its `?`) of an origin-form or absolute-form target.
 
-    Source: RFC 9112, 3.2.1 and 3.2.2. A fragment is no part of a target, and refused.
+    Source: RFC 9112, 3.2.1 and 3.2.2. A fragment is not allowed in a target: PathError.
     """
     if not TARGET_CHARACTERS.fullmatch(target) or "#" in target:
         raise PathError("the target holds what no target may hold")
@@ -81,7 +81,7 @@
 
 
 def normal_host(authority: str) -> str:
-    """A host in lower case, without its port and closing dot; an IPv6 one keeps its brackets."""
+    """A host in lower case, without port and trailing dot; an IPv6 address keeps its brackets."""
     bracketed = authority.startswith("[")
     host = authority.partition("]")[0] + "]" if bracketed else authority.partition(":")[0]
     return host.lower().removesuffix(".")
--- a/basaltpoint/routing/regex.py
+++ b/basaltpoint/routing/regex.py
@@ -1,4 +1,4 @@
-"""Regular expressions of routes, on RE2: its time is linear in the text, so no path can stall the loop."""
+"""Regular expressions of routes, with RE2: it matches in linear time, so no path can block the event loop."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class RegexError(ValueError):
-    """An expression that RE2 does not take; says why."""
+    """RE2 does not accept an expression; the message gives the reason."""
 
 
 def check_expression(expression: str) -> None:
-    """RegexError where the expression can't be used: bad syntax, back references, look-around, too large."""
+    """Raises RegexError for bad syntax, back references, look-around and too large expressions."""
     import re2  # type: ignore[import-untyped]
 
     try:
@@ -31,7 +31,7 @@
 
 
 class ExpressionSet:
-    """Expressions searched together. `^` and `$` anchor; without them one is found anywhere in the path."""
+    """Expressions that are searched together; without `^` and `$` they match anywhere in the path."""
 
     def __init__(self, expressions: Sequence[str]) -> None:
         import re2
--- a/basaltpoint/routing/routes.py
+++ b/basaltpoint/routing/routes.py
@@ -1,15 +1,15 @@
-"""Routes: which pool, class and units a request gets, by host, path, method and headers.
+"""Routes: they assign pool, class and units to a request, by host, path, method and headers.
 
-A route matches when all its conditions hold. Of those that match, the first in this order is taken:
+A route matches if all its conditions hold. Of those that match, the first in this order applies:
 
 1. the higher `priority`;
 2. host: exact, then the longest wildcard, then none;
 3. path: exact, then the longest prefix, then regular expressions, then none;
 4. the one with more conditions on method and headers;
-5. the one that stands first in the file.
+5. the one that is first in the file.
 
-The order is total and does not depend on the request, so each route has a rank, and the cost of a match
-grows with the segments of the path, not with the number of routes.
+The order is total and does not depend on the request, so each route has a fixed rank, and the cost of a match
+grows with the number of path segments, not with the number of routes.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class PathForm(IntEnum):
-    """How a route's path is written; the order is that of precedence."""
+    """How a route's path is matched; the values are in order of precedence."""
 
     EXACT = 0
     PREFIX = 1
@@ -33,13 +33,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Rewrite:
-    """Replace the matched prefix `old` of the normal path by `new`; the rest stays."""
+    """Replaces the matched prefix `old` of the normal path by `new`."""
 
     old: str
     new: str
 
     def apply(self, path: str) -> str:
-        """The path as the server gets it; it always begins with one slash."""
+        """The path that is sent to the server; it always starts with one slash."""
         rest = path[len(self.old) :]
         joined = self.new + rest
         if self.new.endswith("/") and rest.startswith("/"):
@@ -49,21 +49,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassRules:
-    """What a request's class asks of the front. `twin` is the class of a keyed request without its key."""
+    """What a front does for a request of a class. `unkeyed_class`: used for a keyed request without its key."""
 
     class_number: int
     effect: Effect
     deadline_ms: float
     key_header: str = ""
-    unkeyed_class: int | None = None  # None: refused
+    unkeyed_class: int | None = None  # None: such requests are rejected
     deadline_header: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Conditions, and what holds for a request that meets them. Empty conditions hold always.
+    """Conditions, and the settings of a request that meets them. Empty conditions always hold.
 
-    `headers` maps a lower-case name to the value it must have, `*` for any, `!` for none.
+    `headers`: pairs of a lower-case name and the value that it must have, `*` for any, `!` for absent.
     """
 
     name: str
@@ -77,36 +77,36 @@
     priority: int = 0
     units: float = 1.0
     rewrite: Rewrite | None = None
-    set_headers: tuple[tuple[bytes, bytes], ...] = ()  # on the request that goes on
+    set_headers: tuple[tuple[bytes, bytes], ...] = ()  # set on the forwarded request
     drop_headers: frozenset[bytes] = frozenset()
     response_headers: tuple[tuple[bytes, bytes], ...] = ()
-    max_kept_body_bytes: int = 65536  # bodies up to it are kept, so that the request can be repeated
-    max_body_bytes: int = 0  # longer ones are refused; 0: no bound
+    max_kept_body_bytes: int = 65536  # bodies up to this size are kept, so that the request can be retried
+    max_body_bytes: int = 0  # larger bodies are rejected; 0: no limit
 
 
 @dataclass(frozen=True, slots=True)
 class RouteMatch:
-    """`route`, or the methods that the host and path would have allowed; none: nothing is there."""
+    """The matched route, or else the methods that routes of the same host and path allow, if any."""
 
     route: Route | None
     allowed_methods: frozenset[str] = frozenset()
 
 
 class RegexSet(Protocol):
-    """Many expressions searched in one pass, in time linear in the text."""
+    """Expressions that are searched in one pass; `match` returns the indexes of those found."""
 
     def match(self, text: str) -> Sequence[int]: ...
 
 
 def prefix_matches(prefix: str, path: str) -> bool:
-    """`/a` holds for `/a` and below, not for `/ab`; `/a/` only below."""
+    """`/a` matches `/a` and paths below it, not `/ab`; `/a/` only paths below it."""
     if prefix.endswith("/"):
         return path.startswith(prefix)
     return path == prefix or path.startswith(prefix + "/")
 
 
 def wildcard_matches(wildcard: str, host: str) -> bool:
-    """`*.example.org` holds for any host below example.org, at any depth, not for itself."""
+    """`*.example.org` matches any host below example.org, at any depth, not example.org itself."""
     return len(host) >= len(wildcard) and host.endswith(wildcard[1:])
 
 
@@ -119,7 +119,7 @@
 
 @dataclass(slots=True)
 class _HostRoutes:
-    """The routes of one host condition, by how their path is written. A row is (rank, route)."""
+    """The routes of one host condition, by path form. Entries are (rank, route)."""
 
     exact: dict[str, list[tuple[int, Route]]] = field(default_factory=dict)
     prefix: dict[str, list[tuple[int, Route]]] = field(default_factory=dict)
@@ -155,7 +155,7 @@
 
 
 def conditions_match(route: Route, method: str, headers: Mapping[str, str]) -> bool:
-    """Whether method and headers are as the route wants them."""
+    """Whether method and headers meet the route's conditions."""
     if route.methods and method not in route.methods:
         return False
     return headers_match(route, headers)
@@ -173,12 +173,12 @@
 
 
 class Routes:
-    """All routes of a configuration, indexed; it never changes, a reload makes another."""
+    """All routes of a configuration, indexed; immutable, a reload creates a new one."""
 
     def __init__(
         self, routes: Sequence[Route], compile_set: Callable[[Sequence[str]], RegexSet] | None = None
     ) -> None:
-        """`compile_set` makes a RegexSet of expressions; needed where a route has one."""
+        """`compile_set` creates a RegexSet; it is needed if a route has a regular expression."""
         rows = [
             (_rank(route, host, at), host, route)
             for at, route in enumerate(routes)
@@ -193,7 +193,7 @@
             self._host_routes(host).add(rank, route)
         for bucket in (self._any_host, *self._exact.values(), *self._wildcard.values()):
             if bucket.regex:
-                assert compile_set is not None, "a route has an expression, and nothing compiles it"
+                assert compile_set is not None, "a route has a regular expression, but `compile_set` is missing"
                 bucket.regex_set = compile_set([route.path for _, route in bucket.regex])
 
     def _host_routes(self, host: str) -> _HostRoutes:
@@ -215,7 +215,7 @@
         yield self._any_host
 
     def match(self, host: str, path: str, method: str, headers: Mapping[str, str]) -> RouteMatch:
-        """The route of a request; host and path in normal form, header names in lower case."""
+        """Finds the route of a request; host and path in normal form, header names in lower case."""
         best: tuple[int, Route] | None = None
         allowed: set[str] = set()
         for bucket in self._matching_hosts(host):
--- a/basaltpoint/system/__init__.py
+++ b/basaltpoint/system/__init__.py
@@ -1,1 +1,1 @@
-"""What the operating system tells: its errors, and whose trouble each is."""
+"""Interfaces to the operating system: sockets, errors of system calls, and clocks."""
--- a/basaltpoint/system/accepting.py
+++ b/basaltpoint/system/accepting.py
@@ -1,4 +1,4 @@
-"""Accepting connections: in portions, with rests where there is no room, whatever the call says."""
+"""Accepting connections in batches, with pauses while none can be taken, whatever error accept(2) returns."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 Address = tuple[str, int]  # host and port
 
-MAX_BACKLOG = 4096  # net.core.somaxconn of Linux: no more wait at a time
-MAX_ACCEPT_BATCH = 64  # connections taken at a time, so that those that are open get their turn
-NO_ROOM_PAUSE_S = 0.05  # where there is no room for more; a busy loop over them would help nobody
-ACCEPT_RETRY_S = 0.01  # where the call itself fails: what lies in the backlog loses its clients' time
+MAX_BACKLOG = 4096  # default of net.core.somaxconn on Linux: no more connections can be waiting
+MAX_ACCEPT_BATCH = 64  # connections per batch, so that open connections are served in between
+NO_ROOM_PAUSE_S = 0.05  # pause at the connection limit, in place of a busy loop
+ACCEPT_RETRY_S = 0.01  # pause after a failed call; short, as clients in the backlog wait for it
 
 
 class AcceptResult(Enum):
-    """How a portion ended."""
+    """How a batch ended."""
 
-    ALL = auto()  # nothing waits any more
-    MORE = auto()  # more may wait
-    NO_ROOM = auto()  # what waits is left there for now
+    ALL = auto()  # the backlog is empty
+    MORE = auto()  # more connections may be waiting
+    NO_ROOM = auto()  # connections may be waiting, and none can be taken for now
 
 
 class Acceptor:
-    """A listening socket and the loop's interest in it."""
+    """A listening socket, and whether the event loop watches it."""
 
     def __init__(
         self,
@@ -40,16 +40,19 @@
         make_room: Callable[[], bool],
         backlog_since: float,
     ) -> None:
-        """`adopt` takes each connection, with the time since when it may have lain in the backlog (None: it
-        has not); `has_room`: whether one more may be open; `make_room` ends one; `behind_since`: since when
-        connections may lie in the backlog by now, monotonic seconds."""
+        """All times are monotonic seconds.
+
+        `on_connection` is called with each connection and the time since when it may have waited in the
+        backlog (None: it has not). `has_room`: whether one more connection may be open. `make_room` closes
+        one and returns whether it could. `backlog_since`: since when connections may be waiting already.
+        """
         self._listener = listener
         self._on_connection = on_connection
         self._has_room = has_room
         self._make_room = make_room
         self._is_listening = False
-        self._backlog_since: float | None = backlog_since  # None where nothing lies in the backlog
-        self.last_accept_at = 0.0  # when a connection was taken, monotonic seconds
+        self._backlog_since: float | None = backlog_since  # None: the backlog is empty
+        self.last_accept_at = 0.0
 
     @property
     def address(self) -> Address:
@@ -57,7 +60,7 @@
         return host, port
 
     def listen(self) -> None:
-        """Take connections as they come."""
+        """Accepts connections as they arrive, until `pause` or `stop`."""
         if not self._is_listening and self._listener.fileno() >= 0:
             self._is_listening = True
             loop = asyncio.get_running_loop()
@@ -65,24 +68,24 @@
             loop.call_soon(self._accept_waiting)
 
     def _accept_waiting(self) -> None:
-        """Take what has waited until now; where there is nothing, the next ones will not have waited."""
+        """Accepts waiting connections; finding none shows that later ones have not waited."""
         if self._is_listening:
             self.accept_batch()
 
     def pause(self) -> None:
-        """Leave connections in the backlog."""
+        """Leaves new connections in the backlog."""
         if self._is_listening:
             self._is_listening = False
             self._mark_backlog()
             asyncio.get_running_loop().remove_reader(self._listener)
 
     def stop(self) -> None:
-        """Listen no more; what waits in the backlog is reset, unless others hold the socket, too."""
+        """Closes the socket; connections in the backlog are reset unless another process has it open."""
         self.pause()
         self._listener.close()
 
     def accept_all(self) -> None:
-        """Take what waits by now, as far as there is room: what is left there is reset with the socket."""
+        """Accepts waiting connections while there is room; the rest is reset when the socket is closed."""
         if self._listener.fileno() < 0:
             return
         for _ in range(MAX_BACKLOG // MAX_ACCEPT_BATCH):
@@ -95,14 +98,14 @@
         return AcceptResult.NO_ROOM
 
     def _mark_backlog(self) -> bool:
-        """Whether connections may lie in the backlog from now on only."""
+        """Notes that connections may be waiting; returns whether the backlog was empty until now."""
         if self._backlog_since is not None:
             return False
         self._backlog_since = monotonic()
         return True
 
     def accept_batch(self) -> AcceptResult:
-        """Take a portion of what waits."""
+        """Accepts one batch of waiting connections."""
         for _ in range(MAX_ACCEPT_BATCH):
             if not self._has_room() and not self._make_room():
                 return self._pause_for()
@@ -115,7 +118,7 @@
                         return AcceptResult.ALL
                     case ErrorOrigin.CONNECTION:
                         if self._mark_backlog():
-                            log.info("a connection broke before it was accepted: %s", error)
+                            log.info("a connection was lost before it was accepted: %s", error)
                         continue
                 return self._accept_failed(error, origin)
             self.last_accept_at = monotonic()
@@ -124,19 +127,19 @@
         return AcceptResult.MORE
 
     def _accept_failed(self, error: OSError, origin: ErrorOrigin) -> AcceptResult:
-        """Nothing can be accepted now, and not for a fault of a connection; each span is logged once."""
+        """Handles an error that is not a connection's own; each period of errors is logged once."""
         if self._mark_backlog():
             if origin in LOCAL_ORIGINS:
                 log.warning("no descriptor for a new connection: %s: %s", origin.value, error)
             else:
-                log.error("accepting failed: %r", error)
+                log.error("accepting connections failed: %r", error)
         if origin is ErrorOrigin.PROCESS:
-            self._make_room()  # where the whole machine lacks room, one of ours makes no difference
+            self._make_room()  # if the whole host lacks resources, closing one connection would not help
         return self._pause_for(ACCEPT_RETRY_S)
 
     def _hand_over(self, sock: socket.socket) -> None:
         try:
             self._on_connection(sock, self._backlog_since)
-        except OSError as error:  # it broke in the meantime
-            log.info("a connection broke as it was taken: %s", error)
+        except OSError as error:  # it was lost in the meantime
+            log.info("a connection was lost while it was being accepted: %s", error)
             sock.close()
--- a/basaltpoint/system/connecting.py
+++ b/basaltpoint/system/connecting.py
@@ -1,4 +1,4 @@
-"""Connecting a socket, where the call may be interrupted or refused before anything was begun."""
+"""Connecting a socket, also if connect(2) is interrupted or fails before the connection is started."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 async def connect(sock: socket.socket, address: Any) -> None:
-    """Connect a non-blocking socket. OSError tells the cause; EINTR where the call began nothing.
+    """Connects a non-blocking socket. Raises OSError with the cause, EINTR if the call started nothing.
 
-    The loop takes EINTR and EAGAIN for a connection on its way, as connect(2) has it for EINTR, and a socket
-    that was never connected then looks like one that came up.
+    The event loop takes EINTR and EAGAIN for a connection in progress, as connect(2) specifies for EINTR; a
+    socket that was never connected then looks connected.
     """
     await asyncio.get_running_loop().sock_connect(sock, address)
     try:
--- a/basaltpoint/system/errors.py
+++ b/basaltpoint/system/errors.py
@@ -1,8 +1,8 @@
-"""Whose trouble a failed system call is, and what follows from it: one table for all that make such calls.
+"""The origin of a failed system call, in one table for all callers.
 
-Sources: accept(2), connect(2) and socket(2) of the Linux manual. accept(2) passes pending errors of the new
-connection on, and asks to go on with the next one. What is this process's or this machine's own trouble tells
-nothing of the other side: no server's health may learn from it, and no agent counts as gone by it.
+Sources: accept(2), connect(2) and socket(2) of the Linux manual. accept(2) reports pending errors of the new
+connection, and the caller should go on with the next one. A local error, of this process or host, says
+nothing about the peer: it must not change a server's health or make an agent count as down.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 
 
 class ErrorOrigin(Enum):
-    """Whose trouble an error is."""
+    """What caused an error. The values are written to the log."""
 
-    WOULD_BLOCK = "nothing was there to do"
-    CONNECTION = "one connection's: the next one may be good"
-    PEER = "the other side's"
-    PROCESS = "this process's: it has too many descriptors"
-    HOST = "this machine's: it lacks memory, ports, descriptors or a network"
-    PROGRAM = "this program's: the call was wrong"
+    WOULD_BLOCK = "nothing to do"
+    CONNECTION = "an error of one connection; the next one may be good"
+    PEER = "an error of the peer"
+    PROCESS = "this process has too many open descriptors"
+    HOST = "this host lacks memory, ports, descriptors or a network"
+    PROGRAM = "an invalid call by this program"
 
 
 LOCAL_ORIGINS = (ErrorOrigin.PROCESS, ErrorOrigin.HOST)
 
-# Of both calls: no more descriptors or memory.
+# Errors of both calls: no more descriptors or memory.
 _NO_RESOURCES = {
     errno.EMFILE: ErrorOrigin.PROCESS,
     errno.ENFILE: ErrorOrigin.HOST,
@@ -41,7 +41,7 @@
             errno.ECONNABORTED,
             errno.ECONNRESET,
             errno.EPIPE,
-            errno.EPERM,  # a firewall's rule
+            errno.EPERM,  # forbidden by a firewall rule
             errno.EACCES,
             errno.EPROTO,
             errno.ENOPROTOOPT,
@@ -69,7 +69,7 @@
             errno.EACCES,
             errno.EPERM,
             errno.ENETDOWN,
-            errno.ENETUNREACH,  # no route leads there from here
+            errno.ENETUNREACH,  # no route on this host
             errno.ENONET,
         ),
         ErrorOrigin.HOST,
@@ -91,12 +91,12 @@
 
 
 def accept_error_origin(error: OSError) -> ErrorOrigin:
-    """Whose trouble it is that no connection was accepted."""
+    """The origin of an error of accept(2)."""
     return _ACCEPT.get(error.errno or 0, ErrorOrigin.PROGRAM)
 
 
 def is_transient(error: OSError) -> bool:
-    """Whether a read or write on a good connection may be tried again: the machine had no room for it.
+    """Whether a read or write may be retried on the same connection, as the host lacked resources.
 
     Sources: recv(2), send(2) (ENOBUFS, ENOMEM), and EAGAIN.
     """
@@ -104,7 +104,7 @@
 
 
 def connect_error_origin(error: OSError) -> ErrorOrigin:
-    """Whose trouble it is that a connection did not come up; a time-out of our own is the other side's."""
+    """The origin of an error of connect(2) or socket(2); a time-out of the caller counts as the peer's."""
     if isinstance(error, TimeoutError) and not error.errno:
         return ErrorOrigin.PEER
     return _CONNECT.get(error.errno or 0, ErrorOrigin.PEER)
--- a/basaltpoint/system/listening.py
+++ b/basaltpoint/system/listening.py
@@ -1,4 +1,4 @@
-"""Listening sockets: made at once, or as soon as the address is free and the machine has room for one."""
+"""Listening sockets: opened at once, or as soon as the address is free and the host has resources."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 log = logging.getLogger(__name__)
 
 MAX_LISTEN_WAIT_S = 5.0  # the kernel may take seconds to tear down a killed process with much memory
-LISTEN_RETRY_S = 0.005  # between two tries
+LISTEN_RETRY_S = 0.005
 
 
 def open_listener(address: tuple[str, int], backlog: int) -> socket.socket:
-    """A socket that listens there, for a loop; OSError where the address can't be had."""
+    """A non-blocking socket that listens at the address; raises OSError if it can't be bound."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.create_server(address, family=family, backlog=backlog)
     sock.setblocking(False)
@@ -27,11 +27,11 @@
 async def open_listener_when_free(
     address: tuple[str, int], backlog: int, within_s: float = MAX_LISTEN_WAIT_S
 ) -> socket.socket:
-    """The same, with new tries for `within_s` seconds where the trouble may pass.
+    """Like `open_listener`, but retries transient errors for `within_s` seconds.
 
-    The machine may lack descriptors or memory for a moment. And the kernel closes a killed process's
-    descriptors one after the other, in no order that can be relied on: its successor may learn from one of
-    them that it is gone while another one still listens.
+    The host may lack descriptors or memory for a moment. And the kernel closes the descriptors of a killed
+    process one after the other, in no guaranteed order: its successor may learn from one of them that it has
+    ended while another one still listens.
     """
     end_s = time.monotonic() + within_s
     logged = False
@@ -43,6 +43,6 @@
             if not may_pass or time.monotonic() >= end_s:
                 raise
             if not logged:
-                log.warning("%s:%d: %s; tried again for up to %.1f s", *address, error, within_s)
+                log.warning("%s:%d: %s; retrying for up to %.1f s", *address, error, within_s)
                 logged = True
         await asyncio.sleep(LISTEN_RETRY_S)
--- a/basaltpoint/system/pending_connections.py
+++ b/basaltpoint/system/pending_connections.py
@@ -1,4 +1,4 @@
-"""Accepted sockets on their way into the loop; what is not held here the loop may forget half way."""
+"""Accepted sockets until they have a protocol; the references here keep the tasks from being collected."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class PendingConnections:
-    """Connections that were accepted and have not met their protocol yet."""
+    """Connections that were accepted and have no protocol yet."""
 
     def __init__(self, context: ssl.SSLContext | None = None) -> None:
-        """`context`: of TLS, where the connections speak it."""
+        """`context`: TLS settings, if the connections use TLS."""
         self._context = context
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -23,7 +23,7 @@
         return len(self._tasks)
 
     def attach(self, sock: socket.socket, protocol: asyncio.Protocol, on_broken: Callable[[], None]) -> None:
-        """Put a protocol on a socket; `on_broken` hears where it broke before that."""
+        """Attaches a protocol to a socket; `on_broken` is called if the connection is lost before that."""
         task = asyncio.get_running_loop().create_task(self._join(sock, protocol, on_broken))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -35,7 +35,7 @@
             await asyncio.get_running_loop().connect_accepted_socket(
                 lambda: protocol, sock, ssl=self._context
             )
-        except OSError as error:  # those of TLS and a handshake that takes too long are such, too
-            log.warning("a connection broke at its start: %s", error)
+        except OSError as error:  # TLS errors and handshake time-outs included
+            log.warning("a connection was lost during its setup: %s", error)
             sock.close()
             on_broken()
--- a/basaltpoint/telemetry/__init__.py
+++ b/basaltpoint/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Counts and gauges, each defined once; no I/O."""
+"""Figures and the trace: each figure is defined once; no I/O."""
--- a/basaltpoint/telemetry/figures.py
+++ b/basaltpoint/telemetry/figures.py
@@ -1,4 +1,4 @@
-"""What a limiter counts of its requests, and how the figures are written; no I/O."""
+"""A limiter's counts of requests, and their text format; no I/O."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Gauges:
-    """What stands now.
+    """Current values; the field names are the figures' names.
 
-    `current`: requests taken and not ended. `cluster_size`: servers in the list, draining ones with them.
-    `cluster_unhealthy`: of these the ones that nothing ordinary is sent to at this moment.
+    `current`: requests admitted and not ended. `cluster_size`: servers in the list, draining ones included.
+    `cluster_unhealthy`: servers in the list that get no regular requests at the moment.
     """
 
     current: int
@@ -21,11 +21,11 @@
 
 @dataclass(slots=True, eq=False)
 class Counts:
-    """Of one class of requests, from the start of the process; they only grow.
+    """Counts of one class of requests since the start of the process; the field names are the figures' names.
 
-    `answered`: requests that a server's good answer served. `deferred`: refused. `errored`: ended in any
-    other way that their clients were told. `sends`: attempts whose last byte was written to a server. A
-    request whose client has gone before its end counts nowhere.
+    `answered`: served by a server's successful response. `deferred`: refused. `errored`: any other reply to
+    the client. `sends`: attempts whose last byte was written to a server. A request whose client
+    disconnected before its reply is not counted.
     """
 
     answered: int = 0
@@ -35,22 +35,22 @@
 
 
 class Figures:
-    """The counts of all classes, by their number in the settings."""
+    """The counts of all classes, by class number in the settings."""
 
     def __init__(self, classes: Sequence[str]) -> None:
         self._by_name: dict[str, Counts] = {}
         self.update_classes(classes)
 
     def update_classes(self, classes: Sequence[str]) -> None:
-        """Take up other classes; one whose name stays, or comes back, counts on."""
+        """Sets the classes; one with a known name, also a former one, continues its counts."""
         self._by_number = [self._by_name.setdefault(name, Counts()) for name in classes]
 
     def counts_of(self, number: int) -> Counts:
-        """The counts of a class, which a request in hand keeps whatever the settings become."""
+        """The counts of a class; an open request keeps them when the settings change."""
         return self._by_number[number]
 
     def metric_lines(self, gauges: Gauges) -> Iterator[str]:
-        """The figures, one a line: `gw_NAME{group="CLASS"} COUNT`, then `gw_NAME VALUE` for the gauges."""
+        """The figures, one per line: `gw_NAME{group="CLASS"} COUNT`, then `gw_NAME VALUE` for the gauges."""
         for field in fields(Counts):
             for group, counts in self._by_name.items():
                 yield f'gw_{field.name}{{group="{_escape_label(group)}"}} {getattr(counts, field.name)}'
--- a/basaltpoint/telemetry/trace.py
+++ b/basaltpoint/telemetry/trace.py
@@ -1,8 +1,8 @@
-"""The trace: a log line for each decision about a request, an attempt, a connection or the list of servers.
+"""The trace: a log line for each decision about a request, an attempt, a connection or the server list.
 
-Off by default, as it costs a line for each step of each request. `enable` turns it on for the process; the
-platform's limiter does so where `GW_TRACE` is set. Callers look at `on` first: the question stands in the way
-of every request, and nothing is worded while it is off.
+Off by default, as it writes a line for each step of each request. `enable` turns it on for the process; the
+platform's limiter does so if `GW_TRACE` is set. Callers check `enabled` first, so that no arguments are
+evaluated on the path of every request while it is off.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 
 log = logging.getLogger("basaltpoint.trace")
 
-enabled = False  # whether the trace is written
+enabled = False
 
 
 def enable() -> None:
-    """Write the trace with the ordinary log from here on."""
+    """Turns the trace on; it is written to the regular log."""
     global enabled
     enabled = True
     log.setLevel(logging.DEBUG)
 
 
 def event(text: str, *values: object) -> None:
-    """One line; `text` is a format as of `logging`."""
+    """Writes one line; `text` is a format string as for `logging`."""
     log.debug(text, *values)
