--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -1,4 +1,4 @@
-"""The threshold search against the paper's Table 1 and a brute force over the product form."""
+"""The threshold search, compared with the paper's Table 1 and a brute force over the product form."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 def measures(rho1: float, rho2: float, m1: int, m2: int) -> tuple[float, float, float]:
-    """T1/lambda1, S1 mu1 and T2/lambda2 summed straight from (4) to (8)."""
-    weight = {(a, b): math.comb(a + b, a) * rho1**a * rho2**b for a in range(m1 + 1) for b in range(m2 + 1)}
-    total = sum(weight.values())
-    first = sum(w for (a, _), w in weight.items() if a < m1) / total
-    second = sum(w for (_, b), w in weight.items() if b < m2) / total
-    length = sum(a * w for (a, _), w in weight.items()) / total
-    return first, (length / (rho1 * first) if first else math.inf), second
+    """Returns T1/lambda1, S1 mu1 and T2/lambda2, summed directly from (4) to (8)."""
+    weights = {(a, b): math.comb(a + b, a) * rho1**a * rho2**b for a in range(m1 + 1) for b in range(m2 + 1)}
+    total = sum(weights.values())
+    throughput_1 = sum(w for (a, _), w in weights.items() if a < m1) / total
+    throughput_2 = sum(w for (_, b), w in weights.items() if b < m2) / total
+    length = sum(a * w for (a, _), w in weights.items()) / total
+    return throughput_1, (length / (rho1 * throughput_1) if throughput_1 else math.inf), throughput_2
 
 
 @pytest.mark.parametrize("rho1", [0.2, 0.7, 1.1, 1.6])
@@ -36,32 +36,32 @@
 @pytest.mark.parametrize("floor", [0.3, 0.6, 0.9])
 def test_brute_force(rho1: float, rho2: float, sojourn: float, floor: float) -> None:
     found = find_thresholds(rho1, rho2, sojourn, floor)
-    top = 0.0
+    best = 0.0
     for m1 in range(1, 22):
         for m2 in range(22):
-            first, wait, second = measures(rho1, rho2, m1, m2)
-            if wait <= sojourn and second >= floor:
-                top = max(top, first)
+            throughput_1, sojourn_1, throughput_2 = measures(rho1, rho2, m1, m2)
+            if sojourn_1 <= sojourn and throughput_2 >= floor:
+                best = max(best, throughput_1)
     if found is None:
-        assert top == 0.0
+        assert best == 0.0
         return
     finite = [int(min(m, 60)) for m in found]
-    first, wait, second = measures(rho1, rho2, *finite)
-    assert first >= top - 1e-9
-    assert wait <= sojourn + 1e-6 and second >= floor - 1e-6
+    throughput_1, sojourn_1, throughput_2 = measures(rho1, rho2, *finite)
+    assert throughput_1 >= best - 1e-9
+    assert sojourn_1 <= sojourn + 1e-6 and throughput_2 >= floor - 1e-6
 
 
 def test_light_load_has_no_cap() -> None:
     assert find_thresholds(0.2, 0.2, 2.0, 0.9) == (math.inf, math.inf)
 
 
-def test_whole_floor_leaves_lane_two_free_or_is_infeasible() -> None:
+def test_a_floor_of_one_leaves_lane_two_uncapped_or_is_infeasible() -> None:
     found = find_thresholds(0.8, 0.3, 4.0, 1.0)
     assert found is not None and found[1] == math.inf and found[0] < math.inf
     assert find_thresholds(0.8, 1.3, 4.0, 1.0) is None
 
 
-def test_infinite_sums_are_limits() -> None:
+def test_j_sums_equal_the_infinite_sums() -> None:
     rho1, rho2, n = 0.5, 0.3, 4
     terms = [(i, j, math.comb(i + j, i) * rho1**i * rho2**j) for i in range(300) for j in range(n + 1)]
     expected = (
@@ -72,13 +72,13 @@
     assert j_sums(n, rho1, rho2) == pytest.approx(expected)
 
 
-def test_sole_caller_agrees_with_product_form() -> None:
-    _, wait, second = measures(0.7, 0.4, 1, 3)
-    assert measures_at_m1_one(0.7, 0.4, 3) == pytest.approx((wait, second))
+def test_measures_at_m1_one_agree_with_the_product_form() -> None:
+    _, sojourn_1, throughput_2 = measures(0.7, 0.4, 1, 3)
+    assert measures_at_m1_one(0.7, 0.4, 3) == pytest.approx((sojourn_1, throughput_2))
 
 
 def test_cost_is_bounded() -> None:
-    """Counted in lines run, which no machine's speed changes."""
+    """The cost is counted in lines run, which does not depend on the host's speed."""
     lines = 0
 
     def count(frame: FrameType, event: str, arg: object) -> Callable[..., Any]:
--- a/tests/test_slow_fleet.py
+++ b/tests/test_slow_fleet.py
@@ -1,6 +1,6 @@
-"""Whole histories of limiters before modelled servers: slow times, late meters, moves, restarts.
+"""Simulated runs of limiters and servers: slow servers, late meters, moving customers, restarts.
 
-Each number of the model's seed is fixed; bounds lie under what is reached by about a tenth.
+Seeds are fixed; the bounds are about a tenth below the measured values.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 
 from basaltpoint import interface as api
 
-CAPACITY = 120.0  # a second: six servers of two cores, 100 ms a request
-OFFERED = 84.0
+CAPACITY = 120.0  # requests/s: six servers of two cores, 100 ms per request
+OFFERED = 84.0  # requests/s
 
 
-def during(*spans: tuple[float, float], times: float, servers: range = range(6)):
-    """Work takes so many times longer on these servers in these spans."""
+def slow_down(*spans: tuple[float, float], times: float, servers: range = range(6)):
+    """Returns a function by which work takes `times` as long on `servers` within the spans (ms)."""
 
     def slow(now: float, ident: int) -> float:
         return times if ident in servers and any(a <= now < b for a, b in spans) else 1.0
@@ -24,25 +24,27 @@
 
 
 @pytest.mark.parametrize("cancels", [True, False], ids=["cancelled", "runs on"])
-@pytest.mark.parametrize(("times", "lasts"), [(1.5, 15_000), (2.0, 3_000), (2.0, 15_000), (3.0, 15_000)])
-def test_while_everything_is_slow_most_of_what_can_be_served_is_and_then_all(
-    times: float, lasts: float, cancels: bool
+@pytest.mark.parametrize(
+    ("times", "duration_ms"), [(1.5, 15_000), (2.0, 3_000), (2.0, 15_000), (3.0, 15_000)]
+)
+def test_a_slow_back_end_serves_most_of_its_capacity_and_recovers_at_once(
+    times: float, duration_ms: float, cancels: bool
 ) -> None:
-    """Short ones count from their begin, when all that is out is overtaken at once."""
-    start, end = 10_000.0, 10_000.0 + lasts
-    fleet = Fleet(seed=3, rate=OFFERED, cancels=cancels, slow=during((start, end), times=times))
+    """Short slow-downs count from their start, when all outstanding attempts become slow at once."""
+    start, end = 10_000.0, 10_000.0 + duration_ms
+    fleet = Fleet(seed=3, rate=OFFERED, cancels=cancels, slow=slow_down((start, end), times=times))
     play = Play(fleet).run(end + 10_000)
-    fair = min(1.0, CAPACITY / times / OFFERED)
+    feasible = min(1.0, CAPACITY / times / OFFERED)
     assert play.share(5000, start) > 0.99
-    assert play.share(start, end) > (0.85 if cancels else 0.68) * fair
-    assert play.share(end + 1000, end + 3000) > 0.97  # it comes back at once
+    assert play.share(start, end) > (0.85 if cancels else 0.68) * feasible
+    assert play.share(end + 1000, end + 3000) > 0.97  # recovers at once
     assert play.share(end + 3000, end + 9000) > 0.99
-    assert play.most_out < 85  # on twelve cores; where nothing held it, it was 104
+    assert play.most_out < 85  # with twelve cores; without caps it was 104
 
 
 @pytest.mark.parametrize("cancels", [True, False], ids=["cancelled", "runs on"])
-def test_a_second_slow_time_right_after_the_first_is_no_worse(cancels: bool) -> None:
-    slow = during((8_000, 14_000), (16_000, 22_000), times=2.5)
+def test_a_second_slow_down_right_after_the_first_is_no_worse(cancels: bool) -> None:
+    slow = slow_down((8_000, 14_000), (16_000, 22_000), times=2.5)
     play = Play(Fleet(seed=5, rate=OFFERED, cancels=cancels, slow=slow)).run(30_000)
     first, second = play.share(8_000, 14_000), play.share(16_000, 22_000)
     assert first > 0.36 and second > 0.8 * first
@@ -50,16 +52,16 @@
 
 
 @pytest.mark.parametrize("cancels", [True, False], ids=["cancelled", "runs on"])
-def test_half_of_the_fleet_slow_is_not_taken_for_all(cancels: bool) -> None:
-    """The other half can do it all: nothing is to be refused for load."""
-    slow = during((8_000, 20_000), times=3.0, servers=range(3))
+def test_half_of_the_servers_slow_is_not_an_overload(cancels: bool) -> None:
+    """The other half can serve all requests: nothing is to be refused for load."""
+    slow = slow_down((8_000, 20_000), times=3.0, servers=range(3))
     play = Play(Fleet(seed=5, rate=60.0, cancels=cancels, slow=slow)).run(28_000)
     assert play.share(8_000, 20_000) > 0.95
     assert play.share(8_000, 20_000, "Refuse") < 0.02
     assert play.share(21_000, 27_000) > 0.99
 
 
-def test_a_meter_that_falls_silent_neither_stops_customers_nor_opens_the_quota() -> None:
+def test_missing_readings_neither_stop_customers_nor_disable_the_quota() -> None:
     plan = api.Plan(rate=5, burst=10, name="p")
     fleet = Fleet(
         seed=6,
@@ -76,7 +78,7 @@
     assert all(play.beyond(customer) < 0.01 for customer in range(1, 12))
 
 
-def test_a_customer_that_moves_wholly_to_another_limiter_is_served_there_within_seconds() -> None:
+def test_a_customer_that_moves_to_another_limiter_is_served_there_within_seconds() -> None:
     plan = api.Plan(rate=8, burst=12, name="p")
 
     def door(now: float, customer: int, rng) -> int:
@@ -101,13 +103,13 @@
     assert play.beyond(0) == 0.0
 
 
-def test_units_settled_at_four_times_the_guess_are_held_to_the_quota() -> None:
+def test_units_settled_at_four_times_the_estimate_stay_within_the_quota() -> None:
     plan = api.Plan(rate=8, burst=16, name="p")
     fleet = Fleet(
         seed=6,
         rate=36.0,
         plan=plan,
-        true_units=lambda customer, guess: 4.0 * guess if customer == 0 else guess,
+        true_units=lambda customer, estimate: 4.0 * estimate if customer == 0 else estimate,
     )
     play = Play(fleet).run(25_000)
     metered = (
@@ -117,8 +119,8 @@
     assert play.share(4_000, 25_000) > 0.95
 
 
-def test_a_limiter_that_restarts_while_everything_is_slow_is_in_step_within_a_second() -> None:
-    slow = during((8_000, 20_000), times=2.0)
+def test_a_limiter_restarted_during_a_slow_down_recovers_within_a_second() -> None:
+    slow = slow_down((8_000, 20_000), times=2.0)
     play = Play(Fleet(seed=7, rate=OFFERED, slow=slow, restarts={12_000.0: 1})).run(28_000)
     assert play.share(13_000, 20_000) > 0.6
     assert play.share(21_000, 27_000) > 0.98
