--- a/basaltpoint/links/connection_pool.py
+++ b/basaltpoint/links/connection_pool.py
@@ -52,35 +52,41 @@
         owner: PoolOwner,
         greeting: Callable[[], Greeting],
         tls: Tls | None,
-        speech: WireProtocol,
-        most: int,
+        protocol: WireProtocol,
+        max_connections: int,
     ) -> None:
-        self._owner, self._greeting, self._tls, self._speech, self._most = owner, greeting, tls, speech, most
-        self._links: dict[str, Link] = {}  # the one to send over, the least used first
-        self._all: dict[Link, str] = {}  # greeted ones; with clients' under an empty name
-        self._calls: dict[str, tuple[asyncio.Task[None], list[Frame]]] = {}
-        self._counts: dict[Link, tuple[float, int]] = {}
-        self._told: dict[str, str] = {}
+        self._owner, self._greeting, self._tls, self._protocol, self._max_connections = (
+            owner,
+            greeting,
+            tls,
+            protocol,
+            max_connections,
+        )
+        self._active_links: dict[str, Link] = {}  # the one to send over, the least used first
+        self._greeted_links: dict[Link, str] = {}  # greeted ones; with clients' under an empty name
+        self._connecting: dict[str, tuple[asyncio.Task[None], list[Frame]]] = {}
+        self._frame_counts: dict[Link, tuple[float, int]] = {}
+        self._last_problems: dict[str, str] = {}
         self._closed = False
 
     def accept_link(self) -> Link:
         """For a listener: one that somebody made to us."""
-        return Link(self, self._greeting(), False, self._speech, plain=self._tls is None)
+        return Link(self, self._greeting(), False, self._protocol, without_tls=self._tls is None)
 
-    def send(self, name: str, address: str, part: Frame) -> None:
+    def send(self, name: str, address: str, frame: Frame) -> None:
         """Send now, or once a connection is up; what can't be sent is lost."""
-        link = self._links.pop(name, None)
+        link = self._active_links.pop(name, None)
         if link is not None:
-            self._links[name] = link
-            link.send(part)
-        elif (call := self._calls.get(name)) is not None:
-            if len(call[1]) < MAX_PENDING_FRAMES:
-                call[1].append(part)
+            self._active_links[name] = link
+            link.send(frame)
+        elif (connecting := self._connecting.get(name)) is not None:
+            if len(connecting[1]) < MAX_PENDING_FRAMES:
+                connecting[1].append(frame)
         elif not self._closed:
-            task = asyncio.get_running_loop().create_task(self._call(name, address))
-            self._calls[name] = task, [part]
+            task = asyncio.get_running_loop().create_task(self._connect(name, address))
+            self._connecting[name] = task, [frame]
 
-    async def _call(self, name: str, address: str) -> None:
+    async def _connect(self, name: str, address: str) -> None:
         text, refused = "", False
         try:
             link = await connect(self.accept_link, address, name, self._tls)
@@ -98,72 +104,74 @@
         except (OSError, TimeoutError) as error:  # ssl.SSLError is an OSError
             text = str(error) or "no answer"
             if isinstance(error, OSError) and error.errno in LOCAL_RESOURCE_ERRORS:
-                log.error("%s: no connection to %s: %s", self._speech.log_name, name, text)
+                log.error("%s: no connection to %s: %s", self._protocol.log_name, name, text)
         finally:
-            _, waiting = self._calls.pop(name)
+            _, waiting = self._connecting.pop(name)
         if text:
-            if self._told.get(name) != text:  # once for each reason, not at each try
-                self._told[name] = text
-                log.warning("%s: %s at %s: %s", self._speech.log_name, name, address, text)
+            if self._last_problems.get(name) != text:  # once for each reason, not at each try
+                self._last_problems[name] = text
+                log.warning("%s: %s at %s: %s", self._protocol.log_name, name, address, text)
             if refused and not self._closed:
                 self._owner.connection_refused(name)
             return
-        self._told.pop(name, None)
-        if waiting and name in self._links:
+        self._last_problems.pop(name, None)
+        if waiting and name in self._active_links:
             for part in waiting:
-                self._links[name].send(part)
+                self._active_links[name].send(part)
 
     # --- What connections report ------------------------------------------------------------------------
     def greeting_received(self, link: Link) -> bool:
         name = link.peer_name
-        self._all[link] = name
+        self._greeted_links[link] = name
         if not name or name == self._greeting().name:
             return True  # a client, or another process of this name that is to be told apart
-        news = name not in self._links
-        self._links[name] = link
+        news = name not in self._active_links
+        self._active_links[name] = link
         if news:
             self._owner.member_connected(name)
-        while len(self._links) > self._most:
-            oldest = next(iter(self._links))
-            self._drop(oldest)
+        while len(self._active_links) > self._max_connections:
+            oldest = next(iter(self._active_links))
+            self._evict(oldest)
         return True
 
-    def _drop(self, name: str) -> None:
-        link = self._links.pop(name)
-        self._all.pop(link, None)
+    def _evict(self, name: str) -> None:
+        link = self._active_links.pop(name)
+        self._greeted_links.pop(link, None)
         self._owner.connection_evicted(name)
         link.close(flush=True)
 
     def frame_received(self, link: Link, frame: Any) -> None:
         now = asyncio.get_running_loop().time()
-        began, count = self._counts.get(link, (now, 0))
+        began, count = self._frame_counts.get(link, (now, 0))
         if now - began >= 1.0:
             began, count = now, 0
-        self._counts[link] = began, count + 1
+        self._frame_counts[link] = began, count + 1
         if count >= MAX_FRAMES_PER_SECOND:
             raise FrameError(f"more than {MAX_FRAMES_PER_SECOND} frames a second")
         self._owner.frame_received(link, frame)
 
     def link_closed(self, link: Link) -> None:
-        self._counts.pop(link, None)
-        name = self._all.pop(link, "")
-        if not name or self._links.get(name) is not link:
+        self._frame_counts.pop(link, None)
+        name = self._greeted_links.pop(link, "")
+        if not name or self._active_links.get(name) is not link:
             return
-        del self._links[name]
-        if (other := next((one for one, who in self._all.items() if who == name), None)) is not None:
-            self._links[name] = other
+        del self._active_links[name]
+        if (
+            other := next((one for one, who in self._greeted_links.items() if who == name), None)
+        ) is not None:
+            self._active_links[name] = other
         elif not self._closed:
             self._owner.connection_lost(name)
 
     def close_member(self, name: str) -> None:
         """End all connections with one."""
-        for link in [link for link, who in self._all.items() if who == name]:
+        for link in [link for link, who in self._greeted_links.items() if who == name]:
             link.close()
 
     def close_all(self) -> None:
         """End all, once what was written has gone out."""
         self._closed = True
-        for task, _ in self._calls.values():
+        for task, _ in self._connecting.values():
             task.cancel()
-        for link in list(self._all):
+        for link in list(self._greeted_links):
             link.close(flush=True)
--- a/basaltpoint/links/frames.py
+++ b/basaltpoint/links/frames.py
@@ -73,35 +73,35 @@
 class FrameParser:
     """Cuts what comes into frames."""
 
-    def __init__(self, speech: WireProtocol) -> None:
-        self._decode, self._longest = speech.decode, speech.max_frame_bytes
-        self._held = bytearray()
-        self._at = 0
+    def __init__(self, protocol: WireProtocol) -> None:
+        self._decode, self._max_bytes = protocol.decode, protocol.max_frame_bytes
+        self._buffer = bytearray()
+        self._offset = 0
 
     def feed(self, data: bytes) -> None:
-        self._held += data
+        self._buffer += data
 
     def next_frame(self) -> Any:
         """The next whole frame, None where none is whole; FrameError where it can't be one."""
-        at, held = self._at, self._held
+        at, held = self._offset, self._buffer
         if len(held) - at < LENGTH_PREFIX.size:
-            self._rest()
+            self._discard_consumed()
             return None
         (length,) = LENGTH_PREFIX.unpack_from(held, at)
-        if length > self._longest:
-            raise FrameError(f"a frame of {length} bytes; allowed: {self._longest}")
+        if length > self._max_bytes:
+            raise FrameError(f"a frame of {length} bytes; allowed: {self._max_bytes}")
         end = at + LENGTH_PREFIX.size + length
         if len(held) < end:
-            self._rest()
+            self._discard_consumed()
             return None
         with memoryview(held) as view:
             try:
                 frame = self._decode(view[at + LENGTH_PREFIX.size : end])
             except (msgspec.DecodeError, ValueError) as error:
                 raise FrameError(f"a frame that can't be read: {error}") from None
-        self._at = end
+        self._offset = end
         return frame
 
-    def _rest(self) -> None:
-        del self._held[: self._at]
-        self._at = 0
+    def _discard_consumed(self) -> None:
+        del self._buffer[: self._offset]
+        self._offset = 0
--- a/basaltpoint/links/listening.py
+++ b/basaltpoint/links/listening.py
@@ -16,18 +16,21 @@
     """Takes connections until it is closed; those that were taken live on."""
 
     def __init__(
-        self, sock: socket.socket, make: Callable[[], asyncio.Protocol], context: ssl.SSLContext | None
+        self,
+        sock: socket.socket,
+        protocol_factory: Callable[[], asyncio.Protocol],
+        tls_context: ssl.SSLContext | None,
     ) -> None:
         """`make`: the protocol of a new connection. `context`: of TLS, where links speak it."""
-        self._make = make
-        self._joining = Joining(context)
-        self._acceptor = Acceptor(sock, self._adopt, lambda: True, lambda: False, monotonic())
+        self._protocol_factory = protocol_factory
+        self._joining = Joining(tls_context)
+        self._acceptor = Acceptor(sock, self._accept, lambda: True, lambda: False, monotonic())
         self._acceptor.listen()
 
-    def _adopt(self, sock: socket.socket, unread_since: float | None) -> None:
+    def _accept(self, sock: socket.socket, unread_since: float | None) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._joining.join(sock, self._make(), lambda: None)
+        self._joining.join(sock, self._protocol_factory(), lambda: None)
 
     def close(self) -> None:
         """Listen no more."""
--- a/basaltpoint/peers/name_conflicts.py
+++ b/basaltpoint/peers/name_conflicts.py
@@ -7,49 +7,49 @@
 from basaltpoint.peers.messages import MemberRecord
 from basaltpoint.peers.options import MembershipOptions
 
-TRIES = 3
-AGAIN_MS = 5000.0  # one that did not answer, or ends by itself, is not asked again within
+MAX_QUERIES = 3
+MIN_RECHECK_INTERVAL_MS = 5000.0  # one that did not answer, or ends by itself, is not asked again within
 
 
-class Rivals:
+class NameConflict:
     """At most one is asked at a time."""
 
     def __init__(self, options: MembershipOptions) -> None:
         self._options = options
         self.address, self.incarnation = "", 0
-        self._life = self._tries = 0
+        self._instance_id = self._queries = 0
         self.next_ms = math.inf
-        self._again = -math.inf
+        self._recheck_ms = -math.inf
 
     @property
-    def pending(self) -> bool:
+    def is_pending(self) -> bool:
         return self.next_ms < math.inf
 
-    def met(self, now: float, row: MemberRecord) -> bool:
+    def conflict_reported(self, now: float, row: MemberRecord) -> bool:
         """Another life is told of under this name; whether it is to be asked now."""
-        if self.pending or (row.instance_id == self._life and now < self._again):
+        if self.is_pending or (row.instance_id == self._instance_id and now < self._recheck_ms):
             self.incarnation = max(self.incarnation, row.incarnation)
             return False
-        self.address, self.incarnation, self._life, self._tries = (
+        self.address, self.incarnation, self._instance_id, self._queries = (
             row.address,
             row.incarnation,
             row.instance_id,
             0,
         )
-        self._again = now + AGAIN_MS
+        self._recheck_ms = now + MIN_RECHECK_INTERVAL_MS
         return True
 
-    def due(self, now: float) -> bool:
+    def is_due(self, now: float) -> bool:
         return now >= self.next_ms
 
-    def ask(self, now: float) -> bool:
+    def count_query(self, now: float) -> bool:
         """Count a try; False where there were enough."""
-        if self._tries >= TRIES:
-            self.settled()
+        if self._queries >= MAX_QUERIES:
+            self.close()
             return False
-        self._tries += 1
+        self._queries += 1
         self.next_ms = now + self._options.name_check_timeout_ms
         return True
 
-    def settled(self) -> None:
+    def close(self) -> None:
         self.next_ms = math.inf
--- a/basaltpoint/peers/push_pull.py
+++ b/basaltpoint/peers/push_pull.py
@@ -10,17 +10,19 @@
 from basaltpoint.peers.options import MembershipOptions
 from basaltpoint.peers.view import MembershipView, precedence
 
-AT_ONCE = 4  # answers in several parts under way; of more the oldest is forgotten, and asked for again later
+MAX_PARTIAL_RESPONSES = (
+    4  # answers in several parts under way; of more the oldest is forgotten, and asked for again later
+)
 
-Told = tuple[str, tuple[int, int, int, int]]
+RecordVersion = tuple[str, tuple[int, int, int, int]]
 
 
-def told(row: MemberRecord) -> Told:
+def record_version(row: MemberRecord) -> RecordVersion:
     """What tells a row apart from others, but for who accuses."""
     return row.name, precedence(row)
 
 
-class Exchange:
+class PushPullExchange:
     """Asks a digest's worth, answers with all where it differs, and tells back what the other lacks."""
 
     def __init__(
@@ -28,44 +30,48 @@
         view: MembershipView,
         options: MembershipOptions,
         rng: random.Random,
-        tell: Callable[[str, str, Message], None],
+        send_message: Callable[[str, str, Message], None],
     ) -> None:
-        self._view, self._options, self._rng, self._tell = view, options, rng, tell
-        self._parts: dict[str, set[Told]] = {}  # what an answer has told of, by who tells
+        self._view, self._options, self._rng, self._send_message = view, options, rng, send_message
+        self._received_versions: dict[
+            str, set[RecordVersion]
+        ] = {}  # what an answer has told of, by who tells
 
-    def wait_ms(self) -> float:
+    def next_interval_ms(self) -> float:
         """Until the next: longer in large fleets, as their views are longer, too."""
         size = max(1.0, math.log2(max(1, len(self._view.ring))) - 4.0)
         return self._options.push_pull_interval_ms * size * self._rng.uniform(0.8, 1.2)
 
-    def ask(self, name: str, address: str) -> None:
-        self._tell(name, address, PushPull((), self._view.digest()))
+    def send_digest(self, name: str, address: str) -> None:
+        self._send_message(name, address, PushPull((), self._view.digest()))
 
-    def recall(self, seeds: Sequence[tuple[str, str]]) -> None:
+    def contact_dead_or_seed(self, seeds: Sequence[tuple[str, str]]) -> None:
         """Ask one that is held dead, or a seed that is not among the living, whether it is there."""
         alive = {known.record.address for known in self._view.members.values() if known.record.is_live}
         found = [(row.name, row.address) for row in self._view.records if row.state is MemberState.DEAD]
         found += [seed for seed in seeds if seed[1] not in alive]
         if found:
-            self.ask(*self._rng.choice(found))
+            self.send_digest(*self._rng.choice(found))
 
-    def came(self, sender: str, address: str, sync: PushPull) -> bool:
+    def message_received(self, sender: str, address: str, message: PushPull) -> bool:
         """A message of one; whether somebody has now told all that it knows."""
-        if sync.step == 0 and sync.digest != self._view.digest():
-            self._tell_all(sender, address, self._view.records, 1)
-        if sync.step != 1:
+        if message.step == 0 and message.digest != self._view.digest():
+            self._send_records(sender, address, self._view.records, 1)
+        if message.step != 1:
             return False
-        parts = self._parts.setdefault(sender, set())
-        parts.update(told(row) for row in sync.records)
-        if sync.is_last:
-            del self._parts[sender]
-            if lacks := [row for row in self._view.records if told(row) not in parts]:
-                self._tell_all(sender, address, lacks, 2)
-        while len(self._parts) > AT_ONCE:
-            del self._parts[next(iter(self._parts))]
-        return sync.is_last
+        versions = self._received_versions.setdefault(sender, set())
+        versions.update(record_version(row) for row in message.records)
+        if message.is_last:
+            del self._received_versions[sender]
+            if missing := [row for row in self._view.records if record_version(row) not in versions]:
+                self._send_records(sender, address, missing, 2)
+        while len(self._received_versions) > MAX_PARTIAL_RESPONSES:
+            del self._received_versions[next(iter(self._received_versions))]
+        return message.is_last
 
-    def _tell_all(self, name: str, address: str, rows: Sequence[MemberRecord], step: int) -> None:
-        for at in range(0, len(rows), MAX_RECORDS_PER_MESSAGE):
-            part = tuple(rows[at : at + MAX_RECORDS_PER_MESSAGE])
-            self._tell(name, address, PushPull(part, 0, step, at + MAX_RECORDS_PER_MESSAGE >= len(rows)))
+    def _send_records(self, name: str, address: str, records: Sequence[MemberRecord], step: int) -> None:
+        for at in range(0, len(records), MAX_RECORDS_PER_MESSAGE):
+            chunk = tuple(records[at : at + MAX_RECORDS_PER_MESSAGE])
+            self._send_message(
+                name, address, PushPull(chunk, 0, step, at + MAX_RECORDS_PER_MESSAGE >= len(records))
+            )
--- a/basaltpoint/peers/suspicion.py
+++ b/basaltpoint/peers/suspicion.py
@@ -13,7 +13,7 @@
 from basaltpoint.peers.messages import MemberRecord
 from basaltpoint.peers.options import MembershipOptions
 
-STALE_MS = 3000.0  # a question that got no answer says so long that there is none
+PROBE_VALID_MS = 3000.0  # a question that got no answer says so long that there is none
 
 
 @dataclass(slots=True)
@@ -21,36 +21,36 @@
     """One member doubted, in one incarnation."""
 
     incarnation: int
-    began: float
-    refused: bool
-    by: set[str] = field(default_factory=set)
-    held: float = 0.0  # ms by which the end was put off
-    ask_at: float = math.inf  # when this member is to ask it for itself; infinite once it has
-    asked: bool = False  # this member has, and so have others for it: no answer
-    asked_at: float = -math.inf  # when that was
-    verdict: MemberRecord | None = None  # others hold it dead; believed once this member has asked
-
-    def confirm(self, who: str, refused: bool) -> bool:
+    started_ms: float
+    connection_refused: bool
+    suspected_by: set[str] = field(default_factory=set)
+    extension_ms: float = 0.0  # ms by which the end was put off
+    probe_at_ms: float = math.inf  # when this member is to ask it for itself; infinite once it has
+    was_probed: bool = False  # this member has, and so have others for it: no answer
+    probed_at_ms: float = -math.inf  # when that was
+    pending_dead: MemberRecord | None = None  # others hold it dead; believed once this member has asked
+
+    def confirm(self, member: str, refused: bool) -> bool:
         """Another doubts it, too; whether that is news."""
-        new = who not in self.by or (refused and not self.refused)
-        self.by.add(who)
-        self.refused = self.refused or refused
+        new = member not in self.suspected_by or (refused and not self.connection_refused)
+        self.suspected_by.add(member)
+        self.connection_refused = self.connection_refused or refused
         return new
 
-    def stale(self, now: float) -> bool:
+    def probe_is_stale(self, now: float) -> bool:
         """Whether it was asked long ago: it may have stood still then, and its contradiction been lost."""
-        return self.asked and now - self.asked_at > STALE_MS
+        return self.was_probed and now - self.probed_at_ms > PROBE_VALID_MS
 
-    def end(self, options: MembershipOptions, members: int) -> float:
+    def expires_ms(self, options: MembershipOptions, members: int) -> float:
         """When it is held dead, if nothing is heard of it."""
         scale = max(1.0, math.log10(max(1, members)))
-        if self.refused:
-            return self.began + options.refused_suspicion_ms * scale + self.held
-        least = options.silent_ms * scale if options.lifeguard else options.swim_suspicion_ms * scale
+        if self.connection_refused:
+            return self.started_ms + options.refused_suspicion_ms * scale + self.extension_ms
+        min_ms = options.silent_ms * scale if options.lifeguard else options.swim_suspicion_ms * scale
         if not options.lifeguard:
-            return self.began + least + self.held
-        most, wanted = options.max_suspicion_factor * least, min(options.confirmations, members - 2)
-        if wanted < 1:
-            return self.began + least + self.held
-        part = math.log(len(self.by)) / math.log(wanted + 1) if self.by else 0.0
-        return self.began + max(least, most - (most - least) * part) + self.held
+            return self.started_ms + min_ms + self.extension_ms
+        max_ms, needed = options.max_suspicion_factor * min_ms, min(options.confirmations, members - 2)
+        if needed < 1:
+            return self.started_ms + min_ms + self.extension_ms
+        fraction = math.log(len(self.suspected_by)) / math.log(needed + 1) if self.suspected_by else 0.0
+        return self.started_ms + max(min_ms, max_ms - (max_ms - min_ms) * fraction) + self.extension_ms
--- a/basaltpoint/peers/view.py
+++ b/basaltpoint/peers/view.py
@@ -8,13 +8,13 @@
 
 from basaltpoint.peers.messages import INCARNATION_LIMIT, MemberRecord
 
-NAMES = 64  # characters of a name, and twice that of an address
-UNREACHED = 8  # names that a row tells of at most
+MAX_NAME_CHARS = 64  # characters of a name, and twice that of an address
+MAX_UNREACHABLE = 8  # names that a row tells of at most
 
 
-def precedence(row: MemberRecord) -> tuple[int, int, int, int]:
+def precedence(record: MemberRecord) -> tuple[int, int, int, int]:
     """What of two rows about one name the higher wins by: a total order but for who accuses."""
-    return row.incarnation, row.state, row.instance_id, row.self_report
+    return record.incarnation, record.state, record.instance_id, record.self_report
 
 
 def merge(one: MemberRecord, other: MemberRecord) -> MemberRecord:
@@ -32,14 +32,21 @@
     )
 
 
-def validation_error(row: MemberRecord) -> str:
+def validation_error(record: MemberRecord) -> str:
     """What is wrong with a row from elsewhere; nothing where it may be taken."""
-    if not 0 < row.incarnation < INCARNATION_LIMIT:
-        return f"an incarnation of {row.incarnation}; allowed: 1 to {INCARNATION_LIMIT - 1}"
-    if not row.name or len(row.name) > NAMES or len(row.address) > 2 * NAMES or len(row.reported_by) > NAMES:
-        return f"a name or address that is empty or longer than {NAMES} and {2 * NAMES} characters"
-    if len(row.unreachable) > UNREACHED or any(len(name) > NAMES + 1 for name in row.unreachable):
-        return f"more than {UNREACHED} names that it can't reach"
+    if not 0 < record.incarnation < INCARNATION_LIMIT:
+        return f"an incarnation of {record.incarnation}; allowed: 1 to {INCARNATION_LIMIT - 1}"
+    if (
+        not record.name
+        or len(record.name) > MAX_NAME_CHARS
+        or len(record.address) > 2 * MAX_NAME_CHARS
+        or len(record.reported_by) > MAX_NAME_CHARS
+    ):
+        return f"a name or address that is empty or longer than {MAX_NAME_CHARS} and {2 * MAX_NAME_CHARS} characters"
+    if len(record.unreachable) > MAX_UNREACHABLE or any(
+        len(name) > MAX_NAME_CHARS + 1 for name in record.unreachable
+    ):
+        return f"more than {MAX_UNREACHABLE} names that it can't reach"
     return ""
 
 
@@ -71,19 +78,19 @@
         known = self.members.get(name)
         return known.record if known else None
 
-    def put(self, now: float, row: MemberRecord) -> None:
+    def put(self, now: float, record: MemberRecord) -> None:
         """Take a row as it is."""
-        known = self.members.get(row.name)
+        known = self.members.get(record.name)
         if known is None:
-            self.members[row.name] = KnownMember(row, now)
-            self._points[row.name] = ring_position(row.name)
+            self.members[record.name] = KnownMember(record, now)
+            self._points[record.name] = ring_position(record.name)
             self._ring = None
             return
-        if known.record.is_live != row.is_live:
+        if known.record.is_live != record.is_live:
             self._ring = None
-        if (known.record.state, known.record.incarnation) != (row.state, row.incarnation):
+        if (known.record.state, known.record.incarnation) != (record.state, record.incarnation):
             known.state_since_ms = now
-        known.record = row
+        known.record = record
 
     def forget(self, name: str) -> None:
         del self.members[name], self._points[name]
@@ -119,11 +126,11 @@
 
     def digest(self) -> int:
         """Alike where the living are seen alike, but for who accuses; each forgets the dead in its time."""
-        made = hashlib.blake2b(digest_size=6)
+        digest = hashlib.blake2b(digest_size=6)
         for name in self.ring:
             row = self.members[name].record
-            made.update(f"{name} {precedence(row)}\n".encode())
-        return int.from_bytes(made.digest(), "little")
+            digest.update(f"{name} {precedence(row)}\n".encode())
+        return int.from_bytes(digest.digest(), "little")
 
     def broken_links(self) -> Iterator[tuple[str, str, bool]]:
         """Links that a living member says it can't use: from, to, and whether it still hears the other."""
--- a/basaltpoint/replication/kinds.py
+++ b/basaltpoint/replication/kinds.py
@@ -23,7 +23,7 @@
     draining: bool
 
 
-def read_drain(entry: Entry) -> Drain | None:
+def decode_drain(entry: Entry) -> Drain | None:
     """None where the row can't be read."""
     try:
         return msgspec.msgpack.decode(entry.value, type=Drain)
@@ -31,6 +31,6 @@
         return None
 
 
-def drain(rows: Iterable[Entry]) -> Drain:
+def merge_drains(rows: Iterable[Entry]) -> Drain:
     """What holds of a server: the join of all owners' words."""
-    return max((told for entry in rows if (told := read_drain(entry))), default=Drain(0, False))
+    return max((told for entry in rows if (told := decode_drain(entry))), default=Drain(0, False))
--- a/basaltpoint/replication/rows.py
+++ b/basaltpoint/replication/rows.py
@@ -12,11 +12,11 @@
 
 from basaltpoint.peers.messages import Message
 
-KEY = 256  # bytes of the longest key
-VALUE = 4096  # and of the longest value
-ROWS = 256  # of one message: with the longest of both it would be cut by bytes before
-BYTES = 32 << 10  # of the values of one message
-LAST = 1 << 53  # counts and epochs stay below it
+MAX_KEY_CHARS = 256  # bytes of the longest key
+MAX_VALUE_BYTES = 4096  # and of the longest value
+MAX_DELTA_ENTRIES = 256  # of one message: with the longest of both it would be cut by bytes before
+MAX_DELTA_BYTES = 32 << 10  # of the values of one message
+COUNT_LIMIT = 1 << 53  # counts and epochs stay below it
 
 
 class Owner(NamedTuple):
@@ -43,13 +43,13 @@
     """
 
     owner: Owner = Owner("", 0)
-    since: int = 0
-    upto: int = 0
-    goal: int = 0
+    after: int = 0
+    up_to: int = 0
+    final_up_to: int = 0
     entries: tuple[Entry, ...] = ()
 
 
-class Have(Message, frozen=True, tag="h"):
+class VersionVector(Message, frozen=True, tag="h"):
     """Up to where the sender has each owner's changes, and the print of its rows.
 
     Who has more of one tells it; who has less asks back.
@@ -59,14 +59,18 @@
     """
 
     digest: int = 0
-    owners: tuple[tuple[Owner, int, int], ...] = ()
-    part: bool = False
+    versions: tuple[tuple[Owner, int, int], ...] = ()
+    is_partial: bool = False
 
 
-def sound(owner: Owner, entry: Entry) -> str:
+def validation_error(owner: Owner, entry: Entry) -> str:
     """What is wrong with a row from elsewhere; nothing where it may be taken."""
-    if not owner.name or len(owner.name) > KEY or not 0 < owner.epoch < LAST:
+    if not owner.name or len(owner.name) > MAX_KEY_CHARS or not 0 < owner.epoch < COUNT_LIMIT:
         return f"a row of {owner.name!r}, epoch {owner.epoch}"
-    if not 0 < entry.count < LAST or len(entry.key) > KEY or len(entry.value) > VALUE:
+    if (
+        not 0 < entry.count < COUNT_LIMIT
+        or len(entry.key) > MAX_KEY_CHARS
+        or len(entry.value) > MAX_VALUE_BYTES
+    ):
         return f"row {entry.key[:64]!r} with count {entry.count} and {len(entry.value)} bytes"
     return ""
--- a/basaltpoint/store/replica.py
+++ b/basaltpoint/store/replica.py
@@ -134,7 +134,7 @@
 
     def _link(self) -> Link:
         """One with another host, or another process of this one."""
-        return Link(self, self._greeting(), False, p.STORE, plain=self.setting.tls is None)
+        return Link(self, self._greeting(), False, p.STORE, without_tls=self.setting.tls is None)
 
     def _greeting(self) -> Greeting:
         return Greeting(PROTOCOL_VERSION, self.setting.cluster, self.setting.name, self.address)
--- a/tests/fleetprocs.py
+++ b/tests/fleetprocs.py
@@ -14,34 +14,36 @@
 from basaltpoint.rehearsal.processes import Processes
 from basaltpoint.rehearsal.scenario import FleetTable, LoadTable, Rehearsal
 
-TABLES = tables(Rehearsal(fleet=FleetTable(), load=LoadTable(), limiter={}, faults=()), ["127.0.0.1:1"])
-STEADY = "silent_ms = 5000\nprobe_ms = 200"  # where a slow machine must not look like a silent member
-FAST = (
+LIMITER_TABLES = tables(
+    Rehearsal(fleet=FleetTable(), load=LoadTable(), limiter={}, faults=()), ["127.0.0.1:1"]
+)
+LONG_TIMEOUTS = "silent_ms = 5000\nprobe_ms = 200"  # where a slow machine must not look like a silent member
+SHORT_TIMEOUTS = (
     "silent_ms = 1500\nprobe_ms = 200"  # so that the stories take seconds; what holds does not depend on it
 )
 
 
 @contextlib.asynccontextmanager
-async def fleet(
-    path: Path, count: int = 3, more: str = FAST, start: bool = True, **named: Any
+async def running_fleet(
+    path: Path, count: int = 3, more: str = SHORT_TIMEOUTS, start: bool = True, **named: Any
 ) -> AsyncIterator[Processes]:
     names = [f"l{at + 1}" for at in range(count)]
-    made = Processes(path, names, TABLES, more, **named)
+    made = Processes(path, names, LIMITER_TABLES, more, **named)
     await made.prepare()
     try:
         if start:
             made.start()
-            await agree(made, *names)
+            await wait_until_agreed(made, *names)
         yield made
     finally:
         await made.close()
 
 
-def living(made: Processes, by: str) -> set[str]:
+def live_members(made: Processes, by: str) -> set[str]:
     return {name for name, state in made.views().get(by, {}).items() if state in checks.LIVE}
 
 
-async def agree(made: Processes, *names: str) -> None:
+async def wait_until_agreed(made: Processes, *names: str) -> None:
     """Wait until all who are named see each other alive, and nobody else."""
 
     def agreed() -> bool:
@@ -55,9 +57,9 @@
     await until(agreed, 0.05)
 
 
-async def sees(made: Processes, by: str, name: str, state: str) -> None:
+async def wait_until_seen(made: Processes, by: str, name: str, state: str) -> None:
     await until(lambda: made.views().get(by, {}).get(name) == state)
 
 
-def sound(made: Processes) -> None:
+def assert_no_resurrection(made: Processes) -> None:
     assert not checks.back_to_life(*made.record())
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,7 +11,16 @@
 from pathlib import Path
 
 import pytest
-from fleetprocs import FAST, STEADY, TABLES, agree, fleet, living, sees, sound
+from fleetprocs import (
+    LIMITER_TABLES,
+    LONG_TIMEOUTS,
+    SHORT_TIMEOUTS,
+    assert_no_resurrection,
+    live_members,
+    running_fleet,
+    wait_until_agreed,
+    wait_until_seen,
+)
 from waiting import PATIENCE_S, run, until
 
 from basaltpoint.cli import main
@@ -25,54 +34,54 @@
 
 def test_a_killed_member_is_held_dead_by_all_and_lives_again_under_a_new_incarnation(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 4) as made:
+        async with running_fleet(tmp_path, 4) as made:
             await made.end("l4")
             for name in ("l1", "l2", "l3"):
-                await sees(made, name, "l4", "dead")
+                await wait_until_seen(made, name, "l4", "dead")
             made.start("l4")
-            await agree(made, "l1", "l2", "l3", "l4")
-            sound(made)
+            await wait_until_agreed(made, "l1", "l2", "l3", "l4")
+            assert_no_resurrection(made)
 
     run(test())
 
 
 def test_one_that_stood_still_says_of_nobody_that_it_is_dead_and_comes_back_by_itself(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3, STEADY) as made:
+        async with running_fleet(tmp_path, 3, LONG_TIMEOUTS) as made:
             made.pause("l2")
             for name in ("l1", "l3"):
-                await sees(made, name, "l2", "dead")
+                await wait_until_seen(made, name, "l2", "dead")
             made.resume("l2")
-            await agree(made, "l1", "l2", "l3")
+            await wait_until_agreed(made, "l1", "l2", "l3")
             saws, _ = made.journal()
             assert not [saw for saw in saws if saw.by == "l2" and saw.state == "dead"]
             assert "stood still" in made.log("l2")
-            sound(made)
+            assert_no_resurrection(made)
 
     run(test())
 
 
 def test_after_a_split_with_a_kill_a_start_and_a_stop_on_its_sides_all_agree_again(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 5) as made:
+        async with running_fleet(tmp_path, 5) as made:
             split = Fault(Kind.SPLIT, 0, math.inf, sides=(("l1", "l2"), ("l3", "l4", "l5")))
             await made.begin(split)
-            await agree(made, "l1", "l2")
-            await agree(made, "l3", "l4", "l5")
+            await wait_until_agreed(made, "l1", "l2")
+            await wait_until_agreed(made, "l3", "l4", "l5")
             await made.end("l2")
             assert await made.end("l3", signal.SIGTERM) == 0
-            await sees(made, "l4", "l3", "left")
+            await wait_until_seen(made, "l4", "l3", "left")
             made.start("l2")
             await made.over(split)
-            await agree(made, "l1", "l2", "l4", "l5")
-            sound(made)
+            await wait_until_agreed(made, "l1", "l2", "l4", "l5")
+            assert_no_resurrection(made)
 
     run(test())
 
 
 def test_a_member_that_another_reaches_is_not_dead_and_the_cut_link_is_told(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 4, STEADY) as made:
+        async with running_fleet(tmp_path, 4, LONG_TIMEOUTS) as made:
             cut = Fault(Kind.CUT, 0, math.inf, sources=("l2",), targets=("l1",))
             await made.begin(cut)
 
@@ -100,8 +109,8 @@
 
 def test_the_later_of_two_processes_with_one_name_ends_with_the_reason(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3) as made:
-            other = Processes(tmp_path / "other", ["l2"], TABLES, FAST)
+        async with running_fleet(tmp_path, 3) as made:
+            other = Processes(tmp_path / "other", ["l2"], LIMITER_TABLES, SHORT_TIMEOUTS)
             await other.prepare()
             late = other.members["l2"]
             text = made.text(made.members["l2"]).replace(made.members["l2"].own, late.own)
@@ -114,7 +123,7 @@
             other.start()
             assert late.process and await asyncio.to_thread(late.process.wait, PATIENCE_S) == 1
             assert "the name l2 is in use at" in other.log("l2")
-            await agree(made, "l1", "l2", "l3")
+            await wait_until_agreed(made, "l1", "l2", "l3")
             await other.close()
 
     run(test())
@@ -123,7 +132,7 @@
 @pytest.mark.parametrize("kind", [Kind.DROP, Kind.STALL, Kind.RESET])
 def test_a_spoilt_link_of_one_pair_kills_nobody(tmp_path: Path, kind: Kind) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 4, STEADY) as made:
+        async with running_fleet(tmp_path, 4, LONG_TIMEOUTS) as made:
             names = ("l1", "l2", "l3", "l4")
             where = ("l1",), ("l2",)
             if kind is Kind.DROP:
@@ -133,7 +142,7 @@
             await made.begin(fault)
             await until(lambda: made.links.passed.total() >= before + 300)
             await made.over(fault)
-            await agree(made, *names)
+            await wait_until_agreed(made, *names)
             if kind is not Kind.DROP:  # by chance all of some probes may be lost, at these short times
                 assert not [saw for saw in made.journal()[0] if saw.state == "dead"]
 
@@ -144,7 +153,7 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3) as made:
+        async with running_fleet(tmp_path, 3) as made:
             file = str(made.members["l1"].file)
 
             async def fleet_command(*args: str) -> int:
@@ -156,8 +165,8 @@
             assert await fleet_command("remove", "l3") == 1
             assert "--force" in capsys.readouterr().err
             made.pause("l3")
-            await sees(made, "l1", "l3", "dead")
-            await sees(made, "l2", "l3", "dead")
+            await wait_until_seen(made, "l1", "l3", "dead")
+            await wait_until_seen(made, "l2", "l3", "dead")
             assert await fleet_command("status", "--json") == 0
             seen = json.loads(capsys.readouterr().out)["views"]["l2"]["seen"]
             assert {row["name"]: row["state"] for row in seen} == {"l1": "alive", "l2": "alive", "l3": "dead"}
@@ -173,8 +182,8 @@
 def test_another_fleet_or_version_is_refused_with_the_reason_on_both_sides(tmp_path: Path) -> None:
     async def test() -> None:
         async with (
-            fleet(tmp_path / "a", 1) as made,
-            fleet(tmp_path / "b", 1, FAST + '\ncluster = "b"') as other,
+            running_fleet(tmp_path / "a", 1) as made,
+            running_fleet(tmp_path / "b", 1, SHORT_TIMEOUTS + '\ncluster = "b"') as other,
         ):
             a, b = made.members["l1"], other.members["l1"]
             b.file.write_text(b.file.read_text().replace(f"l1@{b.advertise}", f"stranger@{a.advertise}"))
@@ -198,7 +207,7 @@
 )
 def test_garbage_ends_its_own_connection_alone(tmp_path: Path, raw: bytes) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 2) as made:
+        async with running_fleet(tmp_path, 2) as made:
             host, port = made.members["l1"].own.split(":")
             for greeting in (
                 b"",
@@ -211,7 +220,7 @@
                         while await reader.read(4096):
                             pass
                 writer.close()
-            await agree(made, "l1", "l2")
+            await wait_until_agreed(made, "l1", "l2")
             assert made.members["l1"].process and made.members["l1"].process.poll() is None
 
     run(test())
@@ -219,23 +228,23 @@
 
 def test_twelve_that_start_at_once_agree_and_bear_half_of_them_standing_still(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 12) as made:
+        async with running_fleet(tmp_path, 12) as made:
             half = made.names[::2]
             for name in half:
                 made.pause(name)
             for name in made.names[1::2]:
-                await until(lambda name=name: living(made, name) == set(made.names[1::2]))  # type: ignore[misc]
+                await until(lambda name=name: live_members(made, name) == set(made.names[1::2]))  # type: ignore[misc]
             for name in half:
                 made.resume(name)
-            await agree(made, *made.names)
-            sound(made)
+            await wait_until_agreed(made, *made.names)
+            assert_no_resurrection(made)
 
     run(test())
 
 
 def test_a_restart_within_one_probe_is_a_new_incarnation_and_no_death(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3, "probe_ms = 20000\nsilent_ms = 60000") as made:
+        async with running_fleet(tmp_path, 3, "probe_ms = 20000\nsilent_ms = 60000") as made:
             before = made.journal()[1]["l3"][-1][1]
             await made.end("l3")
             made.start("l3")
@@ -245,15 +254,15 @@
                     for s in made.journal()[0]
                 )
             )
-            await agree(made, "l1", "l2", "l3")
-            sound(made)
+            await wait_until_agreed(made, "l1", "l2", "l3")
+            assert_no_resurrection(made)
 
     run(test())
 
 
 def test_a_limiter_that_is_wiped_or_put_back_finds_nothing_or_what_it_had(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3) as made:
+        async with running_fleet(tmp_path, 3) as made:
             kept = made.members["l2"].folder / "state" / "kept"
             kept.parent.mkdir()
             kept.write_text("older")
@@ -266,43 +275,43 @@
                 await made.over(fault)
                 assert (kept.read_text() if kept.exists() else "") == found
                 await until(lambda: made.journal()[1]["l2"][-1][1] > before)  # noqa: B023 - waited for here
-                await agree(made, "l1", "l2", "l3")
-            sound(made)
+                await wait_until_agreed(made, "l1", "l2", "l3")
+            assert_no_resurrection(made)
 
     run(test())
 
 
 def test_a_seed_that_is_down_and_one_that_names_a_stranger_hold_nobody_up(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3, start=False) as made:
+        async with running_fleet(tmp_path, 3, start=False) as made:
             l2, l3 = made.members["l2"], made.members["l3"]
             # l1, a seed of both, is not there yet; l3 takes l2's address for another's.
             l3.file.write_text(l3.file.read_text().replace(f"l2@{l2.advertise}", f"l9@{l2.advertise}"))
             made.start("l2")
-            await agree(made, "l2")
+            await wait_until_agreed(made, "l2")
             made.start("l3")
-            await agree(made, "l2", "l3")
+            await wait_until_agreed(made, "l2", "l3")
             await until(lambda: "l2 answers there" in made.log("l3"))
             made.start("l1")
-            await agree(made, "l1", "l2", "l3")
+            await wait_until_agreed(made, "l1", "l2", "l3")
 
     run(test())
 
 
 def test_limiters_of_one_store_find_each_other_without_seeds(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3, replicas=["r1"], seeds=0) as made:
+        async with running_fleet(tmp_path, 3, replicas=["r1"], seeds=0) as made:
             await made.end("l2")
-            await sees(made, "l1", "l2", "dead")
+            await wait_until_seen(made, "l1", "l2", "dead")
             made.start("l2")
-            await agree(made, "l1", "l2", "l3")
+            await wait_until_agreed(made, "l1", "l2", "l3")
 
     run(test())
 
 
 def test_a_member_without_descriptors_left_stays_alive_and_accuses_nobody(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3, STEADY) as made:
+        async with running_fleet(tmp_path, 3, LONG_TIMEOUTS) as made:
             process = made.members["l2"].process
             assert process
             soft, hard = resource.prlimit(process.pid, resource.RLIMIT_NOFILE)
@@ -314,8 +323,8 @@
                 made.links.reset(("l2",), (other,))
             await until(lambda: made.links.passed.total() >= before + 40)
             resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (soft, hard))
-            await agree(made, "l1", "l2", "l3")
+            await wait_until_agreed(made, "l1", "l2", "l3")
             assert not [saw for saw in made.journal()[0] if saw.by == "l2" and saw.state == "dead"]
-            sound(made)
+            assert_no_resurrection(made)
 
     run(test())
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -13,7 +13,7 @@
 
 from basaltpoint.links.frames import encode_frame
 from basaltpoint.peers.actions import Action, MemberChanged, Send
-from basaltpoint.peers.dissemination import Spread
+from basaltpoint.peers.dissemination import GossipQueue
 from basaltpoint.peers.messages import (
     INCARNATION_LIMIT,
     MAX_MESSAGE_BYTES,
@@ -27,10 +27,10 @@
     PushPull,
     UnknownMessage,
 )
-from basaltpoint.peers.name_conflicts import Rivals
+from basaltpoint.peers.name_conflicts import NameConflict
 from basaltpoint.peers.options import MembershipOptions
-from basaltpoint.peers.prober import RELAYS
-from basaltpoint.peers.push_pull import Exchange
+from basaltpoint.peers.prober import MAX_RELAYED_PROBES
+from basaltpoint.peers.push_pull import PushPullExchange
 from basaltpoint.peers.state_machine import MembershipStateMachine
 from basaltpoint.peers.suspicion import Suspicion
 from basaltpoint.peers.view import MembershipView, merge, precedence, validation_error
@@ -119,10 +119,10 @@
 
 @given(st.integers(0, 40), st.integers(1, 8))
 def test_news_is_told_often_enough_and_then_no_more(rows: int, most: int) -> None:
-    spread, told = Spread(), dict[str, int]()
+    spread, told = GossipQueue(), dict[str, int]()
     for at in range(rows):
         spread.add(MemberRecord(f"m{at}", "x:1", 1, MemberState.ALIVE, 1))
-    while taken := spread.take(most, 12):
+    while taken := spread.next_records(most, 12):
         assert len(taken) <= most
         for row in taken:
             told[row.name] = told.get(row.name, 0) + 1
@@ -130,14 +130,14 @@
 
 
 def test_what_others_tell_is_told_less_and_another_row_about_the_same_counts_for_nothing() -> None:
-    row, spread = MemberRecord("m", "x:1", 2, MemberState.SUSPECT, 1, reported_by="a"), Spread()
+    row, spread = MemberRecord("m", "x:1", 2, MemberState.SUSPECT, 1, reported_by="a"), GossipQueue()
     tellings = []
     for heard in ((), (row,), (row, row), (MemberRecord("m", "x:1", 1, MemberState.ALIVE, 1),)):
         spread.add(row)
         for one in heard:
-            spread.heard(one, 12)
+            spread.received(one, 12)
         tellings.append(0)
-        while spread.take(8, 12):
+        while spread.next_records(8, 12):
             tellings[-1] += 1
     assert tellings == [12, 4, 0, 12]
 
@@ -250,12 +250,12 @@
 def test_a_message_stays_short_and_a_member_that_floods_asks_for_no_more_than_its_share() -> None:
     model = play(40, [], 10.0)
     node = model.nodes["l1"]
-    for seq in range(2 * RELAYS):
+    for seq in range(2 * MAX_RELAYED_PROBES):
         node.peers.message_received(10_000.0, "l5", "l5", PingRequest((), seq, "l7", "l7"))
-    assert len(node.peers.prober.relays) == RELAYS
+    assert len(node.peers.prober.relayed_probes) == MAX_RELAYED_PROBES
     assert (
         sum(type(a).__name__ == "Send" and isinstance(a.message, Ping) for a in node.peers.take_actions())
-        <= RELAYS + 1
+        <= MAX_RELAYED_PROBES + 1
     )  # type: ignore[union-attr]
 
 
@@ -347,7 +347,7 @@
 
 def test_a_probe_that_was_out_during_a_pause_accuses_nobody() -> None:
     lone = Lone()
-    while not any(probe.indirect for probe in lone.peers.prober.probes.values()):
+    while not any(probe.is_indirect for probe in lone.peers.prober.probes.values()):
         lone.go(lone.now + 10.0)
     assert lone.state("l2") is lone.state("l3") is MemberState.ALIVE
     lone.wake(10_000.0)
@@ -408,7 +408,7 @@
 
 def test_a_refusal_that_nobody_confirms_is_borne_as_silence() -> None:
     lone = Lone()
-    lone.peers.prober.soon(lone.now, "l2")
+    lone.peers.prober.probe_soon(lone.now, "l2")
     lone.go(lone.now + 1.0)
     lone.peers.connection_refused(lone.now, "l2")
     lone.go(lone.now + 2_000.0)
@@ -424,21 +424,21 @@
             views[name].put(0.0, MemberRecord(f"m{at}", "x:1", 1 + (name == "b") * (at % 2), state, 1))
     waiting: list[tuple[str, PushPull]] = []
 
-    def exchange(name: str) -> Exchange:
+    def exchange(name: str) -> PushPullExchange:
         def tell(to: str, address: str, message: Message) -> None:
             assert isinstance(message, PushPull) and len(encode_frame(message)) < MAX_MESSAGE_BYTES
             waiting.append((to, message))
 
-        return Exchange(views[name], MembershipOptions(), random.Random(1), tell)
+        return PushPullExchange(views[name], MembershipOptions(), random.Random(1), tell)
 
     both = {name: exchange(name) for name in views}
-    both["a"].ask("b", "b")
+    both["a"].send_digest("b", "b")
     while waiting:
         to, sync = waiting.pop(0)
         for row in sync.records:
             held = views[to].get(row.name)
             views[to].put(0.0, merge(held, row) if held else row)
-        both[to].came("a" if to == "b" else "b", "x", sync)
+        both[to].message_received("a" if to == "b" else "b", "x", sync)
     assert (
         views["a"].digest() == views["b"].digest()
         and len(views["a"].members) == len(views["b"].members) == 400
@@ -459,11 +459,11 @@
     doubt, ends = Suspicion(1, 0.0, False), []
     for who in ("a", "b", "c", "d"):
         assert doubt.confirm(who, False) and not doubt.confirm(who, False)
-        ends.append(doubt.end(options, 200))
+        ends.append(doubt.expires_ms(options, 200))
     scale = math.log10(200)
     assert ends == sorted(ends, reverse=True) and len(set(ends)) == 4
     assert ends[0] == pytest.approx(14_000 * scale) and ends[3] == pytest.approx(7_000 * scale)
-    assert doubt.confirm("a", True) and doubt.end(options, 200) == pytest.approx(400 * scale)
+    assert doubt.confirm("a", True) and doubt.expires_ms(options, 200) == pytest.approx(400 * scale)
 
 
 def test_one_that_is_cut_off_doubts_itself_and_the_others_do_not() -> None:
@@ -474,15 +474,15 @@
 
 
 def test_another_of_ones_name_is_asked_three_times_before_it_is_taken_for_gone() -> None:
-    rivals = Rivals(MembershipOptions())
-    assert rivals.met(0.0, MemberRecord("l1", "x:1", 7, MemberState.ALIVE, 5))
-    assert [rivals.ask(500.0 * at) for at in range(4)] == [True, True, True, False]
-    assert not rivals.pending
+    rivals = NameConflict(MembershipOptions())
+    assert rivals.conflict_reported(0.0, MemberRecord("l1", "x:1", 7, MemberState.ALIVE, 5))
+    assert [rivals.count_query(500.0 * at) for at in range(4)] == [True, True, True, False]
+    assert not rivals.is_pending
     assert (
-        not rivals.met(2_000.0, MemberRecord("l1", "x:1", 9, MemberState.ALIVE, 5))
+        not rivals.conflict_reported(2_000.0, MemberRecord("l1", "x:1", 9, MemberState.ALIVE, 5))
         and rivals.incarnation == 9
     )
-    assert rivals.met(6_000.0, MemberRecord("l1", "x:1", 9, MemberState.ALIVE, 5))
+    assert rivals.conflict_reported(6_000.0, MemberRecord("l1", "x:1", 9, MemberState.ALIVE, 5))
 
 
 def test_one_that_must_contradict_a_doubt_trusts_itself_less() -> None:
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -178,14 +178,14 @@
 class Silent(MembershipStateMachine):
     """Contradicts nothing that is said of it."""
 
-    def _about_me(self, now: float, row: MemberRecord) -> None:
+    def _own_record_received(self, now: float, row: MemberRecord) -> None:
         pass
 
 
 class Deaf(MembershipStateMachine):
     """Asks nobody that is held dead, and no seed."""
 
-    def _recall(self) -> None:
+    def _contact_dead_or_seed(self) -> None:
         pass
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from fleetprocs import agree, fleet, sees, sound
+from fleetprocs import assert_no_resurrection, running_fleet, wait_until_agreed, wait_until_seen
 from test_rehearsal import played
 from waiting import PATIENCE_S, run, until
 
@@ -39,7 +39,7 @@
 
 def test_an_upgraded_member_keeps_its_place_and_its_clients_connections(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3, STEADY) as made:
+        async with running_fleet(tmp_path, 3, STEADY) as made:
             reader, writer = await asyncio.open_connection(*parse_address(made.members["l2"].listen))
             assert await ask(reader, writer) == 401  # it knows no key; that it answers is what counts
             before = {by: [s for s in made.journal()[0] if s.by == by] for by in ("l1", "l3")}
@@ -49,11 +49,11 @@
                 assert made.members["l2"].process is not older and older and older.returncode == 0
                 await until(lambda times=times: said(made, "l2", "took over from the older") == times)  # type: ignore[misc]
                 assert await ask(reader, writer) == 401
-            await agree(made, "l1", "l2", "l3")
+            await wait_until_agreed(made, "l1", "l2", "l3")
             # Nobody saw anything: no doubt, no death, no other incarnation.
             for by, rows in before.items():
                 assert [s for s in made.journal()[0] if s.by == by] == rows
-            sound(made)
+            assert_no_resurrection(made)
             writer.close()
 
     run(test())
@@ -61,14 +61,14 @@
 
 def test_a_place_passed_on_while_a_link_is_cut_one_way_is_held_by_all(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 4, STEADY) as made:
+        async with running_fleet(tmp_path, 4, STEADY) as made:
             fault = processes.Fault(processes.Kind.CUT, 0, 1, sources=("l2",), targets=("l1",))
             await made.begin(fault)
             await made.upgrade("l2")
             passed = made.links.passed.total()
             await until(lambda: made.links.passed.total() > passed + 200)
             await made.over(fault)
-            await agree(made, "l1", "l2", "l3", "l4")
+            await wait_until_agreed(made, "l1", "l2", "l3", "l4")
             assert not [saw for saw in made.journal()[0] if saw.state == "dead"]
 
     run(test())
@@ -84,21 +84,21 @@
 
 def test_the_newer_one_serves_in_a_new_incarnation_where_the_older_is_killed(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3) as made:
+        async with running_fleet(tmp_path, 3) as made:
             first = made.journal()[1]["l2"][-1][1]
             newer = await waits(made, "l2")
             await made.end("l2")
             made.members["l2"].process, made.members["l2"].began_s = newer, 0.0
             await until(lambda: made.journal()[1]["l2"][-1][1] > first)
             assert "ended without a last word" in made.log("l2")
-            await agree(made, "l1", "l2", "l3")
+            await wait_until_agreed(made, "l1", "l2", "l3")
 
     run(test())
 
 
 def test_the_older_one_goes_on_where_the_newer_is_killed_or_told_to_end(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 3, STEADY) as made:
+        async with running_fleet(tmp_path, 3, STEADY) as made:
             for times, number in enumerate((signal.SIGKILL, signal.SIGTERM), 1):
                 newer = await waits(made, "l2")
                 newer.send_signal(number)
@@ -108,7 +108,7 @@
                 assert await ask(reader, writer) == 401
                 writer.close()
             assert await made.end("l2", signal.SIGTERM) == 0
-            await sees(made, "l1", "l2", "left")
+            await wait_until_seen(made, "l1", "l2", "left")
 
     run(test())
 
@@ -132,7 +132,7 @@
     tmp_path: Path, text: bytes, why: str
 ) -> None:
     async def test() -> None:
-        async with fleet(tmp_path, 1, start=False) as made:
+        async with running_fleet(tmp_path, 1, start=False) as made:
             with waits_for_l1(made) as listener:
                 made.start("l1")
                 other, _ = await asyncio.to_thread(listener.accept)
@@ -152,7 +152,7 @@
     """A killed process's descriptors close one after the other, the local link often before what listens."""
 
     async def test() -> None:
-        async with fleet(tmp_path, 1, start=False) as made:
+        async with running_fleet(tmp_path, 1, start=False) as made:
             with waits_for_l1(made) as listener:
                 address = parse_address(getattr(made.members["l1"], held))
                 with socket.create_server(address):
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from fleetprocs import agree, fleet, sees, sound
+from fleetprocs import assert_no_resurrection, running_fleet, wait_until_agreed, wait_until_seen
 from waiting import run
 
 from basaltpoint.rehearsal import processes
@@ -25,12 +25,12 @@
     monkeypatch.setattr(processes, "_environment", lambda: plain() | environment(library, table))
 
     async def test() -> None:
-        async with fleet(tmp_path / "fleet", 3) as made:
+        async with running_fleet(tmp_path / "fleet", 3) as made:
             await made.end("l2")
-            await sees(made, "l1", "l2", "dead")
+            await wait_until_seen(made, "l1", "l2", "dead")
             table.step_wall_clock(step_s)  # under those that run, too
             made.start("l2")
-            await agree(made, "l1", "l2", "l3")
-            sound(made)
+            await wait_until_agreed(made, "l1", "l2", "l3")
+            assert_no_resurrection(made)
 
     run(test())
