--- a/basaltpoint/daemon/fleet.py
+++ b/basaltpoint/daemon/fleet.py
@@ -122,14 +122,19 @@
 
     def pass_on(self, send: Callable[[int], bool]) -> Place | None:
         """Pass the listening socket and this member's place on; None where it has none, or can't."""
-        if not self._server or self.peers.ended or not self._joined.is_set() or not send(self._sock.fileno()):
+        if (
+            not self._server
+            or self.peers.has_ended
+            or not self._joined.is_set()
+            or not send(self._sock.fileno())
+        ):
             return None
         own, *rows = self.peers.hand_over()
         return Place(own, tuple(rows), self._now() - self.peers.started_ms)
 
     async def leave(self) -> None:
         """Tell the others that this one goes."""
-        if self._server and not (self.peers.ended or self.peers.leaving):
+        if self._server and not (self.peers.has_ended or self.peers.is_leaving):
             self.peers.leave(self._now())
             self._turn()
             await asyncio.sleep(LEAVE_S)
@@ -178,7 +183,7 @@
         if self.peers.state is not MemberState.JOINING and not self._joined.is_set():
             self._joined.set()
             self._live = 0
-        if self._joined.is_set() and self.peers.live_count != self._live and not self.peers.leaving:
+        if self._joined.is_set() and self.peers.live_count != self._live and not self.peers.is_leaving:
             self._live = self.peers.live_count
             self._changed(self._live)
         if self._timer:
--- a/basaltpoint/links/__init__.py
+++ b/basaltpoint/links/__init__.py
@@ -1,1 +1,4 @@
-"""Connections between processes of one installation: frames, greeting, certificates; for store and peers."""
+"""Connections between processes of one installation: framing, greeting and mutual TLS.
+
+Used by the store's replicas and by the limiters of a fleet.
+"""
--- a/basaltpoint/links/frames.py
+++ b/basaltpoint/links/frames.py
@@ -1,7 +1,8 @@
-"""Frames and the greeting: what every connection between processes of one installation has in common.
+"""Frames and the greeting, which all connections between processes of one installation share.
 
-A frame is u32 little-endian for the bytes that follow, and one MessagePack structure. The first frame of each
-side is its greeting; a connection whose greeting does not fit is closed with nothing told.
+A frame is a 32-bit little-endian length, in bytes, followed by one MessagePack structure of that length. The
+first frame of each side is its greeting. A connection whose greeting does not match is closed before anything
+else is sent over it.
 """
 
 from __future__ import annotations
@@ -15,18 +16,19 @@
 
 PROTOCOL_VERSION = 1
 LENGTH_PREFIX = struct.Struct("<I")
-MAX_FRAME_BYTES = (
-    8 << 20
-)  # bytes of the longest frame; more is an error of the other side, and ends the connection
-MAX_BUFFER_BYTES = 16 << 20  # bytes waiting for one slow reader; beyond, messages to it are dropped
+MAX_FRAME_BYTES = 8 << 20  # a longer frame is a protocol error and closes the connection
+MAX_BUFFER_BYTES = 16 << 20  # unsent bytes of one connection; above, frames to a slow reader are dropped
 
 
 class Frame(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Any frame. New fields come last, with a default: those of a newer version are left unread."""
+    """Base class of all frames.
+
+    New fields are appended with a default. An older version ignores the fields that it does not know.
+    """
 
 
 class Greeting(Frame, frozen=True, tag="hi"):
-    """Who speaks. `name` is a replica's or member's, empty for a client; `address` is where it listens."""
+    """The sender's identity: the name of a replica or member (empty for a client) and its listen address."""
 
     version: int
     cluster: str
@@ -35,16 +37,16 @@
 
 
 class FrameError(Exception):
-    """What came is no frame that is allowed here."""
+    """The received bytes are not a valid frame, or the frame is not allowed on this connection."""
 
 
 @dataclass(frozen=True, slots=True)
 class WireProtocol:
-    """What may be said over connections of one kind."""
+    """The messages and size limits of one kind of connection."""
 
-    log_name: str  # for the log
-    decode: Callable[[memoryview], Any]  # msgspec.DecodeError, ValueError where it is no frame
-    max_frame_bytes: int = MAX_FRAME_BYTES  # bytes of the longest
+    log_name: str  # prefix of log messages
+    decode: Callable[[memoryview], Any]  # raises msgspec.DecodeError or ValueError for an invalid frame
+    max_frame_bytes: int = MAX_FRAME_BYTES
     max_buffer_bytes: int = MAX_BUFFER_BYTES
 
 
@@ -52,7 +54,7 @@
 
 
 def encode_frame(frame: Frame, max_bytes: int = MAX_FRAME_BYTES) -> bytes:
-    """A whole frame; FrameError where it is too long."""
+    """Returns the frame with its length prefix; raises FrameError if it is longer than `max_bytes`."""
     body = _encoder.encode(frame)
     if len(body) > max_bytes:
         raise FrameError(f"a frame of {len(body)} bytes; allowed: {max_bytes}")
@@ -63,7 +65,10 @@
 
 
 def decode_greeting(frame: bytes) -> Greeting | None:
-    """The greeting that a whole frame is, for one who stands between two others."""
+    """Decodes a greeting from a frame with its length prefix; None if the frame is not a greeting.
+
+    For proxies that read the traffic between two processes.
+    """
     try:
         return _greeting(frame[LENGTH_PREFIX.size :])
     except msgspec.DecodeError:
@@ -71,7 +76,7 @@
 
 
 class FrameParser:
-    """Cuts what comes into frames."""
+    """Splits a byte stream into frames."""
 
     def __init__(self, protocol: WireProtocol) -> None:
         self._decode, self._max_bytes = protocol.decode, protocol.max_frame_bytes
@@ -82,23 +87,26 @@
         self._buffer += data
 
     def next_frame(self) -> Any:
-        """The next whole frame, None where none is whole; FrameError where it can't be one."""
-        at, held = self._offset, self._buffer
-        if len(held) - at < LENGTH_PREFIX.size:
+        """Returns the next complete frame, or None if there is none yet.
+
+        Raises FrameError if the frame is too long or can't be decoded.
+        """
+        offset, buffer = self._offset, self._buffer
+        if len(buffer) - offset < LENGTH_PREFIX.size:
             self._discard_consumed()
             return None
-        (length,) = LENGTH_PREFIX.unpack_from(held, at)
+        (length,) = LENGTH_PREFIX.unpack_from(buffer, offset)
         if length > self._max_bytes:
             raise FrameError(f"a frame of {length} bytes; allowed: {self._max_bytes}")
-        end = at + LENGTH_PREFIX.size + length
-        if len(held) < end:
+        end = offset + LENGTH_PREFIX.size + length
+        if len(buffer) < end:
             self._discard_consumed()
             return None
-        with memoryview(held) as view:
+        with memoryview(buffer) as view:
             try:
-                frame = self._decode(view[at + LENGTH_PREFIX.size : end])
+                frame = self._decode(view[offset + LENGTH_PREFIX.size : end])
             except (msgspec.DecodeError, ValueError) as error:
-                raise FrameError(f"a frame that can't be read: {error}") from None
+                raise FrameError(f"a frame that can't be decoded: {error}") from None
         self._offset = end
         return frame
 
--- a/basaltpoint/links/listening.py
+++ b/basaltpoint/links/listening.py
@@ -1,4 +1,4 @@
-"""A listening socket for links: each connection that comes is accepted, and given a protocol of its own."""
+"""A listening socket for links, which creates a protocol instance for each accepted connection."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LinkListener:
-    """Takes connections until it is closed; those that were taken live on."""
+    """Accepts connections until it is closed; accepted connections stay open afterwards."""
 
     def __init__(
         self,
@@ -21,7 +21,7 @@
         protocol_factory: Callable[[], asyncio.Protocol],
         tls_context: ssl.SSLContext | None,
     ) -> None:
-        """`make`: the protocol of a new connection. `context`: of TLS, where links speak it."""
+        """`protocol_factory` creates the protocol of a new connection; `tls_context` is None without TLS."""
         self._protocol_factory = protocol_factory
         self._joining = Joining(tls_context)
         self._acceptor = Acceptor(sock, self._accept, lambda: True, lambda: False, monotonic())
@@ -33,5 +33,5 @@
         self._joining.join(sock, self._protocol_factory(), lambda: None)
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stops listening."""
         self._acceptor.stop()
--- a/basaltpoint/links/transport.py
+++ b/basaltpoint/links/transport.py
@@ -1,7 +1,7 @@
-"""Connections: mutual TLS between hosts, a socket of the file system within one.
+"""Connections between processes: mutual TLS between hosts, Unix domain sockets within one host.
 
-Nothing is told to one whose certificate the operator's authority did not sign, who greets for another
-cluster, or who greets under a name that its certificate does not hold.
+A connection is closed before any message is sent if the other side's certificate is not signed by the
+operator's authority, or if its greeting is for another cluster or under a name that its certificate lacks.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 
 log = logging.getLogger(__name__)
 
-GREETING_TIMEOUT_S = 5.0  # for the greeting and the TLS handshake
-RECONNECT_BACKOFF_S = (0.02, 1.0)  # first and longest wait before a peer is called again
+GREETING_TIMEOUT_S = 5.0  # for the TLS handshake, and then for the greeting
+RECONNECT_BACKOFF_S = (0.02, 1.0)  # first and maximum delay before a new connection attempt
 
 
 @dataclass(frozen=True, slots=True)
 class Tls:
-    """Files of the operator: this side's certificate and key, and the authority that signs all of them."""
+    """The operator's PEM files: this process's certificate and key, and the certificate authority."""
 
     cert: Path
     key: Path
@@ -42,11 +42,11 @@
 
     @classmethod
     def from_files(cls, files: Files | None) -> Tls | None:
-        """Of a checked table's files; none where it names none."""
+        """Returns the TLS files of a checked configuration table; None if it names none."""
         return cls(files.cert, files.key, files.authority) if files else None
 
     def server_context(self) -> ssl.SSLContext:
-        """OSError, ssl.SSLError where the files can't be used."""
+        """Raises OSError or ssl.SSLError if the files can't be used."""
         context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH, cafile=str(self.authority))
         return self._require_mutual_tls(context)
 
@@ -61,41 +61,41 @@
         return context
 
 
-class LinkOwner(Protocol):
-    """Whoever a connection reports to."""
+class LinkEventHandler(Protocol):
+    """Receives the events of a connection."""
 
     def greeting_received(self, link: Link) -> bool:
-        """The other side's greeting has come: whether to go on with it."""
+        """The other side's greeting was received; returns False to close the connection."""
 
     def frame_received(self, link: Link, frame: Any) -> None:
-        """A frame after the greeting; FrameError where it is not allowed here."""
+        """A frame after the greeting was received; raises FrameError if it is not allowed here."""
 
     def link_closed(self, link: Link) -> None: ...
 
 
 class Link(asyncio.Protocol):
-    """One connection, either side."""
+    """One connection, for the side that accepted it as well as for the one that made it."""
 
     def __init__(
         self,
-        owner: LinkOwner,
+        event_handler: LinkEventHandler,
         greeting: Greeting,
         is_local: bool,
         protocol: WireProtocol,
         without_tls: bool = False,
     ) -> None:
-        """`plain`: on the loopback alone, without certificates: names are believed."""
-        self._owner, self._greeting, self._protocol = owner, greeting, protocol
+        """`without_tls`: on loopback only, names are accepted without a certificate."""
+        self._event_handler, self._greeting, self._protocol = event_handler, greeting, protocol
         self._without_tls = without_tls
-        self.is_local = is_local  # over the file system's socket: whoever may open it is trusted
+        self.is_local = is_local  # Unix domain socket: every process that may open it is trusted
         self._parser = FrameParser(protocol)
         self._transport: asyncio.Transport | None = None
         self.peer_greeting: Greeting | None = None
         self.dropped_frames = 0
         self._greeting_timer: asyncio.TimerHandle | None = None
-        self.close_reason = ""  # this side's reason to end it; none where the other did
+        self.close_reason = ""  # why this side closed it; empty if the other side did
         self.closed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.greeted: asyncio.Future[None] = asyncio.get_running_loop().create_future()  # greeted
+        self.greeted: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
@@ -106,7 +106,7 @@
 
     def _greeting_timed_out(self) -> None:
         if self.peer_greeting is None:
-            self.close_reason = "no greeting"
+            self.close_reason = "no greeting received"
             self.close()
 
     def data_received(self, data: bytes) -> None:
@@ -116,7 +116,7 @@
                 if self.peer_greeting is None:
                     self._check_greeting(frame)
                 else:
-                    self._owner.frame_received(self, frame)
+                    self._event_handler.frame_received(self, frame)
         except FrameError as error:
             log.warning(
                 "%s: connection of %s ended: %s", self._protocol.log_name, self.peer_name or "a client", error
@@ -124,7 +124,7 @@
             self.close_reason = str(error)
             self.close(
                 flush=self.peer_greeting is None
-            )  # the other side is to read our greeting, and say why, too
+            )  # flushes this side's greeting, so that the other side logs the reason, too
 
     def _check_greeting(self, frame: Any) -> None:
         if not isinstance(frame, Greeting) or frame.version != PROTOCOL_VERSION:
@@ -139,23 +139,23 @@
         ):
             raise FrameError(f"a greeting as {frame.name!r}, which its certificate does not hold")
         self.peer_greeting = frame
-        if not self._owner.greeting_received(self):
+        if not self._event_handler.greeting_received(self):
             self.close()
         elif not self.greeted.done():
             self.greeted.set_result(None)
 
     def _certificate_names(self) -> set[str]:
-        """DNS names of the other side's certificate."""
+        """Returns the DNS names of the other side's certificate."""
         assert self._transport
-        held: dict[str, Any] = self._transport.get_extra_info("peercert") or {}
-        return {name for kind, name in held.get("subjectAltName", ()) if kind == "DNS"}
+        certificate: dict[str, Any] = self._transport.get_extra_info("peercert") or {}
+        return {name for kind, name in certificate.get("subjectAltName", ()) if kind == "DNS"}
 
     @property
     def peer_name(self) -> str:
         return self.peer_greeting.name if self.peer_greeting else ""
 
     def send(self, frame: Frame) -> bool:
-        """False where the other side reads so slowly that this is dropped, or is gone."""
+        """Sends a frame; returns False if the connection is closed or its send buffer is full."""
         if self._transport is None:
             return False
         if self._transport.get_write_buffer_size() > self._protocol.max_buffer_bytes:
@@ -170,10 +170,10 @@
             self._greeting_timer.cancel()
         if not self.closed.done():
             self.closed.set_result(None)
-        self._owner.link_closed(self)
+        self._event_handler.link_closed(self)
 
     def close(self, flush: bool = False) -> None:
-        """End at once, or with `flush` once what was written has gone out."""
+        """Closes the connection at once, or with `flush` after the data already written has been sent."""
         if self._transport:
             if flush:
                 self._transport.close()
@@ -183,9 +183,10 @@
 
 
 async def connect(link_factory: Callable[[], Link], address: str, name: str, tls: Tls | None) -> Link:
-    """Connect to HOST:PORT, or to a socket's path; the other side's certificate must hold `name`.
+    """Connects to HOST:PORT or to the path of a Unix domain socket.
 
-    OSError, ssl.SSLError, TimeoutError where that fails.
+    With TLS, the other side's certificate must contain `name`. Raises OSError (also as ssl.SSLError) or
+    TimeoutError.
     """
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(GREETING_TIMEOUT_S):
@@ -201,7 +202,10 @@
 
 
 class Reconnector:
-    """Keeps a connection to one peer open, and sends what there is while it is."""
+    """Keeps a connection to one peer open, and reconnects with exponential backoff.
+
+    Frames that are sent while there is no connection are lost.
+    """
 
     def __init__(self, link_factory: Callable[[], Link], name: str, address: str, tls: Tls | None) -> None:
         self._link_factory, self.name, self.address, self._tls = link_factory, name, address, tls
@@ -218,9 +222,9 @@
                 if asyncio.get_running_loop().time() - connected_s > RECONNECT_BACKOFF_S[1]:
                     backoff_s, last_error = RECONNECT_BACKOFF_S[0], ""
             except (OSError, TimeoutError) as error:  # ssl.SSLError is an OSError
-                if str(error) != last_error:  # once for each reason, not at each try
+                if str(error) != last_error:  # logged once per reason, not at every attempt
                     last_error = str(error)
-                    log.warning("%s at %s: %s", self.name, self.address, error or "no answer")
+                    log.warning("%s at %s: %s", self.name, self.address, error or "no response")
             self.link = None
             await asyncio.sleep(backoff_s)
             backoff_s = min(RECONNECT_BACKOFF_S[1], backoff_s * 2)
--- a/basaltpoint/peers/__init__.py
+++ b/basaltpoint/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Who of the limiters is there: probes, suspicion, views. Free of I/O."""
+"""Membership of a fleet of limiters: failure detection, suspicion and gossip, without I/O."""
--- a/basaltpoint/peers/actions.py
+++ b/basaltpoint/peers/actions.py
@@ -1,4 +1,4 @@
-"""What the peers' machine asks of its shell."""
+"""Actions that the membership state machine asks its caller to carry out."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send to a member; a message that can't go out is lost."""
+    """Send a message to a member; it is lost if it can't be sent."""
 
     member: str
     address: str
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """A member is seen otherwise than before; None where it was not known."""
+    """A member's record has changed; `before` is None if the member was unknown."""
 
     before: MemberRecord | None
     after: MemberRecord
@@ -26,21 +26,24 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckNameConflict:
-    """Ask who answers there under this member's own name, over a connection apart; tell `rival` of it."""
+    """Another process seems to use this member's name: ping it over a separate connection.
+
+    The response goes to `name_conflict_found`.
+    """
 
     address: str
 
 
 @dataclass(frozen=True, slots=True)
 class Terminate:
-    """This process can't be a member; the reason is the operator's to read."""
+    """This process can't be a member of the fleet; the reason is for the operator."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class ProtocolViolation:
-    """A member sent what it may not; for the log."""
+    """A member sent something that is not allowed; for the log."""
 
     member: str
     problem: str
@@ -48,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PauseDetected:
-    """This process stood still; for the log."""
+    """This process was paused, by a stopped process or a blocked event loop; for the log."""
 
     duration_ms: float
 
--- a/basaltpoint/peers/messages.py
+++ b/basaltpoint/peers/messages.py
@@ -1,7 +1,7 @@
-"""What peers tell each other: rows about members, and the messages that carry them.
+"""Member records and the messages that carry them between the limiters of a fleet.
 
-All are MessagePack arrays. New fields come last, with a default: those of a newer version are left unread,
-and a message of a kind that this version does not know is passed over.
+All are MessagePack arrays. New fields are appended with a default. A process ignores fields and kinds of
+messages of newer versions that it does not know.
 """
 
 from __future__ import annotations
@@ -13,43 +13,38 @@
 
 from basaltpoint.links.frames import Frame, Greeting, WireProtocol
 
-MAX_MESSAGE_BYTES = 64 << 10  # bytes of the longest message; a longer one ends the connection
-MAX_SEND_BUFFER_BYTES = (
-    256 << 10
-)  # bytes waiting for a member that reads slowly; beyond, messages to it are dropped
-MAX_RECORDS_PER_MESSAGE = 128  # of one message; a view that has more goes in several
-INCARNATION_LIMIT = 1 << 53  # incarnations stay below it: beyond, a row is refused
+MAX_MESSAGE_BYTES = 64 << 10  # a longer message closes the connection
+MAX_SEND_BUFFER_BYTES = 256 << 10  # above, messages to a slowly reading member are dropped
+MAX_RECORDS_PER_MESSAGE = 128  # a larger view is sent in several messages
+INCARNATION_LIMIT = 1 << 53  # incarnations are below; a record at or above it is rejected
 
 
 class MemberState(IntEnum):
-    """A member's; within one incarnation the higher wins."""
+    """State of a member; within one incarnation the higher value takes precedence."""
 
-    JOINING = 0  # it has not heard yet whether its name is free
+    JOINING = 0  # does not know yet whether its name is free
     ALIVE = 1
     SUSPECT = 2
     DEAD = 3
-    LEFT = 4  # it said so, or an operator did
+    LEFT = 4  # left by itself, or was removed by an operator
 
 
 LIVE_STATES = (MemberState.JOINING, MemberState.ALIVE, MemberState.SUSPECT)
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What is said of one member."""
+    """State of one member as it is gossiped."""
 
     name: str
-    address: str  # HOST:PORT for the others
-    incarnation: int  # only the member itself raises it
+    address: str  # HOST:PORT at which the other members reach it
+    incarnation: int  # raised only by the member itself, to refute suspicion
     state: MemberState
-    instance_id: int  # drawn anew by each process: tells two of one name apart
-    reported_by: str = ""  # of a suspicion: who suspects
-    connection_refused: bool = (
-        False  # of a suspicion: its host refuses connections, it does not merely keep silent
-    )
-    self_report: int = 0  # counts what the member says of itself within an incarnation
-    unreachable: tuple[
-        str, ...
-    ] = ()  # living members that it can't reach itself; > before those that it hears
+    instance_id: int  # random for each process: distinguishes two processes with one name
+    reported_by: str = ""  # the member that suspects it, declared it dead or removed it
+    connection_refused: bool = False  # of a suspicion: its host refuses connections (else: no response)
+    self_report: int = 0  # counts the changes of `unreachable` within an incarnation
+    # Live members that it can't reach itself; prefixed with > if it still receives their messages.
+    unreachable: tuple[str, ...] = ()
 
     @property
     def is_live(self) -> bool:
@@ -57,13 +52,13 @@
 
 
 class Message(Frame, frozen=True):
-    """Any message; `rows` ride along."""
+    """Base class of membership messages; `records` are piggybacked."""
 
     records: tuple[MemberRecord, ...] = ()
 
 
 class Ping(Message, frozen=True, tag="p"):
-    """Are you there? An `Ack` answers. Asked on behalf of `origin`, who gets an `Ack` as well."""
+    """A probe, answered with an `Ack`. For an indirect probe the target sends an `Ack` to `origin`, too."""
 
     seq: int = 0
     origin: str = ""
@@ -72,16 +67,16 @@
 
 
 class Ack(Message, frozen=True, tag="a"):
-    """The answer: it lives under this life, for so long."""
+    """Response to a `Ping`: the target's instance and how long ago its process started."""
 
     seq: int = 0
     instance_id: int = 0
     age_ms: float = 0.0
-    is_direct: bool = True  # False: passed on by another
+    is_direct: bool = True  # False: response to an indirect probe
 
 
 class PingRequest(Message, frozen=True, tag="q"):
-    """Ping another for me."""
+    """Asks a helper to probe `target` for the sender (an indirect probe; SWIM's ping-req)."""
 
     seq: int = 0
     target: str = ""
@@ -89,27 +84,33 @@
 
 
 class Nack(Message, frozen=True, tag="n"):
-    """I could not reach it in time, but you reach me; `refused`: its host refuses."""
+    """A helper's negative response: no ack from the target in time, or its host refused the connection.
+
+    It also shows the requester that its own link to the helper works (Lifeguard).
+    """
 
     seq: int = 0
     connection_refused: bool = False
 
 
 class Gossip(Message, frozen=True, tag="g"):
-    """Rows alone."""
+    """Carries piggybacked records only."""
 
 
 class PushPull(Message, frozen=True, tag="s"):
-    """A full exchange. The asker tells its view's digest; one whose view differs answers with all its rows,
-    and the asker then tells those of its own that differ. The last message has `last`."""
+    """Push-pull exchange of two whole views.
+
+    The initiator sends the digest of its view. A member whose view differs responds with all its records, and
+    the initiator then returns its own records that differ. The last message of each step has `is_last`.
+    """
 
     digest: int = 0
-    step: int = 0  # 0 asked, 1 answered, 2 told back
+    step: int = 0  # 0: digest; 1: all records of the responder; 2: differing records of the initiator
     is_last: bool = True
 
 
 class ViewRequest(Message, frozen=True, tag="l"):
-    """An operator asks for a member's view."""
+    """An operator's request for a member's view."""
 
     request_id: int = 0
 
@@ -118,23 +119,23 @@
     """One member as another sees it."""
 
     record: MemberRecord
-    since_ms: float  # how long it has been in this state here
-    last_heard_ms: float  # how long ago its own word came, directly; -1: never
-    rtt_ms: float  # of the last answer; -1: none
+    since_ms: float  # time since this view last saw its state change
+    last_heard_ms: float  # time since the last message that came directly from it; -1: never
+    rtt_ms: float  # round-trip time of the last direct ack; -1: none
 
 
 class ViewResponse(Frame, frozen=True, tag="L"):
-    """The answer to it."""
+    """Response to `ViewRequest`."""
 
     request_id: int
     member: str
     members: tuple[MemberView, ...]
-    health_score: int  # how far it doubts itself, 0 to 8
-    problems: tuple[str, ...] = ()  # members that were named for what they sent
+    health_score: int  # Lifeguard's local health: 0 is healthy, 8 is worst
+    problems: tuple[str, ...] = ()  # members that sent something invalid, with the reason
 
 
 class RemoveRequest(Message, frozen=True, tag="r"):
-    """An operator declares a member gone for good."""
+    """An operator's request to remove a member permanently."""
 
     request_id: int = 0
     name: str = ""
@@ -142,14 +143,14 @@
 
 
 class RemoveResponse(Frame, frozen=True, tag="R"):
-    """The answer to it; `problem` says why not."""
+    """Response to `RemoveRequest`; `problem` is empty on success."""
 
     request_id: int
     problem: str = ""
 
 
 class UnknownMessage(Frame, frozen=True, tag="?"):
-    """A message of a kind that this version does not know."""
+    """A message of a kind that this version does not know; it is ignored."""
 
 
 AnyMessage = (
@@ -170,12 +171,12 @@
 
 
 def decode(data: memoryview) -> Any:
-    """One frame; msgspec.DecodeError where it is none."""
+    """Decodes one frame; raises msgspec.DecodeError if it is invalid."""
     try:
         return _decode(data)
     except msgspec.ValidationError:
-        parts = _kind(data)
-        if parts and isinstance(parts[0], str) and parts[0] not in KNOWN_TAGS:
+        fields = _kind(data)
+        if fields and isinstance(fields[0], str) and fields[0] not in KNOWN_TAGS:
             return UnknownMessage()
         raise
 
--- a/basaltpoint/peers/name_conflicts.py
+++ b/basaltpoint/peers/name_conflicts.py
@@ -1,4 +1,4 @@
-"""Whether another process has this member's name: it is asked three times, at the address told of it."""
+"""Name conflicts: checks by up to three pings whether another process uses this member's name."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from basaltpoint.peers.options import MembershipOptions
 
 MAX_QUERIES = 3
-MIN_RECHECK_INTERVAL_MS = 5000.0  # one that did not answer, or ends by itself, is not asked again within
+MIN_RECHECK_INTERVAL_MS = 5000.0  # for an instance that did not respond, or is terminating itself
 
 
 class NameConflict:
-    """At most one is asked at a time."""
+    """The check of one possibly conflicting process; there is at most one check at a time."""
 
     def __init__(self, options: MembershipOptions) -> None:
         self._options = options
@@ -25,15 +25,15 @@
     def is_pending(self) -> bool:
         return self.next_ms < math.inf
 
-    def conflict_reported(self, now: float, row: MemberRecord) -> bool:
-        """Another life is told of under this name; whether it is to be asked now."""
-        if self.is_pending or (row.instance_id == self._instance_id and now < self._recheck_ms):
-            self.incarnation = max(self.incarnation, row.incarnation)
+    def conflict_reported(self, now: float, record: MemberRecord) -> bool:
+        """A record shows another instance with this name; returns whether to start a check now."""
+        if self.is_pending or (record.instance_id == self._instance_id and now < self._recheck_ms):
+            self.incarnation = max(self.incarnation, record.incarnation)
             return False
         self.address, self.incarnation, self._instance_id, self._queries = (
-            row.address,
-            row.incarnation,
-            row.instance_id,
+            record.address,
+            record.incarnation,
+            record.instance_id,
             0,
         )
         self._recheck_ms = now + MIN_RECHECK_INTERVAL_MS
@@ -43,7 +43,7 @@
         return now >= self.next_ms
 
     def count_query(self, now: float) -> bool:
-        """Count a try; False where there were enough."""
+        """Counts a query; returns False, and closes the check, if there were enough without a response."""
         if self._queries >= MAX_QUERIES:
             self.close()
             return False
--- a/basaltpoint/peers/options.py
+++ b/basaltpoint/peers/options.py
@@ -1,4 +1,4 @@
-"""Times and numbers of the peers' machine, with unit and reason."""
+"""Timing and limits of the membership state machine."""
 
 from __future__ import annotations
 
@@ -7,34 +7,31 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipOptions:
-    """Chosen by the simulator at 3, 12, 40 and 200 members (docs/measurements/peers.md)."""
+    """Defaults chosen in simulations of 3, 12, 40 and 200 members (docs/measurements/peers.md)."""
 
-    probe_ms: float = 500.0  # between two probes of a member: smaller finds sooner, costs messages
-    ack_timeout_ms: float = (
-        250.0  # for an answer, before others are asked; above a round trip on a loaded host
-    )
-    indirect_probes: int = (
-        3  # asked to probe for us: at a fifth of messages lost each way all fail one time in eight
-    )
-    gossip_interval_ms: float = 100.0  # between two rounds of telling news; nothing is sent without news
-    max_piggybacked_records: int = 8  # rows that ride along with one message
-    push_pull_interval_ms: float = (
-        5000.0  # between two full exchanges; a view that is alike costs two short messages
-    )
-    reconnect_interval_ms: float = 3000.0  # between two tries to reach one that is held dead, or a seed
-    refused_suspicion_ms: float = 400.0  # doubt of one whose host refuses: time to say that it lives
-    silent_ms: float = 7000.0  # doubt of one that keeps silent, times log10 of the members
-    max_suspicion_factor: float = 2.0  # of that, while nobody else doubts it
-    confirmations: int = 3  # others whose doubt brings it down to the least
-    swim_suspicion_ms: float = 2000.0  # the same without Lifeguard, as SWIM has it (4 periods)
-    max_health_score: int = 8  # of oneself: times are 1 + doubt as long
-    min_pause_ms: float = 500.0  # a loop that is so late stood still
-    dead_retention_ms: float = (
-        3_600_000.0  # rows of the dead are kept so long; who stood still longer starts anew
-    )
-    join_retry_ms: float = 1000.0  # between two tries of a joining member to reach its seeds
-    join_timeout_ms: float = 2000.0  # a joining member that reaches no seed begins by itself
-    name_check_timeout_ms: float = 500.0  # for another process of one's name to answer, three times
-    max_members: int = 256  # rows kept of the living, and four times as many of all
-    lifeguard: bool = True  # self-doubt, confirmations, nacks; False is SWIM as published, for comparison
-    probe_on_ring: bool = True  # the watched stand on a ring; False: all in a random order, as SWIM has it
+    # Interval between the probes of this member; shorter detects failures sooner, but costs messages.
+    probe_ms: float = 500.0
+    # Before indirect probes are sent; longer than a round trip on a loaded host.
+    ack_timeout_ms: float = 250.0
+    # Helpers for one indirect probe; with 20% of messages lost each way, all fail in one of eight cases.
+    indirect_probes: int = 3
+    gossip_interval_ms: float = 100.0  # between rounds of gossip; nothing is sent without changed records
+    max_piggybacked_records: int = 8  # gossiped records added to one message
+    # Between push-pull exchanges; when the views agree, an exchange costs two short messages.
+    push_pull_interval_ms: float = 5000.0
+    reconnect_interval_ms: float = 3000.0  # between attempts to reach a dead member or a missing seed
+    refused_suspicion_ms: float = 400.0  # suspicion after a refused connection; leaves time to refute it
+    silent_ms: float = 7000.0  # suspicion of a silent member, times log10 of the number of members
+    max_suspicion_factor: float = 2.0  # multiplies `silent_ms` while no other member suspects it
+    confirmations: int = 3  # other suspecting members that reduce the suspicion to `silent_ms`
+    swim_suspicion_ms: float = 2000.0  # suspicion without Lifeguard: 4 protocol periods, as in SWIM
+    max_health_score: int = 8  # of the local health; probe timeouts are 1 + score times as long
+    min_pause_ms: float = 500.0  # a timer that is later than this means that the process was paused
+    # Records of dead members are kept this long; a member that was paused for longer joins anew.
+    dead_retention_ms: float = 3_600_000.0
+    join_retry_ms: float = 1000.0  # between a joining member's attempts to reach its seeds
+    join_timeout_ms: float = 2000.0  # a joining member that reaches no seed starts a fleet of its own
+    name_check_timeout_ms: float = 500.0  # for a response of a process with the same name; up to 3 times
+    max_members: int = 256  # live members kept; four times as many records in all
+    lifeguard: bool = True  # local health, confirmations and nacks; False: SWIM as published, for comparison
+    probe_on_ring: bool = True  # probe the neighbours on a ring; False: all in random order, as in SWIM
--- a/basaltpoint/peers/prober.py
+++ b/basaltpoint/peers/prober.py
@@ -1,7 +1,7 @@
-"""Probes: directly, then through others; for others, too; and which links can't be used.
+"""Direct and indirect probes, relayed probes for other members, and the detection of broken links.
 
-"I can't reach it" and "it is dead" are two facts. One that answers through others lives: the link to it is
-told as cut, and it is asked again until it answers directly.
+A member that this one can't reach is not necessarily dead. If it responds to indirect probes only, it is
+alive and the link to it is reported as broken; it is probed until it responds directly.
 """
 
 from __future__ import annotations
@@ -15,34 +15,34 @@
 from basaltpoint.peers.view import MAX_UNREACHABLE, MembershipView
 
 INF = float("inf")
-MAX_RELAYED_PROBES = 256  # probes for others under way at once; a flood of them costs no more
-MIN_INDIRECT_ACKS = 3  # probes in a row that only others could answer, before a link is told as cut
-MAX_URGENT_PROBES = 64  # members waiting to be probed at once
+MAX_RELAYED_PROBES = 256  # in progress for other members; bounds the cost of a flood of requests
+MIN_INDIRECT_ACKS = 3  # consecutive indirect acks after which a link is reported as broken
+MAX_URGENT_PROBES = 64  # members queued to be probed out of turn
 
 SendMessage = Callable[[str, str, Message], None]
 
 
 @dataclass(slots=True)
 class Probe:
-    """One member asked whether it is there."""
+    """A probe of one member in progress."""
 
     target: str
     started_ms: float
-    stage_deadline_ms: float  # the end of its present stage
-    # Helpers: whether they were refused, too; None: not heard yet.
+    stage_deadline_ms: float  # of the direct stage, then of the indirect one
+    # By helper: whether its connection to the target was refused, too; None: no response yet.
     helpers: dict[str, bool | None] = field(default_factory=dict)
     is_indirect: bool = False
-    connection_refused: bool = False  # its host refused our connection
+    connection_refused: bool = False  # the target's host refused this member's connection
 
     @property
     def refused_by_all(self) -> bool:
-        """Its host refuses us and everybody who was asked."""
+        """Whether the target's host refused the connections of this member and of all helpers."""
         return self.connection_refused and all(self.helpers.values())
 
 
 @dataclass(slots=True)
 class RelayedProbe:
-    """A probe for another."""
+    """A probe that this member sent as a helper."""
 
     target: str
     requester: str
@@ -52,7 +52,11 @@
 
 
 class Prober:
-    """The probes of one member. `tell` sends, `failed` hears of one that nobody could reach."""
+    """The probes of one member.
+
+    `send_message` sends a message; `probe_failed` is called with a member that neither this member nor a
+    helper could reach, and whether its host refused all connections.
+    """
 
     def __init__(
         self,
@@ -65,7 +69,7 @@
     ) -> None:
         self._view, self._options, self._rng = view, options, rng
         self._send_message, self._probe_failed = send_message, probe_failed
-        self.health_score = 0  # of oneself (Lifeguard's local health): 0 to `doubt_most`
+        self.health_score = 0  # Lifeguard's local health: 0 (healthy) to `max_health_score`
         self.probes: dict[int, Probe] = {}
         self.relayed_probes: dict[int, RelayedProbe] = {}
         self._seq = 0
@@ -75,13 +79,13 @@
         self._urgent: dict[str, None] = {}
         self._urgent_at_ms = INF
         self._indirect_acks: dict[str, int] = {}
-        self.unreachable: dict[str, bool] = {}  # links that are cut: whether the other is still heard
-        self.unreachable_changed = False  # whether `unreached` has changed
+        self.unreachable: dict[str, bool] = {}  # by member: whether its messages still arrive
+        self.unreachable_changed = False  # whether `unreachable` has changed
 
     # --- Time -----------------------------------------------------------------------------------------
     @property
     def timeout_factor(self) -> float:
-        """By how much times are stretched while this member doubts itself."""
+        """Factor on probe intervals and timeouts, above 1 while this member's local health is bad."""
         return 1.0 + self.health_score if self._options.lifeguard else 1.0
 
     def adjust_health_score(self, by: int) -> None:
@@ -112,15 +116,19 @@
                 self._start_probe(now, target)
 
     def discard_probes(self) -> None:
-        """What was under way says nothing: its time-outs fell into a pause."""
+        """Drops all probes in progress after a pause: their timeouts are no evidence."""
         self.probes.clear()
         self.relayed_probes.clear()
 
-    # --- Own probes -----------------------------------------------------------------------------------
+    # --- Probes of this member ------------------------------------------------------------------------
     def _next_target(self) -> str:
-        """The next in turn: those watched, now and then any other, so that rings that differ still meet."""
+        """Returns the next member to probe, or an empty string.
+
+        These are the neighbours on the ring, and every eighth time a random member, so that members whose
+        rings differ still contact each other.
+        """
         self._probe_count += 1
-        live = self._view.members
+        members = self._view.members
         if (
             self._options.probe_on_ring
             and self._probe_count % 8 == 0
@@ -130,21 +138,23 @@
         while True:
             while self._round_targets:
                 name = self._round_targets.pop()
-                if name in live and live[name].record.is_live:
+                if name in members and members[name].record.is_live:
                     return name
-            fresh = self._view.probe_targets() if self._options.probe_on_ring else self._view.other_members()
-            fresh += [
+            targets = (
+                self._view.probe_targets() if self._options.probe_on_ring else self._view.other_members()
+            )
+            targets += [
                 name
                 for name in self._indirect_acks
-                if name in live and live[name].record.is_live and name not in fresh
+                if name in members and members[name].record.is_live and name not in targets
             ]
-            if not fresh:
+            if not targets:
                 return ""
-            self._rng.shuffle(fresh)
-            self._round_targets = fresh
+            self._rng.shuffle(targets)
+            self._round_targets = targets
 
     def probe_soon(self, now: float, name: str) -> None:
-        """Probe a member without waiting for its turn."""
+        """Schedules a probe of a member at once, ahead of its turn."""
         if len(self._urgent) < MAX_URGENT_PROBES and not any(
             probe.target == name for probe in self.probes.values()
         ):
@@ -160,7 +170,7 @@
         self._send_message(name, known.record.address, Ping((known.record,), self._seq))
 
     def _advance_probe(self, now: float, seq: int, probe: Probe) -> None:
-        """No direct answer: ask others. None of them either: it failed."""
+        """Moves a probe without a direct ack to its indirect stage, and fails one that was in it already."""
         known = self._view.members.get(probe.target)
         if known is None or not known.record.is_live:
             del self.probes[seq]
@@ -181,19 +191,19 @@
                 self._view.members[name].record.address,
                 PingRequest((), seq, probe.target, known.record.address),
             )
-        if probe.refused_by_all:  # there was nobody to ask
+        if probe.refused_by_all:  # there is no helper
             self._fail_probe(now, seq, probe)
 
     def _fail_probe(self, now: float, seq: int, probe: Probe) -> None:
         del self.probes[seq]
-        unheard = sum(refused is None for refused in probe.helpers.values())
+        silent_helpers = sum(refused is None for refused in probe.helpers.values())
         if self._options.lifeguard:
-            # Helpers that say nothing are a sign that this member is at fault, not the target.
-            self.adjust_health_score(unheard if probe.helpers else 1)
+            # Helpers without a response suggest a fault of this member, not of the target.
+            self.adjust_health_score(silent_helpers if probe.helpers else 1)
         self._probe_failed(now, probe.target, probe.refused_by_all)
 
     def connection_refused(self, now: float, name: str) -> None:
-        """A connection to a member was refused, or ended before its greeting."""
+        """A connection to a member was refused, or closed before its greeting."""
         for seq, probe in list(self.probes.items()):
             if probe.target == name and not probe.connection_refused:
                 probe.connection_refused = True
@@ -203,9 +213,9 @@
             if relay.target == name:
                 self._send_nack(seq, relay, refused=True)
 
-    # --- Answers --------------------------------------------------------------------------------------
+    # --- Responses ------------------------------------------------------------------------------------
     def ack_received(self, now: float, sender: str, ack: Ack) -> None:
-        """An answer, to an own probe or to one for another."""
+        """An ack of a probe of this member, or of a relayed one."""
         if relay := self.relayed_probes.pop(ack.seq, None):
             self._send_message(
                 relay.requester,
@@ -223,30 +233,30 @@
             self._view.members[sender].rtt_ms = now - probe.started_ms
             self._mark_reachable(sender)
             return
-        misses = self._indirect_acks.get(probe.target, 0) + 1
+        indirect_acks = self._indirect_acks.get(probe.target, 0) + 1
         if probe.target in self._indirect_acks or len(self._indirect_acks) < MAX_URGENT_PROBES:
-            self._indirect_acks[probe.target] = misses
-        if misses >= MIN_INDIRECT_ACKS:
-            self._mark_unreachable(probe.target, heard=sender == probe.target)
+            self._indirect_acks[probe.target] = indirect_acks
+        if indirect_acks >= MIN_INDIRECT_ACKS:
+            self._mark_unreachable(probe.target, can_hear=sender == probe.target)
 
     def _mark_reachable(self, name: str) -> None:
         self._indirect_acks.pop(name, None)
         if self.unreachable.pop(name, None) is not None:
             self.unreachable_changed = True
 
-    def _mark_unreachable(self, name: str, heard: bool) -> None:
-        if self.unreachable.get(name) != heard and (
+    def _mark_unreachable(self, name: str, can_hear: bool) -> None:
+        if self.unreachable.get(name) != can_hear and (
             name in self.unreachable or len(self.unreachable) < MAX_UNREACHABLE
         ):
-            self.unreachable[name] = heard
+            self.unreachable[name] = can_hear
             self.unreachable_changed = True
 
     def member_removed(self, name: str) -> None:
-        """A member lives no more: its link is of no interest."""
+        """A member has died or left: the state of the link to it is dropped."""
         self._mark_reachable(name)
 
     def nack_received(self, now: float, sender: str, nack: Nack) -> None:
-        """A helper could not reach it."""
+        """A helper could not reach the target."""
         probe = self.probes.get(nack.seq)
         if probe is None or sender not in probe.helpers:
             return
@@ -254,18 +264,20 @@
         if probe.refused_by_all:
             self._fail_probe(now, nack.seq, probe)
 
-    # --- For others -----------------------------------------------------------------------------------
-    def ping_request_received(self, now: float, sender: str, address: str, ask: PingRequest) -> None:
-        """Another asks for a probe."""
-        if len(self.relayed_probes) >= MAX_RELAYED_PROBES or ask.target == self._view.own_name:
+    # --- Relayed probes -------------------------------------------------------------------------------
+    def ping_request_received(self, now: float, sender: str, address: str, request: PingRequest) -> None:
+        """Another member requests an indirect probe."""
+        if len(self.relayed_probes) >= MAX_RELAYED_PROBES or request.target == self._view.own_name:
             return
         self._seq += 1
         self.relayed_probes[self._seq] = RelayedProbe(
-            ask.target, sender, address, ask.seq, now + 0.8 * self._options.ack_timeout_ms
+            request.target, sender, address, request.seq, now + 0.8 * self._options.ack_timeout_ms
         )
-        row = self._view.get(ask.target)
+        record = self._view.get(request.target)
         self._send_message(
-            ask.target, ask.address, Ping((row,) if row else (), self._seq, sender, address, ask.seq)
+            request.target,
+            request.address,
+            Ping((record,) if record else (), self._seq, sender, address, request.seq),
         )
 
     def _send_nack(self, seq: int, relay: RelayedProbe, refused: bool) -> None:
--- a/basaltpoint/peers/push_pull.py
+++ b/basaltpoint/peers/push_pull.py
@@ -1,4 +1,4 @@
-"""Full exchanges: views that differ are brought together, also with those that are held dead."""
+"""Push-pull exchanges, which reconcile views that differ, also with dead members and with seeds."""
 
 from __future__ import annotations
 
@@ -10,20 +10,18 @@
 from basaltpoint.peers.options import MembershipOptions
 from basaltpoint.peers.view import MembershipView, precedence
 
-MAX_PARTIAL_RESPONSES = (
-    4  # answers in several parts under way; of more the oldest is forgotten, and asked for again later
-)
+MAX_PARTIAL_RESPONSES = 4  # above, the oldest incomplete response is dropped; a later exchange repeats it
 
 RecordVersion = tuple[str, tuple[int, int, int, int]]
 
 
-def record_version(row: MemberRecord) -> RecordVersion:
-    """What tells a row apart from others, but for who accuses."""
-    return row.name, precedence(row)
+def record_version(record: MemberRecord) -> RecordVersion:
+    """Returns what identifies a version of a record, regardless of who suspects the member."""
+    return record.name, precedence(record)
 
 
 class PushPullExchange:
-    """Asks a digest's worth, answers with all where it differs, and tells back what the other lacks."""
+    """Sends digests, responds to differing ones with all records, and returns what the other member lacks."""
 
     def __init__(
         self,
@@ -33,12 +31,10 @@
         send_message: Callable[[str, str, Message], None],
     ) -> None:
         self._view, self._options, self._rng, self._send_message = view, options, rng, send_message
-        self._received_versions: dict[
-            str, set[RecordVersion]
-        ] = {}  # what an answer has told of, by who tells
+        self._received_versions: dict[str, set[RecordVersion]] = {}  # by sender, of an incomplete response
 
     def next_interval_ms(self) -> float:
-        """Until the next: longer in large fleets, as their views are longer, too."""
+        """Returns the time until the next exchange; longer in large fleets, as their views are larger."""
         size = max(1.0, math.log2(max(1, len(self._view.ring))) - 4.0)
         return self._options.push_pull_interval_ms * size * self._rng.uniform(0.8, 1.2)
 
@@ -46,24 +42,26 @@
         self._send_message(name, address, PushPull((), self._view.digest()))
 
     def contact_dead_or_seed(self, seeds: Sequence[tuple[str, str]]) -> None:
-        """Ask one that is held dead, or a seed that is not among the living, whether it is there."""
+        """Starts an exchange with a random dead member, or a seed that is not at a live member's address."""
         alive = {known.record.address for known in self._view.members.values() if known.record.is_live}
-        found = [(row.name, row.address) for row in self._view.records if row.state is MemberState.DEAD]
+        found = [
+            (record.name, record.address) for record in self._view.records if record.state is MemberState.DEAD
+        ]
         found += [seed for seed in seeds if seed[1] not in alive]
         if found:
             self.send_digest(*self._rng.choice(found))
 
     def message_received(self, sender: str, address: str, message: PushPull) -> bool:
-        """A message of one; whether somebody has now told all that it knows."""
+        """Handles a push-pull message; returns whether it completes the other member's response."""
         if message.step == 0 and message.digest != self._view.digest():
             self._send_records(sender, address, self._view.records, 1)
         if message.step != 1:
             return False
         versions = self._received_versions.setdefault(sender, set())
-        versions.update(record_version(row) for row in message.records)
+        versions.update(record_version(record) for record in message.records)
         if message.is_last:
             del self._received_versions[sender]
-            if missing := [row for row in self._view.records if record_version(row) not in versions]:
+            if missing := [record for record in self._view.records if record_version(record) not in versions]:
                 self._send_records(sender, address, missing, 2)
         while len(self._received_versions) > MAX_PARTIAL_RESPONSES:
             del self._received_versions[next(iter(self._received_versions))]
--- a/basaltpoint/peers/suspicion.py
+++ b/basaltpoint/peers/suspicion.py
@@ -1,8 +1,8 @@
-"""How long a member is doubted before it is held dead (Lifeguard, section IV.B).
+"""Suspicion timeout: how long a member is suspected before it is declared dead (Lifeguard, section IV.B).
 
-The time begins long and shrinks as others come to the same doubt by themselves. Silence is borne longer than
-a refusal: a process that stands still keeps its connections, and its host goes on to accept new ones for it;
-one that was killed does neither.
+The timeout starts long and shrinks as other members independently suspect the same member. It is longer after
+silence than after a refused connection: a paused process keeps its connections, and its kernel accepts new
+ones for it; a killed process does neither.
 """
 
 from __future__ import annotations
@@ -13,36 +13,36 @@
 from basaltpoint.peers.messages import MemberRecord
 from basaltpoint.peers.options import MembershipOptions
 
-PROBE_VALID_MS = 3000.0  # a question that got no answer says so long that there is none
+PROBE_VALID_MS = 3000.0  # an unanswered probe counts as evidence for this long
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """One member doubted, in one incarnation."""
+    """The suspicion of one member in one incarnation."""
 
     incarnation: int
     started_ms: float
-    connection_refused: bool
+    connection_refused: bool  # a member found that the host refuses connections
     suspected_by: set[str] = field(default_factory=set)
-    extension_ms: float = 0.0  # ms by which the end was put off
-    probe_at_ms: float = math.inf  # when this member is to ask it for itself; infinite once it has
-    was_probed: bool = False  # this member has, and so have others for it: no answer
-    probed_at_ms: float = -math.inf  # when that was
-    pending_dead: MemberRecord | None = None  # others hold it dead; believed once this member has asked
+    extension_ms: float = 0.0  # extension of the timeout after pauses of this process
+    probe_at_ms: float = math.inf  # when this member probes it itself; infinite once done
+    was_probed: bool = False  # this member probed it, also indirectly, without an ack
+    probed_at_ms: float = -math.inf  # when that probe failed
+    pending_dead: MemberRecord | None = None  # another's verdict of death, accepted once `was_probed`
 
     def confirm(self, member: str, refused: bool) -> bool:
-        """Another doubts it, too; whether that is news."""
+        """Adds a member that suspects it, too; returns whether that is new."""
         new = member not in self.suspected_by or (refused and not self.connection_refused)
         self.suspected_by.add(member)
         self.connection_refused = self.connection_refused or refused
         return new
 
     def probe_is_stale(self, now: float) -> bool:
-        """Whether it was asked long ago: it may have stood still then, and its contradiction been lost."""
+        """Whether the probe is too old as evidence: the member may have been paused, its refutation lost."""
         return self.was_probed and now - self.probed_at_ms > PROBE_VALID_MS
 
     def expires_ms(self, options: MembershipOptions, members: int) -> float:
-        """When it is held dead, if nothing is heard of it."""
+        """Returns when the member is declared dead unless it refutes the suspicion."""
         scale = max(1.0, math.log10(max(1, members)))
         if self.connection_refused:
             return self.started_ms + options.refused_suspicion_ms * scale + self.extension_ms
--- a/basaltpoint/peers/view.py
+++ b/basaltpoint/peers/view.py
@@ -1,4 +1,4 @@
-"""One member's view of all: rows under their join, the ring, and a digest to compare views by."""
+"""One member's view of the fleet: merged member records, the probe ring, and a digest to compare views."""
 
 from __future__ import annotations
 
@@ -8,32 +8,35 @@
 
 from basaltpoint.peers.messages import INCARNATION_LIMIT, MemberRecord
 
-MAX_NAME_CHARS = 64  # characters of a name, and twice that of an address
-MAX_UNREACHABLE = 8  # names that a row tells of at most
+MAX_NAME_CHARS = 64  # an address may be twice as long
+MAX_UNREACHABLE = 8  # unreachable members listed in one record
 
 
 def precedence(record: MemberRecord) -> tuple[int, int, int, int]:
-    """What of two rows about one name the higher wins by: a total order but for who accuses."""
+    """Returns the key by which the higher of two records of one name wins.
+
+    It is a total order except for fields that only say who suspects the member and why.
+    """
     return record.incarnation, record.state, record.instance_id, record.self_report
 
 
 def merge(one: MemberRecord, other: MemberRecord) -> MemberRecord:
-    """The one of two rows about a name that holds. Commutative, associative, idempotent."""
+    """Returns the winning one of two records of one name; commutative, associative and idempotent."""
     return max(
         one,
         other,
-        key=lambda row: (
-            precedence(row),
-            not row.connection_refused,
-            row.address,
-            row.reported_by,
-            row.unreachable,
+        key=lambda record: (
+            precedence(record),
+            not record.connection_refused,
+            record.address,
+            record.reported_by,
+            record.unreachable,
         ),
     )
 
 
 def validation_error(record: MemberRecord) -> str:
-    """What is wrong with a row from elsewhere; nothing where it may be taken."""
+    """Returns why a received record is invalid, or an empty string."""
     if not 0 < record.incarnation < INCARNATION_LIMIT:
         return f"an incarnation of {record.incarnation}; allowed: 1 to {INCARNATION_LIMIT - 1}"
     if (
@@ -42,7 +45,10 @@
         or len(record.address) > 2 * MAX_NAME_CHARS
         or len(record.reported_by) > MAX_NAME_CHARS
     ):
-        return f"a name or address that is empty or longer than {MAX_NAME_CHARS} and {2 * MAX_NAME_CHARS} characters"
+        return (
+            f"a name or address that is empty or longer than {MAX_NAME_CHARS} "
+            f"and {2 * MAX_NAME_CHARS} characters"
+        )
     if len(record.unreachable) > MAX_UNREACHABLE or any(
         len(name) > MAX_NAME_CHARS + 1 for name in record.unreachable
     ):
@@ -51,27 +57,27 @@
 
 
 def ring_position(name: str) -> int:
-    """Where a name stands on the ring: the same for all, and unlike the names' own order."""
+    """Returns the position of a name on the ring: equal at all members, unrelated to the order of names."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "little")
 
 
 @dataclass(slots=True)
 class KnownMember:
-    """A row, and what this member alone knows of it. Times are its own clock's."""
+    """A record, and what only this member knows of the member. Times are ms of the local clock."""
 
     record: MemberRecord
     state_since_ms: float
-    last_heard_ms: float = -1.0  # its own word came directly; -1: never
-    rtt_ms: float = -1.0
+    last_heard_ms: float = -1.0  # last message directly from it; -1: never
+    rtt_ms: float = -1.0  # of the last direct ack; -1: none
 
 
 class MembershipView:
-    """All members that are known of, this one included."""
+    """All known members, this one included."""
 
     def __init__(self, me: str) -> None:
         self.own_name = me
         self.members: dict[str, KnownMember] = {}
-        self._ring: list[str] | None = None  # the living, by their points
+        self._ring: list[str] | None = None  # live members by ring position; None: to be rebuilt
         self._points: dict[str, int] = {}
 
     def get(self, name: str) -> MemberRecord | None:
@@ -79,7 +85,7 @@
         return known.record if known else None
 
     def put(self, now: float, record: MemberRecord) -> None:
-        """Take a row as it is."""
+        """Stores a record without merging it with the present one."""
         known = self.members.get(record.name)
         if known is None:
             self.members[record.name] = KnownMember(record, now)
@@ -102,38 +108,44 @@
 
     @property
     def ring(self) -> list[str]:
-        """The living, in an order that is the same for all who see the same."""
+        """Live members, in an order that is equal at all members with the same view."""
         if self._ring is None:
-            living = (name for name, known in self.members.items() if known.record.is_live)
-            self._ring = sorted(living, key=self._points.__getitem__)
+            live_names = (name for name, known in self.members.items() if known.record.is_live)
+            self._ring = sorted(live_names, key=self._points.__getitem__)
         return self._ring
 
     def other_members(self) -> list[str]:
-        """The living but this one."""
+        """Live members except this one."""
         return [name for name in self.ring if name != self.own_name]
 
     def probe_targets(self) -> list[str]:
-        """Whom this member probes: those 1, 2, 4, ... places on. Each is watched by as many, the connections
-        last, and word crosses the fleet in as many steps as its size has binary digits."""
+        """Returns the members that this one probes: those 1, 2, 4, ... places further on the ring.
+
+        Each member is probed by as many others as it probes, the connections are long-lived, and gossip
+        crosses the fleet in as many steps as its size has binary digits.
+        """
         ring = self.ring
         if self.own_name not in ring or len(ring) < 2:
             return []
-        at, found, step = ring.index(self.own_name), list[str](), 1
+        own_index, targets, step = ring.index(self.own_name), list[str](), 1
         while step < len(ring):
-            found.append(ring[(at + step) % len(ring)])
+            targets.append(ring[(own_index + step) % len(ring)])
             step *= 2
-        return found
+        return targets
 
     def digest(self) -> int:
-        """Alike where the living are seen alike, but for who accuses; each forgets the dead in its time."""
+        """Returns a digest of the live members, equal for views that agree on them.
+
+        It does not cover who suspects a member, nor dead members: each member forgets those at its own time.
+        """
         digest = hashlib.blake2b(digest_size=6)
         for name in self.ring:
-            row = self.members[name].record
-            digest.update(f"{name} {precedence(row)}\n".encode())
+            record = self.members[name].record
+            digest.update(f"{name} {precedence(record)}\n".encode())
         return int.from_bytes(digest.digest(), "little")
 
     def broken_links(self) -> Iterator[tuple[str, str, bool]]:
-        """Links that a living member says it can't use: from, to, and whether it still hears the other."""
+        """Yields links that live members report as broken: from, to, whether messages back still arrive."""
         for known in self.members.values():
             if known.record.is_live:
                 for name in known.record.unreachable:
--- a/basaltpoint/replication/__init__.py
+++ b/basaltpoint/replication/__init__.py
@@ -1,1 +1,1 @@
-"""State that every limiter holds a copy of: rows by owner, how they travel, what wins where copies differ."""
+"""State replicated to all limiters of a fleet: rows by owner, their propagation, and conflict resolution."""
--- a/basaltpoint/replication/kinds.py
+++ b/basaltpoint/replication/kinds.py
@@ -1,4 +1,4 @@
-"""Kinds of replicated state: what a row holds, and what wins where owners differ."""
+"""Kinds of replicated state: the value of a row, and how values of different owners are merged."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class Kind(IntEnum):
-    """Numbers are never used again: a member of another version may hold rows of a kind that went."""
+    """Kinds of rows. Numbers are never reused: members of other versions may hold rows of a removed kind."""
 
-    DRAIN = 1  # by server
+    DRAIN = 1  # the key is a server
 
 
 class Drain(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """That a server drains, or does no more. The higher generation holds; within one the drain wins."""
+    """Whether a server drains. The highest generation wins; within one generation draining wins."""
 
     generation: int
     draining: bool
 
 
 def decode_drain(entry: Entry) -> Drain | None:
-    """None where the row can't be read."""
+    """Decodes the value of a drain row; None if it is invalid."""
     try:
         return msgspec.msgpack.decode(entry.value, type=Drain)
     except msgspec.DecodeError:
@@ -32,5 +32,5 @@
 
 
 def merge_drains(rows: Iterable[Entry]) -> Drain:
-    """What holds of a server: the join of all owners' words."""
-    return max((told for entry in rows if (told := decode_drain(entry))), default=Drain(0, False))
+    """Merges the rows that all owners hold for one server."""
+    return max((drain for entry in rows if (drain := decode_drain(entry))), default=Drain(0, False))
--- a/basaltpoint/replication/row_table.py
+++ b/basaltpoint/replication/row_table.py
@@ -1,8 +1,7 @@
-"""All rows that a member holds, by owner, and up to where it has each owner's changes.
+"""All rows of a member's copy, by owner, and the count up to which each owner's changes are complete.
 
-A copy is what its owner's changes make of it, so two copies differ only in how far they have come: the join
-of two rows is the one with the higher count, and of two copies the row by row join. Changes may come in any
-order, any number of times.
+Of two versions of a row the one with the higher count wins, and two copies are merged row by row. Therefore
+changes may arrive in any order and repeatedly.
 """
 
 from __future__ import annotations
@@ -19,14 +18,12 @@
 
 
 class OwnerRows:
-    """The rows of one owner, by the counts of their changes."""
+    """The rows of one owner, indexed by the counts of their changes."""
 
     def __init__(self) -> None:
-        self.up_to = 0  # all changes up to this one are here, or were replaced by later ones that are
-        self._received_up_to = self._target_up_to = (
-            0  # of several messages that bring more: how far they have come
-        )
-        self.fingerprint = 0  # of all rows together, whatever their order
+        self.up_to = 0  # all changes up to this count are here, or were overwritten by later ones that are
+        self._received_up_to = self._target_up_to = 0  # of a series of messages in progress
+        self.fingerprint = 0  # of all rows, independent of their order
         self._rows: dict[Key, Entry] = {}
         self._by_count: SortedDict[int, Key] = SortedDict()
 
@@ -40,83 +37,86 @@
         return self._rows.get(key)
 
     def put(self, entry: Entry) -> bool:
-        """Take a row; whether it is news."""
+        """Stores a row unless a version as new is here already; returns whether it was stored."""
         key = entry.kind, entry.key
-        held = self._rows.get(key)
-        if held is not None:
-            if held.count >= entry.count:
+        current = self._rows.get(key)
+        if current is not None:
+            if current.count >= entry.count:
                 return False
-            del self._by_count[held.count]
-            self.fingerprint ^= _fingerprint(held)
+            del self._by_count[current.count]
+            self.fingerprint ^= _fingerprint(current)
         self.fingerprint ^= _fingerprint(entry)
         self._rows[key] = entry
         self._by_count[entry.count] = key
         return True
 
-    def advance(self, since: int, upto: int, goal: int) -> bool:
-        """All changes after one, up to another, are here now; whether this copy has come further by it."""
-        if since <= self.up_to:
-            self._received_up_to, self._target_up_to = upto, goal
-        elif since <= self._received_up_to and goal == self._target_up_to:
-            self._received_up_to = max(self._received_up_to, upto)
+    def advance(self, after: int, up_to: int, final_up_to: int) -> bool:
+        """Records that all changes above `after` and up to `up_to` were received.
+
+        `final_up_to` is where the series of messages ends. Returns whether the copy advanced.
+        """
+        if after <= self.up_to:
+            self._received_up_to, self._target_up_to = up_to, final_up_to
+        elif after <= self._received_up_to and final_up_to == self._target_up_to:
+            self._received_up_to = max(self._received_up_to, up_to)
         if self._received_up_to < self._target_up_to or self._target_up_to <= self.up_to:
             return False
         self.up_to = self._target_up_to
         return True
 
-    def has_gap(self, since: int) -> bool:
-        """Whether something before this is not here and not on its way."""
-        return since > max(self.up_to, self._received_up_to)
+    def has_gap(self, after: int) -> bool:
+        """Whether changes up to `after` are missing, and not part of a series in progress."""
+        return after > max(self.up_to, self._received_up_to)
 
     def changes_after(self, count: int) -> tuple[list[Entry], int]:
-        """Changes after a count, as many as one message may hold; with it, up to where they are all."""
-        found: list[Entry] = []
+        """Returns changes above a count that fit one message, and the count up to which they are complete."""
+        entries: list[Entry] = []
         size = 0
-        for at in self._by_count.irange(minimum=count + 1):
-            if len(found) >= MAX_DELTA_ENTRIES or size > MAX_DELTA_BYTES:
-                return found, max(count, min(found[-1].count, self.up_to))
-            entry = self._rows[self._by_count[at]]
-            found.append(entry)
+        for position in self._by_count.irange(minimum=count + 1):
+            if len(entries) >= MAX_DELTA_ENTRIES or size > MAX_DELTA_BYTES:
+                return entries, max(count, min(entries[-1].count, self.up_to))
+            entry = self._rows[self._by_count[position]]
+            entries.append(entry)
             size += len(entry.value)
-        # Rows above may have come out of turn; what was not heard in between is not vouched for.
-        return found, max(self.up_to, count)
+        # Rows above `up_to` may have arrived out of order; changes between them may be missing here.
+        return entries, max(self.up_to, count)
 
 
 class RowTable:
-    """Those of all owners."""
+    """The rows of all owners."""
 
     def __init__(self) -> None:
         self.owners: dict[Owner, OwnerRows] = {}
         self._rows_by_key: dict[Key, dict[Owner, Entry]] = {}
 
     def owner_rows(self, owner: Owner) -> OwnerRows:
-        if (owned := self.owners.get(owner)) is None:
-            owned = self.owners[owner] = OwnerRows()
-        return owned
+        if (rows := self.owners.get(owner)) is None:
+            rows = self.owners[owner] = OwnerRows()
+        return rows
 
     def put(self, owner: Owner, entry: Entry) -> bool:
-        """Take a row; whether it is news."""
-        news = self.owner_rows(owner).put(entry)
-        if news:
+        """Stores a row unless a version as new is here already; returns whether it was stored."""
+        is_new = self.owner_rows(owner).put(entry)
+        if is_new:
             self._rows_by_key.setdefault((entry.kind, entry.key), {})[owner] = entry
-        return news
+        return is_new
 
     def rows(self, kind: int, key: str) -> Iterable[Entry]:
-        """What all owners hold of one thing."""
+        """Returns the rows of all owners for one key."""
         return self._rows_by_key.get((kind, key), {}).values()
 
     def keys(self, kind: int) -> Iterator[str]:
         return (key for its, key in self._rows_by_key if its == kind)
 
     def version_vector(self) -> tuple[tuple[Owner, int, int], ...]:
-        """By owner, up to where its changes are here, and the print of its rows."""
+        """Returns, by owner, the count up to which changes are complete, and the fingerprint of the rows."""
         found = (
             (owner, owned.up_to, owned.fingerprint) for owner, owned in self.owners.items() if len(owned)
         )
         return tuple(sorted(found))
 
     def digest(self) -> int:
-        """The same for copies that hold the same."""
+        """Returns a digest that is equal for copies with equal rows."""
         return _hash(repr(self.version_vector()).encode())
 
 
--- a/basaltpoint/replication/rows.py
+++ b/basaltpoint/replication/rows.py
@@ -1,7 +1,7 @@
-"""Rows and the messages that carry them. A row has one owner, a process, that alone raises it.
+"""Rows and the messages that carry them. A row is owned by one process, and only that process changes it.
 
-All are MessagePack arrays; new fields come last, with a default. What a row holds is its kind's own, and is
-passed on unread where the kind is not known.
+All are MessagePack arrays; new fields are appended with a default. Values are opaque here, so that rows of
+unknown kinds are replicated as well.
 """
 
 from __future__ import annotations
@@ -12,22 +12,22 @@
 
 from basaltpoint.peers.messages import Message
 
-MAX_KEY_CHARS = 256  # bytes of the longest key
-MAX_VALUE_BYTES = 4096  # and of the longest value
-MAX_DELTA_ENTRIES = 256  # of one message: with the longest of both it would be cut by bytes before
-MAX_DELTA_BYTES = 32 << 10  # of the values of one message
-COUNT_LIMIT = 1 << 53  # counts and epochs stay below it
+MAX_KEY_CHARS = 256
+MAX_VALUE_BYTES = 4096
+MAX_DELTA_ENTRIES = 256  # with values of maximum size, MAX_DELTA_BYTES is reached first
+MAX_DELTA_BYTES = 32 << 10  # of the values in one message; exceeded by at most one value
+COUNT_LIMIT = 1 << 53  # counts and epochs are below
 
 
 class Owner(NamedTuple):
-    """A process: a member's name, and an epoch that is higher for each later process of the name."""
+    """A process: a member's name, and an epoch that is higher for each later process of that name."""
 
     name: str
     epoch: int
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One row as its owner last raised it. `count` numbers all changes of the owner, from 1."""
+    """One row as its owner last changed it. `count` numbers all changes of the owner, from 1."""
 
     kind: int
     key: str
@@ -36,10 +36,10 @@
 
 
 class Delta(Message, frozen=True, tag="d"):
-    """Changes of one owner: all that came after `since`, up to `upto`, as far as they still stand.
+    """Changes of one owner with counts above `after` and up to `up_to`, except those that were overwritten.
 
-    Of several messages `goal` is where the last ends. What was replaced by a change behind `upto` is not in
-    this one, so a copy has come no further before it has all of them.
+    In a series of messages, `final_up_to` is the `up_to` of the last. A change that was overwritten by one
+    above `up_to` is missing here, so a copy advances only once it has received the whole series.
     """
 
     owner: Owner = Owner("", 0)
@@ -50,12 +50,12 @@
 
 
 class VersionVector(Message, frozen=True, tag="h"):
-    """Up to where the sender has each owner's changes, and the print of its rows.
+    """By owner, the count up to which the sender has all changes, and the fingerprint of its rows.
 
-    Who has more of one tells it; who has less asks back.
+    The receiver sends the changes that the sender lacks, and requests those that it lacks itself.
 
-    Without owners: the digest alone, to be answered with owners where it differs. `part`: owners that are not
-    named are not spoken of, and prints are not compared.
+    Without `versions`, the message carries only a digest; the response has `versions` if the digests differ.
+    `is_partial`: nothing is said about owners that are not listed, and fingerprints are not compared.
     """
 
     digest: int = 0
@@ -64,7 +64,7 @@
 
 
 def validation_error(owner: Owner, entry: Entry) -> str:
-    """What is wrong with a row from elsewhere; nothing where it may be taken."""
+    """Returns why a received row is invalid, or an empty string."""
     if not owner.name or len(owner.name) > MAX_KEY_CHARS or not 0 < owner.epoch < COUNT_LIMIT:
         return f"a row of {owner.name!r}, epoch {owner.epoch}"
     if (
--- a/basaltpoint/replication/state_machine.py
+++ b/basaltpoint/replication/state_machine.py
@@ -1,8 +1,8 @@
-"""One member's copy: own rows and others' messages in, messages and changes out.
+"""State machine of one member's copy: takes local changes and messages, returns messages and changes.
 
-Changes are pushed at once to the members that this one watches on the peers' ring, who push on what is news
-to them, and pulled now and then from a random member by how far each has come. No clock is read and no socket
-is opened; times are ms of this member's own clock.
+Changes are pushed at once to the members that this one probes on the membership ring, and those push on what
+is new to them. A periodic exchange of version vectors with a random member repairs what pushes lost. There is
+no I/O here, and no clock is read; times are ms of the local clock.
 """
 
 from __future__ import annotations
@@ -24,20 +24,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicationOptions:
-    """Times in ms, with the reason of each."""
+    """Timing and limits of replication."""
 
-    push_delay_ms: float = (
-        10.0  # news waits so long for more of it: each step through the fleet costs as much
-    )
-    pull_interval_ms: float = (
-        1000.0  # between two questions to a random member; what a push lost comes by then
-    )
-    max_response_messages: int = 64  # messages of one answer; the rest is asked for by the next question
+    push_delay_ms: float = 10.0  # collects changes into one push; added to every hop through the fleet
+    # Between exchanges of version vectors with a random member, which repair what pushes lost.
+    pull_interval_ms: float = 1000.0
+    max_response_messages: int = 64  # deltas of one response; the rest follows after the next exchange
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send this to a member, over whatever connection there is."""
+    """Send a message to a member."""
 
     member: str
     message: Frame
@@ -45,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RowChanged:
-    """What is held of one thing has changed."""
+    """A row of this key has changed."""
 
     kind: int
     key: str
@@ -53,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProtocolViolation:
-    """A member sent what it may not."""
+    """A member sent something that is not allowed."""
 
     member: str
     problem: str
@@ -63,7 +60,7 @@
 
 
 class ReplicationStateMachine:
-    """One member's copy of all rows."""
+    """One member's copy of all rows, without I/O: the caller carries out the actions and reports events."""
 
     def __init__(
         self,
@@ -74,32 +71,32 @@
         push_targets: Callable[[], Sequence[str]],
         live_members: Callable[[], Sequence[str]],
     ) -> None:
-        """`watched`, `others`: members to push to, and all that live."""
+        """`push_targets` and `live_members` return the members to push to, and all live ones."""
         self.owner, self.options = owner, options
         self.table = RowTable()
         self.table.owner_rows(owner)
         self._rng, self._push_targets, self._live_members = rng, push_targets, live_members
-        self._pushed_up_to: dict[Owner, int] = {}  # changes that were pushed on
-        self._pending_sources: dict[Owner, str] = {}  # who told the news that waits; it need not be told back
+        self._pushed_up_to: dict[Owner, int] = {}  # count up to which changes were pushed
+        self._pending_sources: dict[Owner, str] = {}  # by owner, the only sender of pending changes, or ""
         self._push_at_ms = INF
         self._pull_at_ms = now + rng.uniform(0.0, options.pull_interval_ms)
         self._actions: list[Action] = []
 
-    # --- What the shell calls ---------------------------------------------------------------------------
+    # --- Interface for the caller -----------------------------------------------------------------------
     def take_actions(self) -> list[Action]:
-        """What is to be done now; to be asked for after each of the calls below."""
-        taken, self._actions = self._actions, []
-        return taken
+        """Returns the actions to carry out now; must be called after each of the methods below."""
+        actions, self._actions = self._actions, []
+        return actions
 
     @property
     def next_timer_ms(self) -> float:
         return min(self._push_at_ms, self._pull_at_ms)
 
     def put_own_row(self, now: float, kind: int, key: str, value: bytes) -> None:
-        """Raise a row of this member's own."""
-        owned = self.table.owner_rows(self.owner)
-        owned.up_to += 1
-        self.table.put(self.owner, Entry(kind, key, owned.up_to, value))
+        """Changes a row that this process owns."""
+        own_rows = self.table.owner_rows(self.owner)
+        own_rows.up_to += 1
+        self.table.put(self.owner, Entry(kind, key, own_rows.up_to, value))
         self._actions.append(RowChanged(kind, key))
         self._schedule_push(now, self.owner, "")
 
@@ -121,23 +118,23 @@
 
     # --- Changes ----------------------------------------------------------------------------------------
     def _delta_received(self, now: float, sender: str, delta: Delta) -> None:
-        owner, news = Owner(*delta.owner), False
+        owner, is_new = Owner(*delta.owner), False
         if owner == self.owner:
-            return  # nobody else raises a row of this process
+            return  # only this process changes its rows
         for entry in delta.entries:
             if problem := validation_error(owner, entry):
                 self._actions.append(ProtocolViolation(sender, problem))
                 return
         for entry in delta.entries:
             if self.table.put(owner, entry):
-                news = True
+                is_new = True
                 self._actions.append(RowChanged(entry.kind, entry.key))
-        owned = self.table.owner_rows(owner)
-        if owned.has_gap(delta.after):
-            self._actions.append(Send(sender, VersionVector((), 0, ((owner, owned.up_to, 0),), True)))
-        elif owned.advance(delta.after, delta.up_to, delta.final_up_to):
-            news = True
-        if news:
+        rows = self.table.owner_rows(owner)
+        if rows.has_gap(delta.after):
+            self._actions.append(Send(sender, VersionVector((), 0, ((owner, rows.up_to, 0),), True)))
+        elif rows.advance(delta.after, delta.up_to, delta.final_up_to):
+            is_new = True
+        if is_new:
             self._schedule_push(now, owner, sender)
 
     def _schedule_push(self, now: float, owner: Owner, sender: str) -> None:
@@ -145,66 +142,68 @@
         self._push_at_ms = min(self._push_at_ms, now + self.options.push_delay_ms)
 
     def _push(self) -> None:
-        waiting, self._pending_sources = self._pending_sources, {}
+        pending, self._pending_sources = self._pending_sources, {}
         names = self._push_targets()
-        for owner, source in waiting.items():
-            since = self._pushed_up_to.get(owner, 0)
-            for delta in self._deltas_after(owner, since):
+        for owner, source in pending.items():
+            pushed_up_to = self._pushed_up_to.get(owner, 0)
+            for delta in self._deltas_after(owner, pushed_up_to):
                 self._actions += [Send(name, delta) for name in names if name != source]
-                self._pushed_up_to[owner] = max(since, delta.up_to)
-
-    def _deltas_after(self, owner: Owner, since: int) -> list[Delta]:
-        """What came of an owner after a count, in as many messages as it takes, up to a bound."""
-        owned, found = self.table.owner_rows(owner), list[Delta]()
-        while len(found) < self.options.max_response_messages:
-            entries, upto = owned.changes_after(since)
-            if not entries and upto <= since:
+                self._pushed_up_to[owner] = max(pushed_up_to, delta.up_to)
+
+    def _deltas_after(self, owner: Owner, after: int) -> list[Delta]:
+        """Returns an owner's changes above a count, in up to `max_response_messages` messages."""
+        rows, deltas = self.table.owner_rows(owner), list[Delta]()
+        while len(deltas) < self.options.max_response_messages:
+            entries, up_to = rows.changes_after(after)
+            if not entries and up_to <= after:
                 break
-            found.append(Delta((), owner, since, upto, owned.up_to, tuple(entries)))
-            if upto <= since or upto >= owned.up_to:
+            deltas.append(Delta((), owner, after, up_to, rows.up_to, tuple(entries)))
+            if up_to <= after or up_to >= rows.up_to:
                 break
-            since = upto
-        return found
+            after = up_to
+        return deltas
 
-    # --- How far each has come ----------------------------------------------------------------------------
-    def _version_vector_received(self, sender: str, have: VersionVector) -> None:
-        if not have.versions and not have.is_partial:
-            if have.digest != self.table.digest():
+    # --- Version vectors --------------------------------------------------------------------------------
+    def _version_vector_received(self, sender: str, vector: VersionVector) -> None:
+        if not vector.versions and not vector.is_partial:
+            if vector.digest != self.table.digest():
                 self._actions.append(Send(sender, VersionVector((), 0, self.table.version_vector())))
             return
-        told = {Owner(*owner): (upto, seal) for owner, upto, seal in have.versions}
-        lacks: list[tuple[Owner, int, int]] = []
-        for owner in told.keys() if have.is_partial else told.keys() | self.table.owners.keys():
-            upto, seal = told.get(owner, (0, 0))
-            owned = self.table.owners.get(owner)
-            mine = owned.up_to if owned else 0
-            if mine > upto:
-                self._actions += [Send(sender, delta) for delta in self._deltas_after(owner, upto)]
-            elif mine < upto:
-                lacks.append((owner, mine, 0))
+        versions = {Owner(*owner): (up_to, fingerprint) for owner, up_to, fingerprint in vector.versions}
+        missing: list[tuple[Owner, int, int]] = []
+        for owner in versions.keys() if vector.is_partial else versions.keys() | self.table.owners.keys():
+            up_to, fingerprint = versions.get(owner, (0, 0))
+            rows = self.table.owners.get(owner)
+            own_up_to = rows.up_to if rows else 0
+            if own_up_to > up_to:
+                self._actions += [Send(sender, delta) for delta in self._deltas_after(owner, up_to)]
+            elif own_up_to < up_to:
+                missing.append((owner, own_up_to, 0))
             elif (
-                not have.is_partial
-                and owned
-                and owned.fingerprint != seal
-                and (rest := owned.changes_after(mine)[0])
+                not vector.is_partial
+                and rows
+                and rows.fingerprint != fingerprint
+                and (out_of_order := rows.changes_after(own_up_to)[0])
             ):
-                # Rows that came out of turn, as the owner ended before what lay between them was heard.
-                self._actions.append(Send(sender, Delta((), owner, mine, mine, mine, tuple(rest))))
-        if lacks:
-            self._actions.append(Send(sender, VersionVector((), 0, tuple(lacks), True)))
+                # Rows that arrived out of order; the owner ended before the changes between them arrived.
+                self._actions.append(
+                    Send(sender, Delta((), owner, own_up_to, own_up_to, own_up_to, tuple(out_of_order)))
+                )
+        if missing:
+            self._actions.append(Send(sender, VersionVector((), 0, tuple(missing), True)))
 
     # --- Drains -----------------------------------------------------------------------------------------
     def set_drain(self, now: float, server: str, draining: bool) -> bool:
-        """Say that a server drains, or does no more; whether that is news."""
-        held = merge_drains(self.table.rows(Kind.DRAIN, server))
-        if held.draining == draining:
+        """Sets whether a server drains; returns whether that is a change."""
+        current = merge_drains(self.table.rows(Kind.DRAIN, server))
+        if current.draining == draining:
             return False
-        value = msgspec.msgpack.encode(Drain(held.generation + 1, draining))
+        value = msgspec.msgpack.encode(Drain(current.generation + 1, draining))
         self.put_own_row(now, Kind.DRAIN, server, value)
         return True
 
     def draining_servers(self) -> frozenset[str]:
-        """Servers that drain."""
+        """Returns the servers that drain."""
         return frozenset(
             server
             for server in self.table.keys(Kind.DRAIN)
@@ -212,10 +211,10 @@
         )
 
     def unreadable_rows(self) -> list[tuple[Owner, Entry]]:
-        """Rows of kinds that are known here and can't be read."""
+        """Returns rows of known kinds whose values can't be decoded."""
         return [
             (owner, entry)
-            for owner, owned in self.table.owners.items()
-            for entry in owned
+            for owner, rows in self.table.owners.items()
+            for entry in rows
             if entry.kind == Kind.DRAIN and decode_drain(entry) is None
         ]
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -216,7 +216,7 @@
     late.take_actions()
     late.name_conflict_found(10_002.0, model.nodes["l2"].peers.instance_id, 10_000.0)
     (end,) = [action for action in late.take_actions() if type(action).__name__ == "Terminate"]
-    assert "the name l2 is in use at l2" in end.reason and late.ended
+    assert "the name l2 is in use at l2" in end.reason and late.has_ended
 
 
 def test_a_liar_costs_a_bounded_amount_and_its_victim_contradicts_it() -> None:
@@ -268,7 +268,7 @@
         successor = model._member("l2", 1)
         successor.take_over(10_000.0, rows, age_ms)
         successor.name_conflict_found(10_001.0, older.instance_id + 1, 5_000.0)
-        assert (successor.ended, successor.instance_id, successor.view.ring) == (
+        assert (successor.has_ended, successor.instance_id, successor.view.ring) == (
             ends,
             older.instance_id,
             older.view.ring,
@@ -382,7 +382,7 @@
 
     def _detect_pause(self, now: float) -> None:
         super()._detect_pause(now)
-        assert self.late_ms < 1.0
+        assert self.timer_delay_ms < 1.0
 
 
 def test_a_doubt_that_grows_shorter_is_not_taken_for_a_pause() -> None:
