--- a/basaltpoint/daemon/store_follower.py
+++ b/basaltpoint/daemon/store_follower.py
@@ -28,7 +28,7 @@
 from basaltpoint.handover.upgrade_state import Shared
 from basaltpoint.store import setting
 from basaltpoint.store.client import StoreError, UnavailableError
-from basaltpoint.store.machine import Check, CompactedError, Put
+from basaltpoint.store.state_machine import Check, CompactedError, Put
 from basaltpoint.system import timestamps
 from basaltpoint.system.timestamps import Timestamp
 
@@ -190,7 +190,7 @@
     def _write_copy(self) -> None:
         self._copying = None
         at = timestamps.now()
-        copy = Copy(at.unix_ms, self.revision, self.held.values, at.boot, at.boot_s)
+        copy = Copy(at.unix_ms, self.revision, self.held.values, at.boot_id, at.boot_s)
         body = msgspec.msgpack.encode(copy)
         temporary = self._copy.with_suffix(".tmp")
         try:
--- a/basaltpoint/links/listening.py
+++ b/basaltpoint/links/listening.py
@@ -9,7 +9,7 @@
 from time import monotonic
 
 from basaltpoint.system.accepting import Acceptor
-from basaltpoint.system.joining import Joining
+from basaltpoint.system.pending_connections import PendingConnections
 
 
 class LinkListener:
@@ -23,14 +23,14 @@
     ) -> None:
         """`protocol_factory` creates the protocol of a new connection; `tls_context` is None without TLS."""
         self._protocol_factory = protocol_factory
-        self._joining = Joining(tls_context)
+        self._pending_connections = PendingConnections(tls_context)
         self._acceptor = Acceptor(sock, self._accept, lambda: True, lambda: False, monotonic())
         self._acceptor.listen()
 
     def _accept(self, sock: socket.socket, unread_since: float | None) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._joining.join(sock, self._protocol_factory(), lambda: None)
+        self._pending_connections.attach(sock, self._protocol_factory(), lambda: None)
 
     def close(self) -> None:
         """Stops listening."""
