--- a/basaltpoint/interface.py
+++ b/basaltpoint/interface.py
@@ -1,7 +1,7 @@
 """The interface of the decision module: settings, events and actions.
 
 Times are milliseconds of the caller's clock. Nothing here depends on a wire
-format, and nothing here decides: `basaltpoint.policy` does.
+format; `basaltpoint.policy` makes the decisions.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 
 
 class Effect(Enum):
-    """What a repeat of a request does."""
+    """Whether a request may be executed more than once."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    SAFE = "safe"  # always
+    KEYED = "keyed"  # servers discard repetitions with the same key, within a window and a scope
+    UNSAFE = "unsafe"  # never
 
 
 class DedupScope(Enum):
-    """Which servers discard the repeats of a keyed request."""
+    """Which servers recognise and discard repetitions of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -34,16 +34,16 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    FULL = "full"  # rejected by a server that is full
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    MOOT = "moot"  # decided and then not sent
 
 
 class ServerState(Enum):
-    """What discovery says of a server."""
+    """The state of a server according to discovery."""
 
     GONE = "gone"
     READY = "ready"
@@ -51,12 +51,12 @@
 
 
 class ListKind(Enum):
-    """What a list event holds."""
+    """What a server list contains."""
 
-    DELTA = "delta"
-    FULL = "full"
-    CACHED = "cached"
-    FAILED = "failed"
+    DELTA = "delta"  # the servers that have changed
+    FULL = "full"  # all servers
+    CACHED = "cached"  # an earlier list
+    FAILED = "failed"  # nothing: discovery gave no list
 
 
 class RefusalReason(Enum):
@@ -64,77 +64,79 @@
 
     QUOTA = "quota"  # the customer's rate and burst
     CEILING = "ceiling"  # the plan's hard ceiling
-    PARALLEL = "parallel"  # too many of the customer's requests are out
+    PARALLEL = "parallel"  # too many outstanding requests of the customer
     LOAD = "load"  # the lane of its class is at its cap
-    SERVERS = "servers"  # no server may be sent to
+    SERVERS = "servers"  # no server may get the request
     MEMBERSHIP = "membership"  # the list of servers is not confirmed
-    LATE = "late"  # it can't be answered in time any more
+    LATE = "late"  # it can no longer be answered in time
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests; `aim_stretch` lengthens the aim by the request's own work."""
+    """A class of requests."""
 
-    aim_ms: float
-    deadline_ms: float
+    aim_ms: float  # wanted time until the response
+    deadline_ms: float  # time after which no client waits for the response
     effect: Effect
     dedup_scope: DedupScope
-    dedup_window_ms: float
-    late_worth: float
+    dedup_window_ms: float  # for which servers remember a key
+    late_worth: float  # fraction of the worth that a response keeps after the aim, 0 to 1
     stream: bool = False
-    aim_stretch: float = 0.0
+    aim_stretch: float = 0.0  # lengthens the aim by the request's own work; 0 for none
     name: str = ""
-    worth: float = 1.0
+    worth: float = 1.0  # relative to that of the other classes
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A quota: a store of `burst` units refilled at `rate` a second, and caps beside it."""
+    """A quota: a bucket of `burst` units that is refilled at `rate` units a second, and further limits."""
 
     rate: float
     burst: float
-    max_parallel: int = 0
-    ceiling_rate: float = 0.0
-    ceiling_depth: float = 0.0
+    max_parallel: int = 0  # outstanding requests; 0 for no limit
+    ceiling_rate: float = 0.0  # units a second of the hard limit; 0 for no ceiling
+    ceiling_depth: float = 0.0  # units
     ceiling_slack: float = 0.0
-    excess_worth: float = 0.0
-    excess_cost: float = 0.0
+    excess_worth: float = 0.0  # worth of a response beyond the quota, relative to one within it
+    excess_cost: float = 0.0  # cost of a request beyond the quota, on the same scale
     name: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a gateway is told at its start."""
+    """The settings of one limiter."""
 
-    limiter_index: int
-    limiter_count: int
+    limiter_index: int  # of this limiter, from 0
+    limiter_count: int  # in the whole installation
     zone: int
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
-    cold_start_fraction: float
-    cold_duration_ms: float
-    overload_crash_ratio: float
-    overload_crash_ms: float
-    drain_grace_ms: float
-    discovery_confirm_ms: float
-    meter_period_ms: float
-    post_paid: bool
-    max_attempts: int
-    may_hedge: bool
+    cold_start_fraction: float  # of its capacity that a server has when it starts
+    cold_duration_ms: float  # until a server has its full capacity; 0 for no slow start
+    overload_crash_ratio: float  # a server fails that gets more than this multiple of its capacity
+    overload_crash_ms: float  # for this long
+    drain_grace_ms: float  # after the announcement of a drain, in which requests may still reach the server
+    discovery_confirm_ms: float  # longest interval between requests for the list of servers
+    meter_period_ms: float  # of the customers' metered use; 0 for no meter
+    post_paid: bool  # quotas are settled by the units that the response states
+    max_attempts: int  # for one request
+    may_hedge: bool  # several attempts of one request may be outstanding
     may_cancel: bool
     may_probe: bool
-    max_retry_after_ms: float
+    max_retry_after_ms: float  # 0 for no advice
     must_subscribe: bool
-    report_fields: tuple[str, ...]
-    max_request_units: float = 0.0  # that one request takes; 0: not told
-    handshake_cost: float = 0.0  # of all worth, for one new connection a first try
-    is_only_limiter: bool = False  # no other limiter draws from these quotas; an arrival's plan always counts
-    pool_classes: Mapping[int, tuple[int, ...]] = field(default_factory=dict)  # the classes of each
+    report_fields: tuple[str, ...]  # names of the values in load reports, in order
+    max_request_units: float = 0.0  # units; 0 if unknown
+    handshake_cost: float = 0.0  # of one new connection for each first request, as a fraction of all worth
+    is_only_limiter: bool = (
+        False  # no other limiter draws from these quotas; an arrival's plan always applies
+    )
+    pool_classes: Mapping[int, tuple[int, ...]] = field(default_factory=dict)  # class numbers by pool
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeRule:
-    """Active checks: one each `every_ms`; down after `fall` bad ones in a row, up after `rise` good ones."""
+    """Active checks: one every `every_ms`; down after `fall` failures in a row, up after `rise` successes."""
 
     every_ms: float
     rise: int
@@ -149,14 +151,14 @@
     zone: int
     cell: int
     state: ServerState
-    rating: float
+    rating: float  # capacity relative to other servers
     started_ms: float
-    ring_position: int = 0  # alike at every limiter: all that see the same servers put them into one order
+    ring_position: int = 0  # equal at all limiters, so that they order the same servers alike
 
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
-    """What changed of one pool's servers; a server may stand in several pools under one id."""
+    """The servers of one pool that have changed; a server may belong to several pools under one id."""
 
     kind: ListKind
     servers: tuple[Server, ...]
@@ -165,21 +167,21 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipConfirmed:
-    """Until when the list of servers may be acted on; infinite where nothing has to be confirmed."""
+    """Until when the list of servers may be used; infinite if no confirmation is required."""
 
     until_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Settings that hold from now on; requests that are out keep their class."""
+    """Settings that apply from now on; outstanding requests keep their class."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class RestoredBalance:
-    """What an earlier life left of a customer: units in its quota, and in its ceiling at least."""
+    """A customer's balance from before a restart; `ceiling_units_left` is a lower bound."""
 
     customer: int
     units_left: float
@@ -188,31 +190,32 @@
 
 @dataclass(frozen=True, slots=True)
 class RestoredLatencies:
-    """What was learned of a pool: light-load latencies of lane one, two and both, and the mean one, ms."""
+    """A pool's latencies from before a restart: `light_load_ms` of lane one, lane two and both."""
 
     pool: int
     light_load_ms: tuple[float, ...]
     mean_ms: float
 
 
-# Made for each request: a tuple is made in a fraction of the time of a frozen dataclass, and is as fixed.
+# Created for each request: a named tuple is created much faster than a frozen dataclass and is as immutable.
 class Arrival(NamedTuple):
-    """A client's try: the gateway owes it one final answer by `deadline_ms`."""
+    """A client's request: the limiter owes it one final answer by `deadline_ms`."""
 
     request: int
     cls: int
     plan: int
     customer: int
     units: float
-    customer_limiters: int
+    customer_limiters: int  # over which the customer's requests are spread
     deadline_ms: float
     pool: int = 0
 
 
 class Outcome(NamedTuple):
-    """The end of an attempt; `usage` is None or the customer's metered use in percent.
+    """The end of an attempt.
 
-    `units` take the place of the arrival's guess, where quotas are settled after the answer; 0: not told.
+    `usage`: the customer's metered use in percent of its rate, or None. `units` replace the arrival's
+    estimate where quotas are settled after the response; 0 if unknown.
     """
 
     request: int
@@ -220,7 +223,7 @@
     server: int
     status: Status
     elapsed_ms: float
-    closed: bool
+    closed: bool  # the request has ended with this attempt
     usage: int | None = None
     units: float = 0.0
     report: tuple[float, ...] = ()
@@ -235,7 +238,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UploadInProgress:
-    """The request's body is on its way: the time of this attempt tells nothing of the server yet."""
+    """The request's body is being uploaded: the attempt's duration says nothing about the server yet."""
 
     request: int
     attempt: int
@@ -261,7 +264,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
-    """The verdict of active checks on a server has changed."""
+    """The result of active checks of a server has changed."""
 
     server: int
     is_healthy: bool
@@ -302,7 +305,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaStatus:
-    """A customer's quota: units a second, units at once, units left, ms until full; the ceiling's left."""
+    """A customer's quota: `rate` in units a second; `burst` and what is left in units."""
 
     rate: float
     burst: float
@@ -312,7 +315,10 @@
 
 
 class Send(NamedTuple):
-    """Begin an attempt: given up at `until_ms`, and at `whole_ms` unless its last byte has gone by then."""
+    """Starts an attempt.
+
+    It times out at `until_ms`, or at `fully_written_by_ms` if it is not fully written by then.
+    """
 
     request: int
     server: int
@@ -328,7 +334,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: a retry is harmless, best after `retry_in_ms` (0: no advice)."""
+    """Final answer: a client retry is harmless, best after `retry_in_ms` (0: no advice)."""
 
     request: int
     retry_in_ms: float = 0.0
@@ -337,7 +343,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer that promises nothing."""
+    """Final answer that makes no promise about a client retry."""
 
     request: int
 
@@ -370,7 +376,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tell:
-    """A message to one peer, or to all when `to` is None."""
+    """A message to one other limiter, or to all if `to` is None."""
 
     to: int | None
     body: bytes
--- a/basaltpoint/policy/__init__.py
+++ b/basaltpoint/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The decision module: which server, whether to retry, what is turned away."""
+"""The decision module: selects servers, decides on retries and refuses requests."""
 
 from basaltpoint.policy.decision_module import DecisionModule
 
--- a/basaltpoint/policy/requests.py
+++ b/basaltpoint/policy/requests.py
@@ -1,4 +1,4 @@
-"""A request in hand and its attempts, as the decisions know them."""
+"""The decision module's state of a request and its attempts."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt of a request; `sent`: when it was decided, ms."""
+    """One attempt of a request."""
 
     number: int
-    server: api.Server  # as it was then: it may be forgotten before the request is
+    server: api.Server  # a copy: the server may be removed before the request ends
     decided_ms: float
     outstanding: bool = True
     may_have_run: bool = True
@@ -23,19 +23,21 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's try that was taken and has not ended, or whose attempts are still out."""
+    """A request that is not finished, or that has outstanding attempts after its final answer."""
 
     arrival: api.Arrival
     request_class: api.RequestClass
     pool: Pool
     lane: int
-    useful_until_ms: float  # work past this is worth nothing
+    useful_until_ms: float  # work after this time is worth nothing
     customer: Customer
     attempts: list[Attempt] = field(default_factory=list)
     is_open: bool = True
     streaming: bool = False
-    refusal_reason: RefusalReason = RefusalReason.LOAD  # it would be refused
+    refusal_reason: RefusalReason = RefusalReason.LOAD  # that a refusal would state
 
     def has_outstanding(self) -> bool:
-        """Whether an attempt is out."""
-        return bool([attempt for attempt in self.attempts if attempt.outstanding])  # a generator costs more
+        """Whether an attempt is outstanding."""
+        return bool(
+            [attempt for attempt in self.attempts if attempt.outstanding]
+        )  # a list is faster than any() over a generator
--- a/basaltpoint/policy/send_rules.py
+++ b/basaltpoint/policy/send_rules.py
@@ -1,9 +1,9 @@
-"""The one place that says whether something may be sent, repeated, or closed as refused now.
+"""The rules on whether a request may be sent, retried or refused now; no other code decides that.
 
 Pure functions of the time and the facts. They are called twice: when an attempt is decided
-(`DecisionModule._send`), and again right before its first byte is written (`upstream.send_guard`), because
-a connection may take its time to come up and the facts may have changed meanwhile. Each denial names the
-rule that it keeps.
+(`DecisionModule._start_attempt`), and again right before its first byte is written (`upstream.send_guard`),
+because a connection may take time to open and the facts may have changed meanwhile. Each denial names the
+rule that it enforces.
 """
 
 from __future__ import annotations
@@ -16,33 +16,32 @@
 from basaltpoint.policy.server_set import ServerRecord
 from basaltpoint.policy.thresholds import INF
 
-# A process may be held up for so long between reading its clock and writing (STANDING); bounds allow for it.
+# A process may stall for this long between reading its clock and writing (STANDING); time bounds allow for it.
 MAX_STALL_S = 0.15
-MIN_TIME_LEFT_RATIO = (
-    0.5  # of the median latency; a further attempt with less time left is waste, and feeds a jam
-)
+# Of the median latency: a retry with less time left would be wasted work and would add to an overload.
+MIN_TIME_LEFT_RATIO = 0.5
 
 
 class Denial(Enum):
-    """Why nothing may be sent now."""
+    """Why an attempt may not be started or written now."""
 
     MEMBERSHIP = "the list of servers is not confirmed"
-    SERVER = "the server drains, has moved or is gone"
-    CLIENT = "the client has gone"
-    ANSWERED = "the request has its answer, or one is on its way"
+    SERVER = "the server is draining, has moved or was removed"
+    CLIENT = "the client has disconnected"
+    ANSWERED = "the request has been answered, or its response has begun"
     DEADLINE = "too little time is left"
     ATTEMPTS = "all attempts are used up"
-    COPY = "another attempt is out"
-    FULL = "the server has just said that it is full"
-    UNSAFE = "it may have run and must not run twice"
-    WINDOW = "the servers may have forgotten what it repeats"
-    SCOPE = "another server would not know what it repeats"
+    COPY = "another attempt is outstanding"
+    FULL = "the server has just rejected an attempt because it is full"
+    UNSAFE = "the request may have been executed and must not be executed twice"
+    WINDOW = "the deduplication window of the earlier attempt has ended"
+    SCOPE = "the server does not share deduplication with the earlier attempt's server"
 
 
 def attempt_denial(
     now: float, request: Request, settings: api.Settings, lease_until_ms: float
 ) -> Denial | None:
-    """What keeps any further attempt of a request from being decided now, whatever the server."""
+    """Returns why no attempt of a request may be started now at any server, or None."""
     if not request.is_open or request.streaming:
         return Denial.ANSWERED
     if now >= lease_until_ms:
@@ -58,12 +57,12 @@
     return None
 
 
-def retry_denial(now: float, request: Request, peer: ServerRecord) -> Denial | None:
-    """What keeps a further attempt from going to this server; a first one repeats nothing."""
-    if peer.health.avoid_ms > now:
+def retry_denial(now: float, request: Request, server: ServerRecord) -> Denial | None:
+    """Returns why a retry may not go to this server, or None; first attempts need no check."""
+    if server.health.avoid_ms > now:
         return Denial.FULL
-    ran = [attempt.server for attempt in request.attempts if attempt.may_have_run]
-    if not ran or request.request_class.effect is Effect.SAFE:
+    earlier_servers = [attempt.server for attempt in request.attempts if attempt.may_have_run]
+    if not earlier_servers or request.request_class.effect is Effect.SAFE:
         return None
     if request.request_class.effect is Effect.UNSAFE:
         return Denial.UNSAFE
@@ -73,42 +72,47 @@
     if scope is DedupScope.ALL:
         return None
     if scope is DedupScope.ZONE:
-        known = all(server.zone == peer.entry.zone for server in ran)
+        known = all(earlier.zone == server.entry.zone for earlier in earlier_servers)
     else:
-        known = all(server.cell == peer.entry.cell for server in ran)
+        known = all(earlier.cell == server.entry.cell for earlier in earlier_servers)
     return None if known else Denial.SCOPE
 
 
-def may_retry_at(now: float, request: Request, peer: ServerRecord) -> bool:
-    """Whether a further attempt may go to this server."""
-    return retry_denial(now, request, peer) is None
+def may_retry_at(now: float, request: Request, server: ServerRecord) -> bool:
+    """Whether a retry may go to this server."""
+    return retry_denial(now, request, server) is None
 
 
 def dedup_window_end_ms(request: Request) -> float:
-    """Until when a keyed repeat may be written, ms; written later it would run twice."""
+    """Returns until when (ms) a keyed retry may be written; written later it could be executed twice."""
     if request.request_class.effect is not Effect.KEYED:
         return INF
-    ran = next((attempt.decided_ms for attempt in request.attempts if attempt.may_have_run), INF)
-    return ran + request.request_class.dedup_window_ms
+    first_executed_ms = next(
+        (attempt.decided_ms for attempt in request.attempts if attempt.may_have_run), INF
+    )
+    return first_executed_ms + request.request_class.dedup_window_ms
 
 
 def may_be_refused(now: float, request: Request) -> bool:
-    """Whether a request may be closed as refused, which promises that a retry is harmless."""
-    ran = any(attempt.may_have_run for attempt in request.attempts)
-    if not ran:
+    """Whether a request may be refused, which promises that a client retry is harmless."""
+    may_have_run = any(attempt.may_have_run for attempt in request.attempts)
+    if not may_have_run:
         return True
-    keyed_everywhere = (
+    deduplicated_everywhere = (
         request.request_class.effect is Effect.KEYED and request.request_class.dedup_scope is DedupScope.ALL
     )
-    return (request.request_class.effect is Effect.SAFE or keyed_everywhere) and now < request.useful_until_ms
+    return (
+        request.request_class.effect is Effect.SAFE or deduplicated_everywhere
+    ) and now < request.useful_until_ms
 
 
 def write_denial(
     now_s: float, server_ready: bool, lease_until_s: float, timeout_at_s: float, fully_written_by_s: float
 ) -> Denial | None:
-    """What keeps a decided attempt from being written now; times are seconds of one monotonic clock.
+    """Returns why a decided attempt may not be written now, or None; times are monotonic seconds.
 
-    `until_s`: when the attempt is given up; `whole_by_s`: until when a server surely knows what it repeats.
+    `timeout_at_s`: when the attempt times out. `fully_written_by_s`: end of the window in which the server
+    is certain to recognise the attempt as a repetition.
     """
     if not server_ready:
         return Denial.SERVER
--- a/basaltpoint/sim/adapter.py
+++ b/basaltpoint/sim/adapter.py
@@ -11,7 +11,7 @@
 from basaltpoint.sim import wire
 
 
-class Host:
+class SimulatorAdapter:
     """Isolated gateways, one for each instance; nothing passes between them."""
 
     def __init__(self) -> None:
@@ -35,10 +35,10 @@
         return wire.encode_reply(groups)
 
     def _handle(self, instance: int, now: float, record: wire.Record) -> list[api.Action]:
-        if isinstance(record, wire.Spawn):
+        if isinstance(record, wire.InstanceStarted):
             self._gateways[instance] = DecisionModule(record.settings, record.seed)
             return []
-        if isinstance(record, wire.Teardown):
+        if isinstance(record, wire.InstanceStopped):
             self._gateways.pop(instance, None)
             return []
         if instance not in self._gateways:
@@ -61,7 +61,7 @@
 
 
 def main() -> int:
-    host, source, sink = Host(), sys.stdin.buffer, sys.stdout.buffer
+    host, source, sink = SimulatorAdapter(), sys.stdin.buffer, sys.stdout.buffer
     number = 0
     try:
         while (frame := read_frame(source)) is not None:
--- a/basaltpoint/sim/wire.py
+++ b/basaltpoint/sim/wire.py
@@ -16,17 +16,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spawn:
+class InstanceStarted:
     seed: int
     settings: api.Settings
 
 
 @dataclass(frozen=True, slots=True)
-class Teardown:
+class InstanceStopped:
     pass
 
 
-Record = api.Event | Spawn | Teardown
+Record = api.Event | InstanceStarted | InstanceStopped
 
 STATUSES = {
     200: api.Status.OK,
@@ -45,187 +45,187 @@
     3: api.ListKind.CACHED,
     4: api.ListKind.FAILED,
 }
-EVERY_PEER = 0xFFFF
+ALL_PEERS = 0xFFFF
 
 
-class _Reader:
+class _RecordReader:
     """A cursor over one frame's body that names the offset of what is missing."""
 
     def __init__(self, data: bytes) -> None:
         self.data = data
-        self.at = 0
+        self.offset = 0
 
-    def take(self, form: struct.Struct) -> tuple[Any, ...]:
+    def read_struct(self, layout: struct.Struct) -> tuple[Any, ...]:
         try:
-            values = form.unpack_from(self.data, self.at)
+            values = layout.unpack_from(self.data, self.offset)
         except struct.error:
-            raise WireError(f"record cut short at byte {self.at} of the frame's body") from None
-        self.at += form.size
+            raise WireError(f"record cut short at byte {self.offset} of the frame's body") from None
+        self.offset += layout.size
         return values
 
-    def blob(self, size: int) -> bytes:
-        if self.at + size > len(self.data):
-            raise WireError(f"{size} bytes announced at byte {self.at}, fewer are left")
-        part = self.data[self.at : self.at + size]
-        self.at += size
+    def read_bytes(self, size: int) -> bytes:
+        if self.offset + size > len(self.data):
+            raise WireError(f"{size} bytes announced at byte {self.offset}, fewer are left")
+        part = self.data[self.offset : self.offset + size]
+        self.offset += size
         return part
 
 
-def _form(text: str) -> struct.Struct:
-    return struct.Struct(">" + text)
+def _big_endian(field_codes: str) -> struct.Struct:
+    return struct.Struct(">" + field_codes)
 
 
-BATCH_HEAD = _form("IdI")
-_U8, _U16, _U32, _U64 = _form("B"), _form("H"), _form("I"), _form("Q")
-_ENTRY = _form("IHBHBfd")
-_VIEW = _form("BQI")
-_SUBMIT = _form("QHBIffdfQ")
-_PROBED = _form("dHI")
-_DONE = _form("QBIHdBHH")
-_FIRST = _form("QBdI")
-_HEARD = _form("IH")
-_TOTAL = _form("QHfd")
+BATCH_HEAD = _big_endian("IdI")
+_U8, _U16, _U32, _U64 = _big_endian("B"), _big_endian("H"), _big_endian("I"), _big_endian("Q")
+_SERVER_ENTRY = _big_endian("IHBHBfd")
+_LIST_HEAD = _big_endian("BQI")
+_ARRIVAL = _big_endian("QHBIffdfQ")
+_PROBE_RESULT = _big_endian("dHI")
+_OUTCOME = _big_endian("QBIHdBHH")
+_STREAM_BEGUN = _big_endian("QBdI")
+_PEER_MESSAGE = _big_endian("IH")
+_COUNTER_TOTAL = _big_endian("QHfd")
 
 
-def _status(code: int) -> api.Status:
+def _status_of(code: int) -> api.Status:
     try:
         return STATUSES[code]
     except KeyError:
         raise WireError(f"unknown outcome code {code}") from None
 
 
-def _report(reader: _Reader) -> tuple[float, ...]:
-    (count,) = reader.take(_U8)
-    return reader.take(_form(f"{count}f"))
+def _read_report(reader: _RecordReader) -> tuple[float, ...]:
+    (count,) = reader.read_struct(_U8)
+    return reader.read_struct(_big_endian(f"{count}f"))
 
 
-def _spawn(reader: _Reader) -> Spawn:
-    (seed,) = reader.take(_U64)
-    (size,) = reader.take(_U32)
+def _read_start(reader: _RecordReader) -> InstanceStarted:
+    (seed,) = reader.read_struct(_U64)
+    (size,) = reader.read_struct(_U32)
     try:
-        return Spawn(seed, parse_settings(reader.blob(size)))
+        return InstanceStarted(seed, parse_settings(reader.read_bytes(size)))
     except SettingsError as error:
         raise WireError(str(error)) from None
 
 
-def _view(reader: _Reader) -> api.ServerList:
-    scope, _, count = reader.take(_VIEW)
+def _read_server_list(reader: _RecordReader) -> api.ServerList:
+    scope, _, count = reader.read_struct(_LIST_HEAD)
     if scope not in LIST_KINDS:
         raise WireError(f"unknown list scope {scope}")
     servers = []
     for _ in range(count):
-        ident, zone, _, cell, state, rating, started = reader.take(_ENTRY)
+        ident, zone, _, cell, state, rating, started = reader.read_struct(_SERVER_ENTRY)
         if state >= len(STATES):
             raise WireError(f"unknown readiness {state} of server {ident}")
         servers.append(api.Server(ident, zone, cell, STATES[state], rating, started, ident))
     return api.ServerList(LIST_KINDS[scope], tuple(servers))
 
 
-def _submit(reader: _Reader) -> api.Arrival:
-    request, cls, _, plan, _, units, deadline, doors, customer = reader.take(_SUBMIT)
+def _read_arrival(reader: _RecordReader) -> api.Arrival:
+    request, cls, _, plan, _, units, deadline, doors, customer = reader.read_struct(_ARRIVAL)
     return api.Arrival(request, cls, plan, customer, units, int(doors), deadline)
 
 
-def _probe_done(reader: _Reader) -> api.ProbeResult:
-    elapsed, code, server = reader.take(_PROBED)
-    return api.ProbeResult(server, _status(code), elapsed, _report(reader))
+def _read_probe_result(reader: _RecordReader) -> api.ProbeResult:
+    elapsed, code, server = reader.read_struct(_PROBE_RESULT)
+    return api.ProbeResult(server, _status_of(code), elapsed, _read_report(reader))
 
 
-def _done(reader: _Reader) -> api.Outcome:
-    request, number, server, code, elapsed, closed, usage, units = reader.take(_DONE)
+def _read_outcome(reader: _RecordReader) -> api.Outcome:
+    request, number, server, code, elapsed, closed, usage, units = reader.read_struct(_OUTCOME)
     used = usage - 1 if usage else None
     return api.Outcome(
-        request, number, server, _status(code), elapsed, bool(closed), used, units, _report(reader)
+        request, number, server, _status_of(code), elapsed, bool(closed), used, units, _read_report(reader)
     )
 
 
-def _under_way(reader: _Reader) -> api.StreamBegun:
-    request, number, _, server = reader.take(_FIRST)
+def _read_stream_begun(reader: _RecordReader) -> api.StreamBegun:
+    request, number, _, server = reader.read_struct(_STREAM_BEGUN)
     return api.StreamBegun(request, number, server)
 
 
-def _heard(reader: _Reader) -> api.PeerMessage:
-    sender, size = reader.take(_HEARD)
-    return api.PeerMessage(sender, reader.blob(size))
+def _read_peer_message(reader: _RecordReader) -> api.PeerMessage:
+    sender, size = reader.read_struct(_PEER_MESSAGE)
+    return api.PeerMessage(sender, reader.read_bytes(size))
 
 
-def _total(reader: _Reader) -> api.CounterTotal:
-    name, code, total, elapsed = reader.take(_TOTAL)
-    return api.CounterTotal(name, _status(code), total, elapsed)
+def _read_counter_total(reader: _RecordReader) -> api.CounterTotal:
+    name, code, total, elapsed = reader.read_struct(_COUNTER_TOTAL)
+    return api.CounterTotal(name, _status_of(code), total, elapsed)
 
 
-_DECODERS: dict[int, Callable[[_Reader], Record]] = {
-    0: _spawn,
-    1: _view,
-    2: _submit,
-    3: _under_way,
-    4: _done,
-    5: lambda reader: api.Abandoned(*reader.take(_U64)),
-    6: lambda reader: api.TimerFired(*reader.take(_U32)),
-    7: _probe_done,
-    8: _heard,
-    9: lambda reader: Teardown(),
-    10: _total,
+_DECODERS: dict[int, Callable[[_RecordReader], Record]] = {
+    0: _read_start,
+    1: _read_server_list,
+    2: _read_arrival,
+    3: _read_stream_begun,
+    4: _read_outcome,
+    5: lambda reader: api.Abandoned(*reader.read_struct(_U64)),
+    6: lambda reader: api.TimerFired(*reader.read_struct(_U32)),
+    7: _read_probe_result,
+    8: _read_peer_message,
+    9: lambda reader: InstanceStopped(),
+    10: _read_counter_total,
 }
-_TARGET = 11
+_TARGET_INSTANCE = 11
 
 
 def decode_batch(count: int, body: bytes) -> list[tuple[int, Record]]:
     """The (instance, record) pairs of one batch's `count` records."""
-    reader = _Reader(body)
+    reader = _RecordReader(body)
     records: list[tuple[int, Record]] = []
     instance: int | None = None
     for index in range(count):
-        (code,) = reader.take(_U8)
-        if code == _TARGET:
-            (instance,) = reader.take(_U32)
+        (code,) = reader.read_struct(_U8)
+        if code == _TARGET_INSTANCE:
+            (instance,) = reader.read_struct(_U32)
             continue
         if code not in _DECODERS:
-            raise WireError(f"unknown record code {code} in record {index} at byte {reader.at - 1}")
+            raise WireError(f"unknown record code {code} in record {index} at byte {reader.offset - 1}")
         if instance is None:
             raise WireError(f"record {index} comes before any target_instance")
         records.append((instance, _DECODERS[code](reader)))
-    if reader.at != len(body):
-        raise WireError(f"{len(body) - reader.at} bytes left after the last of {count} records")
+    if reader.offset != len(body):
+        raise WireError(f"{len(body) - reader.offset} bytes left after the last of {count} records")
     return records
 
 
-_FOR = _form("BI")
-_SEND = _form("BQId")
-_CANCEL = _form("BQB")
-_REFUSE = _form("BQd")
-_IDENT = _form("BQ")
-_TIMER = _form("BdI")
-_SERVER = _form("BI")
-_FLAG = _form("BB")
-_TELL = _form("BHH")
-_COUNT = _form("BQfd")
-_TEXT = _form("BH")
+_INSTANCE = _big_endian("BI")
+_SEND = _big_endian("BQId")
+_CANCEL = _big_endian("BQB")
+_REFUSE = _big_endian("BQd")
+_FAIL = _big_endian("BQ")
+_TIMER = _big_endian("BdI")
+_SERVER = _big_endian("BI")
+_SUBSCRIBE = _big_endian("BB")
+_PEER_SEND = _big_endian("BHH")
+_COUNTER_ADD = _big_endian("BQfd")
+_TEXT_HEAD = _big_endian("BH")
 
 
-def _text(code: int, text: str) -> bytes:
+def _encode_text(code: int, text: str) -> bytes:
     body = text.encode()[:0xFFFF]
-    return _TEXT.pack(code, len(body)) + body
+    return _TEXT_HEAD.pack(code, len(body)) + body
 
 
-def _tell(action: api.Tell) -> bytes:
-    dest = EVERY_PEER if action.to is None else action.to
-    return _TELL.pack(2, dest, len(action.body)) + action.body
+def _encode_tell(action: api.Tell) -> bytes:
+    dest = ALL_PEERS if action.to is None else action.to
+    return _PEER_SEND.pack(2, dest, len(action.body)) + action.body
 
 
 _ENCODERS: dict[type, Callable[[Any], bytes]] = {
     api.SetTimer: lambda a: _TIMER.pack(0, a.delay_ms, a.token),
     api.Send: lambda a: _SEND.pack(1, a.request, a.server, a.until_ms),
-    api.Tell: _tell,
-    api.Fail: lambda a: _IDENT.pack(3, a.request),
+    api.Tell: _encode_tell,
+    api.Fail: lambda a: _FAIL.pack(3, a.request),
     api.Cancel: lambda a: _CANCEL.pack(4, a.request, a.attempt),
     api.FetchList: lambda a: _U8.pack(5),
     api.Refuse: lambda a: _REFUSE.pack(6, a.request, a.retry_in_ms),
     api.Probe: lambda a: _SERVER.pack(7, a.server),
-    api.Subscribe: lambda a: _FLAG.pack(8, a.on),
-    api.Log: lambda a: _text(10, a.text),
+    api.Subscribe: lambda a: _SUBSCRIBE.pack(8, a.on),
+    api.Log: lambda a: _encode_text(10, a.text),
     api.CloseIdle: lambda a: _SERVER.pack(11, a.server),
-    api.CounterAdd: lambda a: _COUNT.pack(12, a.name, a.amount, a.lifetime_ms),
+    api.CounterAdd: lambda a: _COUNTER_ADD.pack(12, a.name, a.amount, a.lifetime_ms),
 }
 
 
@@ -235,7 +235,7 @@
     for instance, actions in groups:
         encoded = [_ENCODERS[type(action)](action) for action in actions]
         if encoded:
-            parts.append(_FOR.pack(9, instance))
+            parts.append(_INSTANCE.pack(9, instance))
             parts.extend(encoded)
     body = b"".join(parts)
     return _U32.pack(len(body)) + body
@@ -243,5 +243,5 @@
 
 def encode_fault(instance: int, text: str) -> bytes:
     """A reply frame that declares an internal error."""
-    body = _FOR.pack(9, instance) + _text(13, text)
+    body = _INSTANCE.pack(9, instance) + _encode_text(13, text)
     return _U32.pack(len(body)) + body
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -13,7 +13,7 @@
 from basaltpoint import interface as api
 from basaltpoint.config.settings import SettingsError, parse_settings
 from basaltpoint.sim import wire
-from basaltpoint.sim.adapter import Host, read_frame
+from basaltpoint.sim.adapter import SimulatorAdapter, read_frame
 
 SETTINGS = {
     "balancers": 3,
@@ -135,7 +135,7 @@
 
 
 def test_a_repeated_start_begins_anew_and_an_empty_batch_is_answered() -> None:
-    host = Host()
+    host = SimulatorAdapter()
     for records in ([TARGET, spawn(), view()], [], [TARGET, b"\x09", spawn(), view()]):
         read = read_frame(io.BytesIO(frame(*records)))
         assert read is not None
@@ -162,7 +162,7 @@
 
 
 def test_an_exception_becomes_an_internal_error(monkeypatch: pytest.MonkeyPatch) -> None:
-    host = Host()
+    host = SimulatorAdapter()
     host.reply(0.0, 3, TARGET + spawn() + view())
-    monkeypatch.setattr(host._gateways[3], "handle", lambda now, event: 1 / 0)
+    monkeypatch.setattr(host._modules[3], "handle", lambda now, event: 1 / 0)
     assert b"ZeroDivisionError" in host.reply(1.0, 2, TARGET + b"\x06\x00\x00\x00\x01")
