--- a/basaltpoint/policy/decision_module.py
+++ b/basaltpoint/policy/decision_module.py
@@ -366,7 +366,7 @@
             request.customer.apply_reading(now, event.usage, self.meter_clock)
         if self.settings.post_paid and event.status is Status.OK and event.units:
             request.customer.settle(now, event.units - request.arrival.units)
-        # A time-out at a suspect server says nothing about the load; at any other server it counts as a latency.
+        # A time-out at a suspect server says nothing about the load; at other servers it counts as a latency.
         if event.status is Status.OK:
             pool.latencies.append((now, request.lane, event.elapsed_ms))
         elif event.status is Status.TIMEOUT and not was_suspect:
--- a/basaltpoint/sim/__init__.py
+++ b/basaltpoint/sim/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire and its adapter."""
+"""The simulator's protocol and the adapter that serves it."""
--- a/basaltpoint/sim/__main__.py
+++ b/basaltpoint/sim/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m basaltpoint.sim`: the decision module on the simulator's wire."""
+"""`python -m basaltpoint.sim` runs the decision module on the simulator's protocol."""
 
 import sys
 
--- a/basaltpoint/sim/adapter.py
+++ b/basaltpoint/sim/adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: isolated gateways behind the simulator's wire on standard input and output."""
+"""Serves decision modules to the simulator over standard input and output."""
 
 from __future__ import annotations
 
@@ -12,12 +12,16 @@
 
 
 class SimulatorAdapter:
-    """Isolated gateways, one for each instance; nothing passes between them."""
+    """One decision module for each simulated instance; the modules share no state."""
 
     def __init__(self) -> None:
-        self._gateways: dict[int, DecisionModule] = {}
+        self._modules: dict[int, DecisionModule] = {}
 
     def reply(self, now: float, count: int, body: bytes) -> bytes:
+        """Handles a batch of `count` records at `now` (ms); returns the reply or fault frame.
+
+        Raises WireError for a batch that the protocol does not allow.
+        """
         records = wire.decode_batch(count, body)
         groups: list[tuple[int, list[api.Action]]] = []
         for instance, record in records:
@@ -36,18 +40,21 @@
 
     def _handle(self, instance: int, now: float, record: wire.Record) -> list[api.Action]:
         if isinstance(record, wire.InstanceStarted):
-            self._gateways[instance] = DecisionModule(record.settings, record.seed)
+            self._modules[instance] = DecisionModule(record.settings, record.seed)
             return []
         if isinstance(record, wire.InstanceStopped):
-            self._gateways.pop(instance, None)
+            self._modules.pop(instance, None)
             return []
-        if instance not in self._gateways:
+        if instance not in self._modules:
             raise wire.WireError(f"event for instance {instance}, which has not been started")
-        return self._gateways[instance].handle(now, record)
+        return self._modules[instance].handle(now, record)
 
 
 def read_frame(stream: BinaryIO) -> tuple[float, int, bytes] | None:
-    """Clock, record count and records of the next batch, or None at a clean end of input."""
+    """Returns time (ms), record count and records of the next batch; None at the end of the input.
+
+    Raises WireError if the input ends inside a frame.
+    """
     head = stream.read(wire.BATCH_HEAD.size)
     if not head:
         return None
--- a/basaltpoint/sim/wire.py
+++ b/basaltpoint/sim/wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: frames to events, actions to frames. Nothing here decides."""
+"""The simulator's protocol: decodes frames to events and encodes actions to frames."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class WireError(ValueError):
-    """A frame that the protocol does not allow; says what and where."""
+    """A frame that the protocol does not allow; the text states the fault and its position."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
 
 
 class _RecordReader:
-    """A cursor over one frame's body that names the offset of what is missing."""
+    """Reads the records of one frame's body; errors state the offset in the body."""
 
     def __init__(self, data: bytes) -> None:
         self.data = data
@@ -171,7 +171,10 @@
 
 
 def decode_batch(count: int, body: bytes) -> list[tuple[int, Record]]:
-    """The (instance, record) pairs of one batch's `count` records."""
+    """Returns the (instance, record) pairs of a batch of `count` records.
+
+    Raises WireError for a body that the protocol does not allow.
+    """
     reader = _RecordReader(body)
     records: list[tuple[int, Record]] = []
     instance: int | None = None
@@ -230,7 +233,7 @@
 
 
 def encode_reply(groups: Iterable[tuple[int, Iterable[api.Action]]]) -> bytes:
-    """A whole reply frame for (instance, actions) groups in the order given."""
+    """Returns a reply frame for (instance, actions) groups in the order given."""
     parts = []
     for instance, actions in groups:
         encoded = [_ENCODERS[type(action)](action) for action in actions]
@@ -242,6 +245,6 @@
 
 
 def encode_fault(instance: int, text: str) -> bytes:
-    """A reply frame that declares an internal error."""
+    """Returns a reply frame that declares an internal error."""
     body = _INSTANCE.pack(9, instance) + _encode_text(13, text)
     return _U32.pack(len(body)) + body
