--- a/basaltpoint/peers/name_conflicts.py
+++ b/basaltpoint/peers/name_conflicts.py
@@ -1,4 +1,4 @@
-"""Whether another process has this member's name: it is asked three times, at the address told of it."""
+"""Name conflicts: checks by up to three pings whether another process uses this member's name."""
 
 from __future__ import annotations
 
@@ -7,49 +7,49 @@
 from basaltpoint.peers.messages import MemberRecord
 from basaltpoint.peers.options import MembershipOptions
 
-TRIES = 3
-AGAIN_MS = 5000.0  # one that did not answer, or ends by itself, is not asked again within
+MAX_QUERIES = 3
+MIN_RECHECK_INTERVAL_MS = 5000.0  # for an instance that did not respond, or is terminating itself
 
 
-class Rivals:
-    """At most one is asked at a time."""
+class NameConflict:
+    """The check of one possibly conflicting process; there is at most one check at a time."""
 
     def __init__(self, options: MembershipOptions) -> None:
         self._options = options
         self.address, self.incarnation = "", 0
-        self._life = self._tries = 0
+        self._instance_id = self._queries = 0
         self.next_ms = math.inf
-        self._again = -math.inf
+        self._recheck_ms = -math.inf
 
     @property
-    def pending(self) -> bool:
+    def is_pending(self) -> bool:
         return self.next_ms < math.inf
 
-    def met(self, now: float, row: MemberRecord) -> bool:
-        """Another life is told of under this name; whether it is to be asked now."""
-        if self.pending or (row.instance_id == self._life and now < self._again):
-            self.incarnation = max(self.incarnation, row.incarnation)
+    def conflict_reported(self, now: float, record: MemberRecord) -> bool:
+        """A record shows another instance with this name; returns whether to start a check now."""
+        if self.is_pending or (record.instance_id == self._instance_id and now < self._recheck_ms):
+            self.incarnation = max(self.incarnation, record.incarnation)
             return False
-        self.address, self.incarnation, self._life, self._tries = (
-            row.address,
-            row.incarnation,
-            row.instance_id,
+        self.address, self.incarnation, self._instance_id, self._queries = (
+            record.address,
+            record.incarnation,
+            record.instance_id,
             0,
         )
-        self._again = now + AGAIN_MS
+        self._recheck_ms = now + MIN_RECHECK_INTERVAL_MS
         return True
 
-    def due(self, now: float) -> bool:
+    def is_due(self, now: float) -> bool:
         return now >= self.next_ms
 
-    def ask(self, now: float) -> bool:
-        """Count a try; False where there were enough."""
-        if self._tries >= TRIES:
-            self.settled()
+    def count_query(self, now: float) -> bool:
+        """Counts a query; returns False, and closes the check, if there were enough without a response."""
+        if self._queries >= MAX_QUERIES:
+            self.close()
             return False
-        self._tries += 1
+        self._queries += 1
         self.next_ms = now + self._options.name_check_timeout_ms
         return True
 
-    def settled(self) -> None:
+    def close(self) -> None:
         self.next_ms = math.inf
