--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -32,14 +32,14 @@
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self._beat_at = self._now
+        self._beat_at = self._now_ms
 
     @property
-    def next_ms(self) -> float:
+    def next_timer_ms(self) -> float:
         return self._beat_at
 
     def tick(self, now: float) -> None:
-        self._now = now
+        self._now_ms = now
         if self.state is MemberState.JOINING:
             self._update_own_record(now, MemberState.ALIVE)
         self._beat_at = now + self.options.probe_ms
@@ -62,8 +62,8 @@
         self.view.put(now, row)
         self._actions.append(act.MemberChanged(None, row))
 
-    def heard(self, now: float, sender: str, address: str, message: m.Message) -> None:
-        self._now = now
+    def message_received(self, now: float, sender: str, address: str, message: m.Message) -> None:
+        self._now_ms = now
         for row in message.records:
             held = self.view.get(row.name)
             if held is None or not held.is_live or held.incarnation < row.incarnation:
@@ -71,10 +71,10 @@
             if row.name == sender or held is None:
                 self.view.members[row.name].last_heard_ms = now
 
-    def lost(self, now: float, name: str) -> None:
-        self._now = now
+    def connection_lost(self, now: float, name: str) -> None:
+        self._now_ms = now
 
-    linked = refused = lost
+    member_connected = connection_refused = connection_lost
 
 
 KINDS: dict[str, tuple[type[MembershipStateMachine], dict[str, Any]]] = {
