--- a/basaltpoint/routing/routes.py
+++ b/basaltpoint/routing/routes.py
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassRules:
-    """What a front does for a request of a class. `unkeyed_class`: used for a keyed request without its key."""
+    """What a front does for requests of a class. `unkeyed_class`: class of a request without its key."""
 
     class_number: int
     effect: Effect
@@ -193,7 +193,9 @@
             self._host_routes(host).add(rank, route)
         for bucket in (self._any_host, *self._exact.values(), *self._wildcard.values()):
             if bucket.regex:
-                assert compile_set is not None, "a route has a regular expression, but `compile_set` is missing"
+                assert compile_set is not None, (
+                    "a route has an expression, but `compile_set` is missing"
+                )
                 bucket.regex_set = compile_set([route.path for _, route in bucket.regex])
 
     def _host_routes(self, host: str) -> _HostRoutes:
