--- a/basaltpoint/links/listening.py
+++ b/basaltpoint/links/listening.py
@@ -1,4 +1,4 @@
-"""A listening socket for links: each connection that comes is accepted, and given a protocol of its own."""
+"""A listening socket for links, which creates a protocol instance for each accepted connection."""
 
 from __future__ import annotations
 
@@ -13,22 +13,25 @@
 
 
 class LinkListener:
-    """Takes connections until it is closed; those that were taken live on."""
+    """Accepts connections until it is closed; accepted connections stay open afterwards."""
 
     def __init__(
-        self, sock: socket.socket, make: Callable[[], asyncio.Protocol], context: ssl.SSLContext | None
+        self,
+        sock: socket.socket,
+        protocol_factory: Callable[[], asyncio.Protocol],
+        tls_context: ssl.SSLContext | None,
     ) -> None:
-        """`make`: the protocol of a new connection. `context`: of TLS, where links speak it."""
-        self._make = make
-        self._joining = PendingConnections(context)
-        self._acceptor = Acceptor(sock, self._adopt, lambda: True, lambda: False, monotonic())
+        """`protocol_factory` creates the protocol of a new connection; `tls_context` is None without TLS."""
+        self._protocol_factory = protocol_factory
+        self._pending_connections = PendingConnections(tls_context)
+        self._acceptor = Acceptor(sock, self._accept, lambda: True, lambda: False, monotonic())
         self._acceptor.listen()
 
-    def _adopt(self, sock: socket.socket, unread_since: float | None) -> None:
+    def _accept(self, sock: socket.socket, unread_since: float | None) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._joining.attach(sock, self._make(), lambda: None)
+        self._pending_connections.attach(sock, self._protocol_factory(), lambda: None)
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stops listening."""
         self._acceptor.stop()
--- a/basaltpoint/peers/suspicion.py
+++ b/basaltpoint/peers/suspicion.py
@@ -1,8 +1,8 @@
-"""How long a member is doubted before it is held dead (Lifeguard, section IV.B).
+"""Suspicion timeout: how long a member is suspected before it is declared dead (Lifeguard, section IV.B).
 
-The time begins long and shrinks as others come to the same doubt by themselves. Silence is borne longer than
-a refusal: a process that stands still keeps its connections, and its host goes on to accept new ones for it;
-one that was killed does neither.
+The timeout starts long and shrinks as other members independently suspect the same member. It is longer after
+silence than after a refused connection: a paused process keeps its connections, and its kernel accepts new
+ones for it; a killed process does neither.
 """
 
 from __future__ import annotations
@@ -13,44 +13,44 @@
 from basaltpoint.peers.messages import MemberRecord
 from basaltpoint.peers.options import MembershipOptions
 
-STALE_MS = 3000.0  # a question that got no answer says so long that there is none
+PROBE_VALID_MS = 3000.0  # an unanswered probe counts as evidence for this long
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """One member doubted, in one incarnation."""
+    """The suspicion of one member in one incarnation."""
 
     incarnation: int
-    began: float
-    refused: bool
-    by: set[str] = field(default_factory=set)
-    held: float = 0.0  # ms by which the end was put off
-    ask_at: float = math.inf  # when this member is to ask it for itself; infinite once it has
-    asked: bool = False  # this member has, and so have others for it: no answer
-    asked_at: float = -math.inf  # when that was
-    verdict: MemberRecord | None = None  # others hold it dead; believed once this member has asked
-
-    def confirm(self, who: str, refused: bool) -> bool:
-        """Another doubts it, too; whether that is news."""
-        new = who not in self.by or (refused and not self.refused)
-        self.by.add(who)
-        self.refused = self.refused or refused
+    started_ms: float
+    connection_refused: bool  # a member found that the host refuses connections
+    suspected_by: set[str] = field(default_factory=set)
+    extension_ms: float = 0.0  # extension of the timeout after pauses of this process
+    probe_at_ms: float = math.inf  # when this member probes it itself; infinite once done
+    was_probed: bool = False  # this member probed it, also indirectly, without an ack
+    probed_at_ms: float = -math.inf  # when that probe failed
+    pending_dead: MemberRecord | None = None  # another's verdict of death, accepted once `was_probed`
+
+    def confirm(self, member: str, refused: bool) -> bool:
+        """Adds a member that suspects it, too; returns whether that is new."""
+        new = member not in self.suspected_by or (refused and not self.connection_refused)
+        self.suspected_by.add(member)
+        self.connection_refused = self.connection_refused or refused
         return new
 
-    def stale(self, now: float) -> bool:
-        """Whether it was asked long ago: it may have stood still then, and its contradiction been lost."""
-        return self.asked and now - self.asked_at > STALE_MS
+    def probe_is_stale(self, now: float) -> bool:
+        """Whether the probe is too old as evidence: the member may have been paused, its refutation lost."""
+        return self.was_probed and now - self.probed_at_ms > PROBE_VALID_MS
 
-    def end(self, options: MembershipOptions, members: int) -> float:
-        """When it is held dead, if nothing is heard of it."""
+    def expires_ms(self, options: MembershipOptions, members: int) -> float:
+        """Returns when the member is declared dead unless it refutes the suspicion."""
         scale = max(1.0, math.log10(max(1, members)))
-        if self.refused:
-            return self.began + options.refused_suspicion_ms * scale + self.held
-        least = options.silent_ms * scale if options.lifeguard else options.swim_suspicion_ms * scale
+        if self.connection_refused:
+            return self.started_ms + options.refused_suspicion_ms * scale + self.extension_ms
+        min_ms = options.silent_ms * scale if options.lifeguard else options.swim_suspicion_ms * scale
         if not options.lifeguard:
-            return self.began + least + self.held
-        most, wanted = options.max_suspicion_factor * least, min(options.confirmations, members - 2)
-        if wanted < 1:
-            return self.began + least + self.held
-        part = math.log(len(self.by)) / math.log(wanted + 1) if self.by else 0.0
-        return self.began + max(least, most - (most - least) * part) + self.held
+            return self.started_ms + min_ms + self.extension_ms
+        max_ms, needed = options.max_suspicion_factor * min_ms, min(options.confirmations, members - 2)
+        if needed < 1:
+            return self.started_ms + min_ms + self.extension_ms
+        fraction = math.log(len(self.suspected_by)) / math.log(needed + 1) if self.suspected_by else 0.0
+        return self.started_ms + max(min_ms, max_ms - (max_ms - min_ms) * fraction) + self.extension_ms
--- a/basaltpoint/sim/adapter.py
+++ b/basaltpoint/sim/adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: isolated gateways behind the simulator's wire on standard input and output."""
+"""Serves decision modules to the simulator over standard input and output."""
 
 from __future__ import annotations
 
@@ -11,13 +11,17 @@
 from basaltpoint.sim import wire
 
 
-class Host:
-    """Isolated gateways, one for each instance; nothing passes between them."""
+class SimulatorAdapter:
+    """One decision module for each simulated instance; the modules share no state."""
 
     def __init__(self) -> None:
-        self._gateways: dict[int, DecisionModule] = {}
+        self._modules: dict[int, DecisionModule] = {}
 
     def reply(self, now: float, count: int, body: bytes) -> bytes:
+        """Handles a batch of `count` records at `now` (ms); returns the reply or fault frame.
+
+        Raises WireError for a batch that the protocol does not allow.
+        """
         records = wire.decode_batch(count, body)
         groups: list[tuple[int, list[api.Action]]] = []
         for instance, record in records:
@@ -35,19 +39,22 @@
         return wire.encode_reply(groups)
 
     def _handle(self, instance: int, now: float, record: wire.Record) -> list[api.Action]:
-        if isinstance(record, wire.Spawn):
-            self._gateways[instance] = DecisionModule(record.settings, record.seed)
+        if isinstance(record, wire.InstanceStarted):
+            self._modules[instance] = DecisionModule(record.settings, record.seed)
             return []
-        if isinstance(record, wire.Teardown):
-            self._gateways.pop(instance, None)
+        if isinstance(record, wire.InstanceStopped):
+            self._modules.pop(instance, None)
             return []
-        if instance not in self._gateways:
+        if instance not in self._modules:
             raise wire.WireError(f"event for instance {instance}, which has not been started")
-        return self._gateways[instance].handle(now, record)
+        return self._modules[instance].handle(now, record)
 
 
 def read_frame(stream: BinaryIO) -> tuple[float, int, bytes] | None:
-    """Clock, record count and records of the next batch, or None at a clean end of input."""
+    """Returns time (ms), record count and records of the next batch; None at the end of the input.
+
+    Raises WireError if the input ends inside a frame.
+    """
     head = stream.read(wire.BATCH_HEAD.size)
     if not head:
         return None
@@ -61,7 +68,7 @@
 
 
 def main() -> int:
-    host, source, sink = Host(), sys.stdin.buffer, sys.stdout.buffer
+    host, source, sink = SimulatorAdapter(), sys.stdin.buffer, sys.stdout.buffer
     number = 0
     try:
         while (frame := read_frame(source)) is not None:
