--- a/tests/failing.py
+++ b/tests/failing.py
@@ -1,4 +1,4 @@
-"""System calls that fail inside the test's own process, by their errno's name."""
+"""System calls that fail within the test process, with an errno given by name."""
 
 from __future__ import annotations
 
@@ -18,17 +18,20 @@
 
 
 class FailingListener:
-    """An acceptor's listening socket, whose next `left` calls of `accept` fail; `asked`: there was one."""
+    """Replaces an acceptor's listening socket; its next `failures_left` calls of `accept` fail.
 
-    def __init__(self, acceptor: Acceptor, name: str, left: float = math.inf) -> None:
-        self._real, self._name, self.left = acceptor._listener, name, left
-        self.asked = asyncio.Event()
+    `called`: set at the first call.
+    """
+
+    def __init__(self, acceptor: Acceptor, name: str, failures_left: float = math.inf) -> None:
+        self._real, self._name, self.failures_left = acceptor._listener, name, failures_left
+        self.called = asyncio.Event()
         acceptor._listener = self  # type: ignore[assignment]
 
     def accept(self) -> tuple[socket.socket, Any]:
-        self.asked.set()
-        if self.left:
-            self.left -= 1
+        self.called.set()
+        if self.failures_left:
+            self.failures_left -= 1
             raise failing(self._name)
         return self._real.accept()
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of any size, both ways: passed on as they come, in little memory, never whole in looks when cut."""
+"""Bodies of any size in both directions: streamed with little memory, and recognizably truncated if cut."""
 
 from __future__ import annotations
 
@@ -21,37 +21,37 @@
 MB = 1 << 20
 
 
-class Raw:
-    """A server by hand: each connection's bytes are the test's to read and write."""
+class RawServer:
+    """A server whose connections the test itself reads and writes."""
 
     def __init__(self) -> None:
         self.arrived: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
         self.address = ""
 
     async def request(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter, dict[str, str]]:
-        """The next request's head, and its connection."""
+        """The next request's connection and headers."""
         reader, writer = await self.arrived.get()
         rows = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[1:-2]
         return reader, writer, {k.lower(): v for k, v in (row.split(": ", 1) for row in rows)}
 
 
 @contextlib.asynccontextmanager
-async def raw() -> AsyncIterator[Raw]:
-    made = Raw()
+async def raw_server() -> AsyncIterator[RawServer]:
+    raw = RawServer()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        made.arrived.put_nowait((reader, writer))
+        raw.arrived.put_nowait((reader, writer))
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0, limit=4 * MB)
-    made.address = "{}:{}".format(*server.sockets[0].getsockname())
+    raw.address = "{}:{}".format(*server.sockets[0].getsockname())
     try:
-        yield made
+        yield raw
     finally:
         server.close()
 
 
 async def read_chunked(reader: asyncio.StreamReader) -> bytes:
-    """A chunked body up to its last chunk; IncompleteReadError where it is cut."""
+    """A chunked body up to its last chunk; raises IncompleteReadError if it is truncated."""
     parts = []
     while size := int(await reader.readuntil(b"\r\n"), 16):
         parts.append((await reader.readexactly(size + 2))[:-2])
@@ -59,14 +59,14 @@
     return b"".join(parts)
 
 
-async def head_of(client: Client) -> tuple[int, dict[str, str]]:
+async def read_head(client: Client) -> tuple[int, dict[str, str]]:
     line, *rows = (await client.reader.readuntil(b"\r\n\r\n")).decode().rstrip().split("\r\n")
     return int(line.split(" ")[1]), {k.lower(): v for k, v in (row.split(": ", 1) for row in rows)}
 
 
-async def take(client: Client) -> tuple[int, bytes]:
-    """A whole answer, however it is framed."""
-    code, headers = await head_of(client)
+async def read_response(client: Client) -> tuple[int, bytes]:
+    """The status and body of a response, whatever its framing."""
+    code, headers = await read_head(client)
     if "content-length" in headers:
         return code, await client.reader.readexactly(int(headers["content-length"]))
     if headers.get("transfer-encoding") == "chunked":
@@ -74,12 +74,12 @@
     return code, await client.reader.read()
 
 
-def noise(size: int, seed: int = 5) -> bytes:
+def random_body(size: int, seed: int = 5) -> bytes:
     return random.Random(seed).randbytes(size)
 
 
-def framed(body: bytes, how: str, rng: random.Random) -> bytes:
-    """An answer of 200 in each of HTTP/1.1's forms."""
+def framed_response(body: bytes, how: str, rng: random.Random) -> bytes:
+    """A 200 response in one of the framings of HTTP/1.1."""
     early = b"HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n" if how == "interim" else b""
     if how in ("length", "interim"):
         return early + b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
@@ -95,14 +95,14 @@
 
 @pytest.mark.parametrize("how", ["length", "chunked", "close", "interim"])
 @pytest.mark.parametrize("size", [0, 1, 65536, 65537, 700_001])
-def test_an_answer_of_any_size_and_form_cut_anywhere(how: str, size: int) -> None:
+def test_a_response_of_any_size_and_framing_split_anywhere(how: str, size: int) -> None:
     async def test() -> None:
-        rng, body = random.Random(size), noise(size)
-        async with raw() as server, limiter(host("a", server.address)) as rig:
+        rng, body = random.Random(size), random_body(size)
+        async with raw_server() as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             client.send(message("fix"))
             _, writer, _ = await server.request()
-            rest = framed(body, how, rng)
+            rest = framed_response(body, how, rng)
             while rest:
                 cut = rng.choice([1, 2, 700, 60_000, 200_000])
                 writer.write(rest[:cut])
@@ -110,7 +110,7 @@
                 rest = rest[cut:]
             if how == "close":
                 writer.close()
-            assert await take(client) == (200, body)
+            assert await read_response(client) == (200, body)
             assert rig.limiter.open == 0 and rig.limiter.figures.counts_of(2).answered == 1
 
     run(test())
@@ -118,10 +118,10 @@
 
 @pytest.mark.parametrize("chunked", [False, True], ids=["length", "chunked"])
 @pytest.mark.parametrize("size", [65536, 65537, 700_001])
-def test_a_body_of_any_size_cut_anywhere(chunked: bool, size: int) -> None:
+def test_a_request_body_of_any_size_split_anywhere(chunked: bool, size: int) -> None:
     async def test() -> None:
-        rng, body = random.Random(size), noise(size)
-        async with raw() as server, limiter(host("a", server.address)) as rig:
+        rng, body = random.Random(size), random_body(size)
+        async with raw_server() as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             framing = {"Content_Length": None, "Transfer_Encoding": "chunked"} if chunked else {}
             head = message("upload", **({"Content_Length": str(size)} | framing))
@@ -149,15 +149,15 @@
             await sending
             assert got == body
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
-            assert await take(client) == (200, b"done")
+            assert await read_response(client) == (200, b"done")
             assert rig.limiter.open == 0 and rig.clients._bytes == 0
 
     run(test())
 
 
-def test_first_bytes_go_on_before_the_rest_has_come() -> None:
+def test_first_bytes_are_forwarded_before_the_rest_is_received() -> None:
     async def test() -> None:
-        async with raw() as server, limiter(host("a", server.address)) as rig:
+        async with raw_server() as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             client.send(message("upload", Content_Length="200000") + b"a" * 70_000)
             reader, writer, _ = await server.request()
@@ -166,7 +166,7 @@
             client.send(b"b" * 130_000)
             assert await reader.readexactly(130_000) == b"b" * 130_000
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + b"c" * 10)
-            assert (await head_of(client))[0] == 200
+            assert (await read_head(client))[0] == 200
             assert await client.reader.readexactly(10) == b"c" * 10  # the server has sent no more
             writer.write(b"c" * 99_990)
             assert await client.reader.readexactly(99_990) == b"c" * 99_990
@@ -176,13 +176,13 @@
 
 
 @pytest.mark.parametrize("how", ["length", "chunked"])
-def test_a_server_that_breaks_off_ends_in_a_cut_connection(how: str) -> None:
-    """Never in another answer, never in one that looks whole; it counts as failed and goes out once."""
+def test_a_truncated_response_closes_the_clients_connection(how: str) -> None:
+    """The client gets no other response and none that looks complete; the request fails without a retry."""
 
     async def test() -> None:
-        async with raw() as server, limiter(host("a", server.address)) as rig:
+        async with raw_server() as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
-            client.send(message())  # one that could be repeated, had nothing begun
+            client.send(message())  # it could be retried if the response had not started
             _, writer, _ = await server.request()
             framing = b"Content-Length: 3000000" if how == "length" else b"Transfer-Encoding: chunked"
             writer.write(b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n\r\n")
@@ -190,7 +190,7 @@
                 writer.write((b"" if how == "length" else b"10000\r\n") + b"x" * 65536)
                 writer.write(b"" if how == "length" else b"\r\n")
             await writer.drain()
-            assert (await head_of(client))[0] == 200
+            assert (await read_head(client))[0] == 200
             writer.close()
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await (
@@ -202,16 +202,16 @@
     run(test())
 
 
-def test_a_server_that_stops_after_the_first_megabyte(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_response_that_stalls_after_the_first_megabyte(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(limiting, "SILENT_S", 0.2)
 
     async def test() -> None:
-        async with raw() as server, limiter(host("a", server.address)) as rig:
+        async with raw_server() as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             client.send(message("fix"))
             _, writer, _ = await server.request()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n" + b"x" * MB)
-            assert (await head_of(client))[0] == 200
+            assert (await read_head(client))[0] == 200
             await client.reader.readexactly(MB)
             ended = asyncio.create_task(client.reader.read())
             while not ended.done():
@@ -224,13 +224,13 @@
     run(test())
 
 
-def test_a_client_that_stops_reading_holds_a_connection_and_not_memory(
+def test_a_client_that_stops_reading_uses_a_connection_but_little_memory(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(clients, "STUCK_S", 0.3)
 
     async def test() -> None:
-        async with raw() as server, limiter(host("a", server.address)) as rig:
+        async with raw_server() as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.send(message("fix"))
@@ -242,7 +242,7 @@
                     writer.write(b"x" * MB)
                     await asyncio.wait_for(writer.drain(), 0.3)
                     sent += MB
-            assert sent < 32 * MB  # the server waits: what is not read stays with it
+            assert sent < 32 * MB  # the server is held back by back pressure
             [connection] = rig.clients._open
             assert connection._transport and connection._transport.get_write_buffer_size() < MB
             while rig.limiter.open:
@@ -253,11 +253,11 @@
     run(test())
 
 
-def test_a_slow_upload_is_served_and_one_that_stops_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
-    """64 kB a second are due to clients; the time for a body grows with what has come of it."""
+def test_a_slow_upload_is_served_and_a_stalled_one_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Clients need a rate of 64 kB/s: the time limit of a body grows with the bytes received."""
 
     async def test() -> None:
-        async with raw() as server, limiter(host("a", server.address)) as rig:
+        async with raw_server() as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             client.send(message("upload", Content_Length="100000") + b"x" * 70_000)
             reader, writer, _ = await server.request()
@@ -268,30 +268,30 @@
             client.send(b"x" * 30_000)
             await reader.readexactly(30_000)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-            assert (await take(client))[0] == 200
+            assert (await read_response(client))[0] == 200
             client.send(message("upload", "stops", Content_Length="100000") + b"x" * 70_000)
             reader, _, _ = await server.request() if server.arrived.qsize() else (reader, writer, {})
             await until(lambda: rig.limiter.open == 1)
             assert connection.begun
             connection.begun -= clients.STALL_S + 70_000 / client_connection.LEAST_RATE + 0.5
             rig.clients.sweep()
-            assert (await take(client))[0] == 408
+            assert (await read_response(client))[0] == 408
             await until(lambda: rig.limiter.open == 0 and not rig.limiter.table.requests)
             assert rig.clients._bytes == 0
 
     run(test())
 
 
-@pytest.mark.parametrize("size", [20_000, 100_000], ids=["held", "streamed"])
-def test_a_client_that_stops_within_a_body_gets_its_error_within_three_seconds(size: int) -> None:
-    """However much of it has come: the time for the whole is longer."""
+@pytest.mark.parametrize("size", [20_000, 100_000], ids=["buffered", "streamed"])
+def test_a_client_that_stalls_within_a_body_gets_an_error_within_three_seconds(size: int) -> None:
+    """The limit applies however much was received; the time limit of the whole body is longer."""
 
     async def test() -> None:
-        async with raw() as server, limiter(host("a", server.address)) as rig:
+        async with raw_server() as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             sent = time.monotonic()
             client.send(message("upload", Content_Length=str(size)) + b"x" * (size - 5_000))
-            answer = asyncio.create_task(take(client))
+            answer = asyncio.create_task(read_response(client))
             while not answer.done():
                 rig.clients.sweep()
                 await asyncio.sleep(SWEEP_S)
@@ -301,33 +301,33 @@
     run(test())
 
 
-def test_a_refusal_before_the_body_needs_none_of_it() -> None:
-    """With `Expect: 100-continue` it comes in place of the go-ahead; without, the body is read past."""
+def test_a_refusal_does_not_wait_for_the_body() -> None:
+    """With `Expect: 100-continue` it replaces the 100 response; without, the body is read and discarded."""
 
     async def test() -> None:
-        async with limiter() as rig:  # no server: everything is refused
+        async with limiter() as rig:  # without a server every request is refused
             client = await rig.connect()
             client.send(message("upload", Content_Length="300000", Expect="100-continue"))
-            code, headers = await head_of(client)
+            code, headers = await read_head(client)
             assert (code, headers["connection"]) == (429, "close")
             other = await rig.connect()
             other.send(message("upload", Content_Length="300000") + b"x" * 100_000)
-            assert (await take(other))[0] == 429
+            assert (await read_response(other))[0] == 429
             other.send(b"x" * 200_000 + message("fix", "next"))
-            assert (await take(other))[0] == 429
+            assert (await read_response(other))[0] == 429
             assert rig.clients._bytes == 0 and rig.limiter.open == 0
 
     run(test())
 
 
-def test_a_refused_sender_that_keeps_no_connection_has_it_ended_behind_the_body() -> None:
-    """Left open, each would hold a descriptor for good: nothing more is read from it, and it is not idle."""
+def test_a_refused_upload_with_connection_close_is_closed_after_the_body() -> None:
+    """A connection left open would leak a descriptor: it is not read any more, and does not count as idle."""
 
     async def test() -> None:
         async with limiter() as rig:
             client = await rig.connect()
             client.send(message("upload", Content_Length="300000", Connection="close") + b"x" * 100_000)
-            assert (await take(client))[0] == 429
+            assert (await read_response(client))[0] == 429
             client.send(b"x" * 200_000)
             await client.closed()
             await until(lambda: not rig.clients._open)
@@ -335,9 +335,9 @@
     run(test())
 
 
-def test_the_go_ahead_comes_before_a_long_body() -> None:
+def test_100_continue_is_sent_before_a_large_body() -> None:
     async def test() -> None:
-        async with raw() as server, limiter(host("a", server.address)) as rig:
+        async with raw_server() as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             client.send(message("upload", Content_Length="100000", Expect="100-continue"))
             assert await client.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -345,14 +345,14 @@
             reader, writer, _ = await server.request()
             await reader.readexactly(100_000)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-            assert (await take(client))[0] == 200
+            assert (await read_response(client))[0] == 200
 
     run(test())
 
 
-def test_trailers_cut_in_the_middle_are_no_whole_request() -> None:
+def test_a_request_with_truncated_trailers_is_not_forwarded_as_complete() -> None:
     async def test() -> None:
-        async with raw() as server, limiter(host("a", server.address)) as rig:
+        async with raw_server() as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             head = message("upload", Content_Length=None, Transfer_Encoding="chunked")
             client.send(head + b"%x\r\n%s\r\n0\r\nX-Sum: " % (100_000, b"x" * 100_000))
@@ -367,9 +367,9 @@
     run(test())
 
 
-def test_a_server_that_takes_nothing_of_a_body_holds_its_client_back() -> None:
+def test_a_server_that_does_not_read_a_body_causes_back_pressure_on_the_client() -> None:
     async def test() -> None:
-        async with raw() as server, limiter(host("a", server.address)) as rig:
+        async with raw_server() as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             client.send(message("upload", Content_Length=str(32 * MB)))
             reader, _, _ = await server.request()
@@ -381,7 +381,7 @@
                     await asyncio.wait_for(client.writer.drain(), 0.3)
                     sent += MB
             assert sent < 32 * MB and rig.clients._bytes < MB
-            assert rig.limiter.open == 1  # it is held back, not turned away
+            assert rig.limiter.open == 1  # the request is delayed, not refused
             reader._transport.resume_reading()  # type: ignore[attr-defined]
             client.close()
             await until(lambda: rig.limiter.open == 0 and rig.clients._bytes == 0)
@@ -389,9 +389,9 @@
     run(test())
 
 
-def test_an_upload_is_given_up_when_its_client_goes() -> None:
+def test_an_upload_is_cancelled_when_its_client_disconnects() -> None:
     async def test() -> None:
-        async with raw() as server, limiter(host("a", server.address)) as rig:
+        async with raw_server() as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             client.send(message("upload", Content_Length="3000000") + b"x" * 100_000)
             reader, _, _ = await server.request()
@@ -404,9 +404,9 @@
     run(test())
 
 
-def test_a_long_answer_behind_another_waits_for_its_turn() -> None:
+def test_a_streamed_response_to_a_pipelined_request_waits_for_its_turn() -> None:
     async def test() -> None:
-        async with raw() as server, limiter(host("a", server.address)) as rig:
+        async with raw_server() as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             client.send(message("fix", "first") + message("fix", "second"))
             found = {}
@@ -416,32 +416,32 @@
             found["second"].write(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"s" * 300_000)
             await until(lambda: any(p.passing for p in rig.limiter._passages.values()))
             found["first"].write(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nf")
-            assert await take(client) == (200, b"f")
-            assert await take(client) == (200, b"s" * 300_000)
+            assert await read_response(client) == (200, b"f")
+            assert await read_response(client) == (200, b"s" * 300_000)
 
     run(test())
 
 
-def test_an_answer_without_length_to_a_client_of_http_1_0_ends_with_the_connection() -> None:
+def test_a_response_without_length_to_an_http_1_0_client_ends_with_the_connection() -> None:
     async def test() -> None:
-        async with raw() as server, limiter(host("a", server.address)) as rig:
+        async with raw_server() as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             client.send(message("fix").replace(b"HTTP/1.1", b"HTTP/1.0"))
             _, writer, _ = await server.request()
-            body = noise(200_000)
-            writer.write(framed(body, "chunked", random.Random(1)))
-            code, headers = await head_of(client)
+            body = random_body(200_000)
+            writer.write(framed_response(body, "chunked", random.Random(1)))
+            code, headers = await read_head(client)
             assert (code, "transfer-encoding" in headers) == (200, False)
             assert await client.reader.read() == body
 
     run(test())
 
 
-def test_fifty_long_bodies_both_ways_in_little_memory() -> None:
-    """What is in hand is bounded by the buffers, not by the bodies: 50 of 32 MB would be 1,600."""
+def test_fifty_large_bodies_in_both_directions_in_little_memory() -> None:
+    """Memory is bounded by the buffers, not by the bodies: 50 bodies of 32 MB would take 1,600 MB."""
     size, count = 32 * MB, 50
 
-    async def echo(server: Raw) -> None:
+    async def echo(server: RawServer) -> None:
         while True:
             reader, writer, headers = await server.request()
             asyncio.get_running_loop().create_task(answer(reader, writer, int(headers["content-length"])))
@@ -457,38 +457,38 @@
 
     async def one(rig: Rig, n: int) -> None:
         client = await rig.connect()
-        piece = noise(65536, n)
+        piece = random_body(65536, n)
         client.send(message("upload", f"id-{n}", Content_Length=str(size), X_Api_Key=f"{n:016x}"))
-        for _ in range(4):  # held half way: a small part of each is on its way at the same time
+        for _ in range(4):  # each body stops early, so that part of each is in transit at the same time
             client.send(piece)
         got = hashlib.sha256()
-        assert (await head_of(client))[0] == 200
+        assert (await read_head(client))[0] == 200
         got.update(await client.reader.readexactly(4 * 65536))
         assert got.digest() == hashlib.sha256(piece * 4).digest()
         client.close()
 
     async def test() -> None:
-        async with raw() as server, limiter(host("a", server.address)) as rig:
+        async with raw_server() as server, limiter(host("a", server.address)) as rig:
             serving = asyncio.create_task(echo(server))
             before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
             async with asyncio.TaskGroup() as group:
                 for n in range(count):
                     group.create_task(one(rig, n))
             grown = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before
-            assert grown < 48 * 1024  # KB, with both peers in this process
+            assert grown < 48 * 1024  # KB; client and server are in this process, too
             await until(lambda: rig.limiter.open == 0 and rig.clients._bytes == 0)
             serving.cancel()
 
     run(test())
 
 
-def test_an_answer_longer_than_any_is_spoilt() -> None:
+def test_a_response_above_the_size_limit_is_rejected() -> None:
     async def test() -> None:
-        async with raw() as server, limiter(host("a", server.address)) as rig:
+        async with raw_server() as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             client.send(message("fix"))
             _, writer, _ = await server.request()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (buffered.MAX_BODY_BYTES + 1))
-            assert (await take(client))[0] == 502
+            assert (await read_response(client))[0] == 502
 
     run(test())
--- a/tests/test_interrupted_calls.py
+++ b/tests/test_interrupted_calls.py
@@ -1,4 +1,4 @@
-"""Both fronts as processes whose calls are interrupted and short all the time: slower, and nothing else."""
+"""Both fronts as processes whose system calls are often interrupted or partial: slower, but correct."""
 
 from __future__ import annotations
 
@@ -29,20 +29,20 @@
 ONE_BYTE = tuple(CallFault(call, Effect.SHORT, 0.9, value=1) for call in (Call.READ, Call.WRITE))
 
 
-async def answer(came: Request) -> None:
-    came.reply(body=came.body or b"none")
+async def answer(request: Request) -> None:
+    request.reply(body=request.body or b"none")
 
 
 @contextlib.asynccontextmanager
-async def strained(tmp_path: Path, address: str, *args: str, **more: str) -> AsyncIterator[Path]:
-    """A limiter as a process whose calls are interrupted and short, once it listens; its log."""
+async def faulty_limiter(tmp_path: Path, address: str, *args: str, **environ: str) -> AsyncIterator[Path]:
+    """Runs a limiter process whose calls are interrupted or partial; yields its log once it listens."""
     table, log = FaultTable(tmp_path / "faults"), tmp_path / "log"
     for fault in (*INTERRUPTED, *ONE_BYTE):
         table.begin(fault)
     process = await asyncio.create_subprocess_exec(
         *(sys.executable, "-m", "basaltpoint", *args),
         cwd=ROOT,
-        env=os.environ | environment(build(tmp_path), table) | more,
+        env=os.environ | environment(build(tmp_path), table) | environ,
         stderr=log.open("wb"),
     )
     try:
@@ -61,12 +61,12 @@
     return Client(*await asyncio.open_connection(name, int(port)))
 
 
-def test_the_standalone_front_loses_nothing(tmp_path: Path) -> None:
+def test_the_standalone_front_with_interrupted_calls(tmp_path: Path) -> None:
     async def test() -> None:
         async with backend(answer) as server:
             address, file = unused_address(), tmp_path / "limiter.toml"
             file.write_text(config(server.address).replace("127.0.0.1:0", address, 1))
-            async with strained(tmp_path, address, "serve", str(file)) as log:
+            async with faulty_limiter(tmp_path, address, "serve", str(file)) as log:
                 for _ in range(3):
                     client = await connect(address)
                     for body in (b"", BODY, b""):
@@ -78,14 +78,14 @@
     run(test())
 
 
-def test_the_platforms_front_loses_nothing(tmp_path: Path) -> None:
+def test_the_platforms_front_with_interrupted_calls(tmp_path: Path) -> None:
     async def test() -> None:
         async with backend(answer) as server:
             address, file = unused_address(), tmp_path / "config.json"
             file.write_text(json.dumps(document(address, host("a", server.address))))
-            async with strained(tmp_path, address, GW_CONFIG=str(file)) as log:
+            async with faulty_limiter(tmp_path, address, GW_CONFIG=str(file)) as log:
                 probe = await connect(address)
-                while (await probe.ask(message(path="/up"))).code != 200:  # until discovery counts as away
+                while (await probe.ask(message(path="/up"))).code != 200:  # until discovery counts as down
                     await asyncio.sleep(0.05)
                 for number in range(3):
                     client = await connect(address)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Routes, the normal form of paths, and accounts; all free of I/O."""
+"""Routes, normalization of paths, and accounts, without I/O."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     wildcard_matches,
 )
 
-HANDLING = ClassRules(0, Effect.SAFE, 1000.0)
+CLASS_RULES = ClassRules(0, Effect.SAFE, 1000.0)
 
 
 # --- Paths -----------------------------------------------------------------------------------------
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("path", ["/..", "/a/../..", "/%2e%2e/a", "/%", "/%4", "/%zz", "/a%", "a", "", "*"])
-def test_what_has_no_normal_form(path: str) -> None:
+def test_paths_without_a_normal_form(path: str) -> None:
     with pytest.raises(PathError):
         normal_path(path)
 
@@ -77,7 +77,7 @@
 
 
 @given(st.lists(PIECES, max_size=12).map(lambda parts: "/" + "".join(parts)))
-def test_the_normal_form_is_one_and_holds_no_way_up(path: str) -> None:
+def test_the_normal_form_is_stable_and_has_no_dot_segments(path: str) -> None:
     try:
         normal = normal_path(path)
     except PathError:
@@ -101,10 +101,12 @@
 
 # --- Routes ----------------------------------------------------------------------------------------
 def route(name: str, **conditions: object) -> Route:
-    return Route(name, 1, HANDLING, **conditions)  # type: ignore[arg-type]
+    return Route(name, 1, CLASS_RULES, **conditions)  # type: ignore[arg-type]
 
 
-def named(routes: Routes, path: str, host: str = "h", method: str = "GET", **headers: str) -> str | None:
+def matched_name(
+    routes: Routes, path: str, host: str = "h", method: str = "GET", **headers: str
+) -> str | None:
     found = routes.match(host, path, method, headers).route
     return found.name if found else None
 
@@ -126,21 +128,21 @@
         ],
         regex.ExpressionSet,
     )
-    assert named(routes, "/a/b") == "exact"
-    assert named(routes, "/a/b", method="POST") == "posts"
-    assert named(routes, "/a/b/x") == "longer"
-    assert named(routes, "/a/7") == "prefix"  # a prefix goes before an expression
-    assert named(routes, "/a") == "prefix" and named(routes, "/ab") == "any"
-    assert named(routes, "/c/") == "below" and named(routes, "/c") == "any"
-    assert named(routes, "/a/b", host="x.example.org") == "wild"
-    assert named(routes, "/a/b", host="x.b.example.org") == "wilder"
-    assert named(routes, "/only", host="a.example.org") == "host"
-    assert named(routes, "/z", host="a.example.org") == "wild"
-    assert named(routes, "/", host="example.org") == "any"
-    assert named(routes, "/a/b/c", host="a.example.org") == "first"
-
-
-def test_headers_methods_and_what_would_have_been_allowed() -> None:
+    assert matched_name(routes, "/a/b") == "exact"
+    assert matched_name(routes, "/a/b", method="POST") == "posts"
+    assert matched_name(routes, "/a/b/x") == "longer"
+    assert matched_name(routes, "/a/7") == "prefix"  # a prefix takes precedence over an expression
+    assert matched_name(routes, "/a") == "prefix" and matched_name(routes, "/ab") == "any"
+    assert matched_name(routes, "/c/") == "below" and matched_name(routes, "/c") == "any"
+    assert matched_name(routes, "/a/b", host="x.example.org") == "wild"
+    assert matched_name(routes, "/a/b", host="x.b.example.org") == "wilder"
+    assert matched_name(routes, "/only", host="a.example.org") == "host"
+    assert matched_name(routes, "/z", host="a.example.org") == "wild"
+    assert matched_name(routes, "/", host="example.org") == "any"
+    assert matched_name(routes, "/a/b/c", host="a.example.org") == "first"
+
+
+def test_headers_methods_and_allowed_methods() -> None:
     routes = Routes(
         [
             route("v2", path="/a", path_form=PathForm.EXACT, headers=(("x-version", "2"),)),
@@ -151,32 +153,32 @@
     )
     assert routes.match("h", "/a", "GET", {"x-version": "2"}).route.name == "v2"  # type: ignore[union-attr]
     assert routes.match("h", "/a", "GET", {"x-version": "3"}).route.name == "some"  # type: ignore[union-attr]
-    assert named(routes, "/a") == "plain"
+    assert matched_name(routes, "/a") == "plain"
     match = routes.match("h", "/p", "GET", {})
     assert match.route is None and match.allowed_methods == {"PUT", "PATCH"}
     assert routes.match("h", "/q", "GET", {}).allowed_methods == frozenset()
 
 
 def naive(routes: list[Route], host: str, path: str, method: str) -> str | None:
-    """Every route looked at, in the order that the docs state."""
+    """A reference that compares every route, in the documented order."""
 
-    def holds(one: Route) -> tuple[int, ...] | None:
+    def rank_of(one: Route) -> tuple[int, ...] | None:
         hosts = [h for h in one.hosts if h == host or (h.startswith("*") and wildcard_matches(h, host))]
         if one.hosts and not hosts:
             return None
-        fits = {
+        path_matches = {
             PathForm.EXACT: lambda: path == one.path,
             PathForm.PREFIX: lambda: prefix_matches(one.path, path),
             PathForm.REGEX: lambda: one.path.strip("^$").split("/")[-1] in path,
             PathForm.ANY: lambda: True,
         }[one.path_form]()
-        if not fits or not conditions_match(one, method, {}):
+        if not path_matches or not conditions_match(one, method, {}):
             return None
         best = min((h.startswith("*"), -len(h)) for h in hosts) if hosts else (2, 0)
         length = -len(one.path) if one.path_form is PathForm.PREFIX else 0
         return -one.priority, *best, one.path_form, length, -bool(one.methods), routes.index(one)
 
-    ranked = [(rank, one.name) for one in routes if (rank := holds(one))]
+    ranked = [(rank, one.name) for one in routes if (rank := rank_of(one))]
     return min(ranked)[1] if ranked else None
 
 
@@ -214,11 +216,11 @@
     assert (found.name if found else None) == naive(routes, host, path, method)
 
 
-def test_an_expression_can_not_stall() -> None:
-    """Text that takes a backtracking engine ages; here its length alone counts."""
+def test_expressions_match_in_linear_time() -> None:
+    """The first text takes a backtracking engine exponential time. Unsupported expressions are rejected."""
     routes = Routes([route("evil", path_form=PathForm.REGEX, path=r"^/(a+)+$")], regex.ExpressionSet)
-    assert named(routes, "/" + "a" * 5000 + "!") is None
-    assert named(routes, "/" + "a" * 5000) == "evil"
+    assert matched_name(routes, "/" + "a" * 5000 + "!") is None
+    assert matched_name(routes, "/" + "a" * 5000) == "evil"
     for bad in (r"(a", r"(?=a)", r"(a)\1", "a{2000}{2000}"):
         with pytest.raises(regex.RegexError):
             regex.check_expression(bad)
@@ -247,23 +249,25 @@
     assert accounts(bearer=False).account_of({"authorization": "Bearer key-of-one"}, "") == UnknownClient(
         False
     )
-    # The header goes first: a wrong one there is not mended by a token.
+    # The header takes precedence: a token does not replace an unknown key in it.
     both = {"x-api-key": "no", "authorization": "Bearer key-of-one"}
     assert book.account_of(both, "") == UnknownClient(True)
 
 
-def test_strangers_are_told_by_their_address() -> None:
+def test_anonymous_clients_are_identified_by_address() -> None:
     book = accounts(no_key=KeyPolicy.ANONYMOUS, anonymous_plan=3)
     found = book.account_of({}, "10.0.0.1")
     assert isinstance(found, Account) and found.plan == 3 and found.number >= ANONYMOUS_BASE
     assert book.account_of({"x-api-key": "no"}, "10.0.0.1") == UnknownClient(True)
     numbers = {anonymous_number(a) for a in ("10.0.0.1", "10.0.0.2", "2001:db8::1", "2001:db8:0:1::1", "odd")}
     assert len(numbers) == 5
-    assert anonymous_number("2001:db8::1") == anonymous_number("2001:db8::ffff")  # one network, one client
+    assert anonymous_number("2001:db8::1") == anonymous_number(
+        "2001:db8::ffff"
+    )  # the same network counts as one client
     assert anonymous_number("::ffff:10.0.0.1") == anonymous_number("10.0.0.1")
 
 
-def test_only_trusted_proxies_are_believed() -> None:
+def test_forwarded_addresses_count_from_trusted_proxies_only() -> None:
     trusted = (ip_network("10.0.0.0/8"),)
     assert client_address("9.9.9.9", "1.1.1.1", trusted) == "9.9.9.9"
     assert client_address("10.0.0.1", "1.1.1.1", trusted) == "1.1.1.1"
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -1,4 +1,4 @@
-"""The outcome table on the wire: an unsafe request goes out again only where it surely never ran."""
+"""Outcomes of attempts over sockets: an unsafe request is retried only if it was certainly not executed."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 from basaltpoint.upstream.buffered import BufferedAttempt, platform_connection
 from basaltpoint.upstream.servers import AttemptResult, ServerConnections
 
-DECLINED = "Srv-Declined: 1"
+DECLINED_HEADER = "Srv-Declined: 1"
 
 
 async def ask_once(server: Backend, cls: str = "fix", **headers: str) -> tuple[int, int, bytes]:
-    """The answer to one request, and how often the server got it."""
+    """The response to one request, and how many requests the server received."""
     async with limiter(host("a", server.address)) as rig:
         client = await rig.connect()
         answer = await client.ask(message(cls, **headers))
@@ -42,41 +42,41 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "header", "code", "tries"),
+    ("status", "header", "code", "attempts"),
     [
         ("200 OK", "X-Other: 1", 200, 1),
         ("500 Internal Server Error", "X-Other: 1", 502, 1),
-        ("503 Service Unavailable", DECLINED, 429, 1),
-        ("504 Gateway Timeout", DECLINED, 429, 1),
+        ("503 Service Unavailable", DECLINED_HEADER, 429, 1),
+        ("504 Gateway Timeout", DECLINED_HEADER, 429, 1),
         ("503 Service Unavailable", "X-Other: 1", 502, 1),
         ("504 Gateway Timeout", "Srv-Declined: 0", 502, 1),
-        ("500 Internal Server Error", DECLINED, 502, 1),
+        ("500 Internal Server Error", DECLINED_HEADER, 502, 1),
         ("404 Not Found", "X-Other: 1", 502, 1),
     ],
 )
-def test_answers(status: str, header: str, code: int, tries: int) -> None:
+def test_server_responses(status: str, header: str, code: int, attempts: int) -> None:
     async def test() -> None:
         async def script(request: Request) -> None:
             request.reply(status, b"body", header)
 
         async with backend(script) as server:
             got = await ask_once(server)
-        assert got == (code, tries, b"body" if code == 200 else b"")
+        assert got == (code, attempts, b"body" if code == 200 else b"")
 
     run(test())
 
 
 @pytest.mark.parametrize("status", ["503 Service Unavailable", "504 Gateway Timeout"])
 @pytest.mark.parametrize("cls", ["read", "upload", "fix"])
-def test_what_a_server_declines_goes_on_to_another_one(
+def test_a_declined_attempt_is_retried_on_another_server(
     monkeypatch: pytest.MonkeyPatch, status: str, cls: str
 ) -> None:
-    """It never ran, whatever its class; no server is asked again that has just said that it is full."""
+    """It was not executed, whatever its class; a server that has just declined gets no further attempt."""
     monkeypatch.setattr(server_set, "FULL_SERVER_PAUSE_MS", 1e6)
 
     async def test() -> None:
         async def declines(request: Request) -> None:
-            request.reply(status, b"", DECLINED)
+            request.reply(status, b"", DECLINED_HEADER)
 
         async with backend(declines) as one, backend(declines) as two, backend(declines) as three:
             full = [one, two, three]
@@ -94,7 +94,7 @@
     run(test())
 
 
-def test_what_goes_on() -> None:
+def test_forwarding_of_request_and_response() -> None:
     async def test() -> None:
         async def script(request: Request) -> None:
             request.reply(body=b"\x00\xff" * 30000)
@@ -123,8 +123,8 @@
 
 
 @contextlib.contextmanager
-def deaf_listener() -> Iterator[str]:
-    """An address at which connections never come up: its backlog is full."""
+def full_listener() -> Iterator[str]:
+    """An address at which no connection is established, as its backlog is full."""
     with contextlib.ExitStack() as stack:
         listener = stack.enter_context(socket.socket())
         listener.bind(("127.0.0.1", 0))
@@ -138,9 +138,9 @@
         yield f"{host}:{port}"
 
 
-def test_connection_that_never_comes_up() -> None:
+def test_connect_timeout() -> None:
     async def test() -> None:
-        with deaf_listener() as address:
+        with full_listener() as address:
             async with limiter(host("a", address)) as rig:
                 client = await rig.connect()
                 assert (await client.ask(message("fix"))).code == 429
@@ -148,9 +148,9 @@
     run(test())
 
 
-def test_time_out_before_the_connection_is_up() -> None:
+def test_deadline_before_the_connection_is_established() -> None:
     async def test() -> None:
-        with deaf_listener() as address:
+        with full_listener() as address:
             async with limiter(host("a", address), connect_s=20.0) as rig:
                 client = await rig.connect()
                 assert (await client.ask(message("fix", Req_Deadline="0.2"))).code == 429
@@ -158,7 +158,7 @@
     run(test())
 
 
-def test_break_after_the_last_byte() -> None:
+def test_reset_after_the_last_byte_of_the_request() -> None:
     async def test() -> None:
         async def script(request: Request) -> None:
             request.reset()
@@ -169,7 +169,7 @@
     run(test())
 
 
-def test_answer_cut_short() -> None:
+def test_truncated_response() -> None:
     async def test() -> None:
         async def script(request: Request) -> None:
             request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
@@ -181,7 +181,7 @@
     run(test())
 
 
-SPOILT = {
+INVALID_RESPONSES = {
     "noise": b"\x00\x01\x02 nonsense\r\n\r\n",
     "no number": b"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok",
     "two lengths": b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nok",
@@ -197,9 +197,9 @@
 }
 
 
-@pytest.mark.parametrize("raw", SPOILT.values(), ids=SPOILT.keys())
-def test_spoilt_answer(raw: bytes) -> None:
-    """Its attempt ends at once as one that may have run; the server stays in use and the rest is not read."""
+@pytest.mark.parametrize("raw", INVALID_RESPONSES.values(), ids=INVALID_RESPONSES.keys())
+def test_invalid_response(raw: bytes) -> None:
+    """The attempt ends at once as possibly executed; the server stays in use, the rest is not read."""
 
     async def test() -> None:
         async def script(request: Request) -> None:
@@ -239,8 +239,8 @@
     run(test())
 
 
-def test_interim_answer_long_before(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It says nothing of when the final one begins, and does not count as one that stopped short."""
+def test_interim_response_long_before_the_final_one(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An interim response does not start the time-out of incomplete responses."""
     monkeypatch.setattr(buffered, "PARTIAL_RESPONSE_TIMEOUT_S", 0.02)
 
     async def test() -> None:
@@ -255,8 +255,8 @@
     run(test())
 
 
-def test_answer_of_the_largest_size() -> None:
-    """The head is not counted with the body, however they arrive."""
+def test_largest_buffered_response() -> None:
+    """The head does not count towards the body's limit, however they are split."""
 
     async def test() -> None:
         async def script(request: Request) -> None:
@@ -272,7 +272,7 @@
 
 
 def test_silent_server() -> None:
-    """Its attempt ends in time, its connection is closed, and the client hears before it gives up."""
+    """The attempt times out, its connection is closed, and the client gets a response by its deadline."""
 
     async def test() -> None:
         async with backend() as server, limiter(host("a", server.address)) as rig:
@@ -296,7 +296,7 @@
 
 
 class Listener:
-    """A server's side by hand: plain sockets, so that the test decides what the kernel holds."""
+    """A server on plain sockets, so that the test controls what is in the kernel's buffers."""
 
     def __init__(self) -> None:
         self.socket = socket.create_server(("127.0.0.1", 0))
@@ -313,7 +313,7 @@
 
 @pytest.mark.parametrize("timed_out", [False, True], ids=["broken", "timed out"])
 def test_before_the_last_byte(timed_out: bool) -> None:
-    """What the socket could not take whole never ran, however it ends."""
+    """A request that was not written completely was not executed, however its attempt ends."""
 
     async def test() -> None:
         listener, servers = Listener(), ServerConnections(10, 1.0, REUSE_S, platform_connection)
@@ -329,8 +329,8 @@
     run(test())
 
 
-def test_kept_connection_closed_unnoticed() -> None:
-    """The server has closed but the loop has not heard: the request goes over a new connection."""
+def test_idle_connection_closed_by_the_server_before_the_event_loop_notices() -> None:
+    """The server has closed the connection, the event loop has not run since: a new connection is used."""
 
     async def test() -> None:
         loop, listener, servers = (
@@ -346,9 +346,8 @@
         assert (await first).status is Status.OK
         peer.close()
         ended: asyncio.Future[AttemptResult] = loop.create_future()
-        servers.start_attempt(
-            1, BufferedAttempt(REQUEST, loop.time() + 20, ended.set_result)
-        )  # no turn of the loop between
+        # The event loop does not run between the close and this call.
+        servers.start_attempt(1, BufferedAttempt(REQUEST, loop.time() + 20, ended.set_result))
         peer = await listener.accept()
         assert await loop.sock_recv(peer, 100) == REQUEST
         peer.send(OK)
@@ -357,8 +356,8 @@
     run(test())
 
 
-def test_stale_kept_connection() -> None:
-    """A request that crosses the close is reported, never sent again: it may have run."""
+def test_idle_connection_closed_while_a_request_is_sent() -> None:
+    """The request fails and is never retried, as it may have been executed."""
 
     async def test() -> None:
         async def script(request: Request) -> None:
@@ -376,8 +375,8 @@
     run(test())
 
 
-def test_bytes_on_a_free_connection() -> None:
-    """An answer to nothing must not become the answer to the next request."""
+def test_unsolicited_data_on_an_idle_connection() -> None:
+    """An unsolicited response must not be taken for the response to the next request."""
 
     async def test() -> None:
         async def script(request: Request) -> None:
@@ -394,8 +393,8 @@
     run(test())
 
 
-def test_given_up_before_the_next_attempt() -> None:
-    """The server sees the first attempt's connection end before a second copy can reach it."""
+def test_cancelled_attempt_is_closed_before_the_next_one_starts() -> None:
+    """The server sees the first attempt's connection close before a second attempt can reach it."""
 
     async def test() -> None:
         loop, listener, servers = (
@@ -409,13 +408,13 @@
         peer = await listener.accept()
         await loop.sock_recv(peer, 100)
         attempt.cancel()
-        assert peer.recv(1) == b""  # at once, without a turn of the loop
+        assert peer.recv(1) == b""  # at once, before the event loop runs again
         assert (await ended).status is Status.CANCELLED
 
     run(test())
 
 
-def test_latest_used_first_and_idle_dropped() -> None:
+def test_idle_connections_are_closed_after_the_limit() -> None:
     async def test() -> None:
         async with backend() as server:
             servers = ServerConnections(10, 1.0, REUSE_S, platform_connection)
@@ -436,8 +435,8 @@
     run(test())
 
 
-def test_bound_on_connections() -> None:
-    """At the bound a free connection of another server makes room; without one the attempt fails."""
+def test_max_connections() -> None:
+    """At the limit an idle connection to another server is closed; without one the attempt fails."""
 
     async def test() -> None:
         async def script(request: Request) -> None:
@@ -459,8 +458,8 @@
     run(test())
 
 
-def test_probe_and_usage() -> None:
-    """The metered use and a load report come with the reply; nonsense in their place says nothing."""
+def test_usage_and_load_report() -> None:
+    """The metered use and the load report are read from the headers; malformed values are ignored."""
 
     async def test() -> None:
         headers = iter(
@@ -484,7 +483,7 @@
 
 
 def test_counts_after_every_kind_of_end() -> None:
-    """However attempts end, the module holds no request, count or connection that the sockets do not."""
+    """However attempts end, no request, count or connection is left in module, table and sockets."""
 
     async def test() -> None:
         async def script(request: Request) -> None:
@@ -494,7 +493,7 @@
                 case "error":
                     request.reply("500 Internal Server Error")
                 case "declined":
-                    request.reply("503 Service Unavailable", b"", DECLINED)
+                    request.reply("503 Service Unavailable", b"", DECLINED_HEADER)
                 case "reset":
                     request.reset()
                 case "spoilt":
@@ -522,7 +521,9 @@
                 await until(lambda: rig.limiter.open >= 5)
                 for client in hung_up:
                     client.close()
-                watched.tell(listing(2, host("d", server.address)))  # the others are gone in mid-flight
+                watched.tell(
+                    listing(2, host("d", server.address))
+                )  # the others are removed during their requests
                 assert {(await client.answer()).code for client in made} <= {200, 429, 502}
                 gateway, sockets = rig.limiter.decision_module, rig.limiter._servers
                 await until(lambda: not gateway.requests and not rig.limiter.table.requests)
@@ -540,8 +541,8 @@
     run(test())
 
 
-def test_a_connection_free_for_long_is_not_used_again() -> None:
-    """Servers close such ones, and a request that crosses the close can't go out again."""
+def test_a_connection_idle_for_too_long_is_not_reused() -> None:
+    """Servers close idle connections, and a request that is sent at that moment can't be retried."""
 
     async def test() -> None:
         async def script(request: Request) -> None:
@@ -558,9 +559,9 @@
     run(test())
 
 
-@pytest.mark.parametrize("how", ["drains", "is gone", "has moved"])
-def test_a_server_that_changes_while_a_connection_to_it_comes_up(how: str) -> None:
-    """The request was due before; now nothing new may go there, and nothing does."""
+@pytest.mark.parametrize("how", ["drains", "is removed", "has moved"])
+def test_a_server_that_changes_while_a_connection_to_it_is_opened(how: str) -> None:
+    """The attempt was decided before; the server must get no new requests any more, and gets none."""
 
     async def test() -> None:
         loop, listener = asyncio.get_running_loop(), Listener()
@@ -570,10 +571,10 @@
         servers.start_attempt(1, BufferedAttempt(REQUEST, loop.time() + 20, ended.set_result))
         if how == "drains":
             servers.update_server(1, listener.address, False)
-        elif how == "is gone":
+        elif how == "is removed":
             servers.remove_server(1)
         else:
-            await asyncio.sleep(0)  # it is on its way to the old address
+            await asyncio.sleep(0)  # connecting to the old address has started
             servers.update_server(1, ("127.0.0.1", 9), True)
         peer = await listener.accept()
         assert (await ended).status is Status.CONNECT_FAILED
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -1,4 +1,4 @@
-"""System calls that fail in the ways Linux documents: whose trouble it is, and that all rules hold."""
+"""System calls that fail as the Linux manual documents: the origin of each error, and its consequences."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from basaltpoint.system.errors import ErrorOrigin, accept_error_origin, connect_error_origin
 
 PENDING = ("EPROTO", "EHOSTUNREACH", "ENETDOWN", "ETIMEDOUT", "ECONNABORTED", "EINTR", "ENONET", "EPERM")
-MACHINE = ("ENFILE", "ENOBUFS", "ENOMEM")
+HOST_ERRORS = ("ENFILE", "ENOBUFS", "ENOMEM")
 
 
 class FailingConnect:
-    """The running loop's `sock_connect`, whose next `left` calls fail with an error."""
+    """The running loop's `sock_connect`, whose next `failures_left` calls fail with an error."""
 
-    def __init__(self, name: str, left: float = math.inf) -> None:
-        self._name, self.left = name, left
+    def __init__(self, name: str, failures_left: float = math.inf) -> None:
+        self._name, self.failures_left = name, failures_left
 
     def __enter__(self) -> FailingConnect:
         self._loop = asyncio.get_running_loop()
@@ -37,18 +37,18 @@
     def __exit__(self, *raised: object) -> None:
         self._loop.sock_connect = self._real  # type: ignore[method-assign]
 
-    async def _connect(self, sock: socket.socket, dial: Any) -> None:
-        if self.left:
-            self.left -= 1
+    async def _connect(self, sock: socket.socket, address: Any) -> None:
+        if self.failures_left:
+            self.failures_left -= 1
             raise failing(self._name)
-        await self._real(sock, dial)
+        await self._real(sock, address)
 
 
 @pytest.mark.parametrize("name", PENDING)
-def test_a_connection_that_broke_in_the_backlog_costs_no_other(
+def test_a_connection_lost_in_the_backlog_affects_no_other(
     name: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Eight times: each is passed over, and those behind it are served."""
+    """Eight lost connections are skipped, and the ones behind them are served."""
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
@@ -63,8 +63,8 @@
     assert "Traceback" not in caplog.text
 
 
-@pytest.mark.parametrize("name", MACHINE)
-def test_the_whole_machines_lack_of_room_ends_no_connection_of_ours(name: str) -> None:
+@pytest.mark.parametrize("name", HOST_ERRORS)
+def test_no_connection_is_closed_when_the_whole_host_lacks_resources(name: str) -> None:
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
             kept = [await rig.connect() for _ in range(5)]
@@ -72,8 +72,8 @@
                 assert (await client.ask(message(ident=f"kept-{n}"))).code == 200
             made = FailingListener(rig.clients._acceptor, name, 8)
             client = await rig.connect()
-            assert (await client.ask(message(ident="new"))).code == 200  # later, but it is taken
-            assert made.left == 0
+            assert (await client.ask(message(ident="new"))).code == 200  # accepted later
+            assert made.failures_left == 0
             for n, client in enumerate(kept):
                 assert (await client.ask(message(ident=f"again-{n}"))).code == 200
 
@@ -81,10 +81,10 @@
 
 
 @pytest.mark.parametrize("name", ["ENFILE", "ECONNABORTED", "EINTR"])
-def test_a_drains_backlog_is_taken_though_accept_fails_meanwhile(
+def test_the_backlog_is_accepted_on_drain_though_accept_fails_at_times(
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What is left there would be reset with its requests in it."""
+    """Connections left in the backlog would be reset, with their requests."""
     monkeypatch.setattr(clients, "DRAIN_S", 0.0)
     monkeypatch.setattr(clients, "QUIET_S", -1.0)
     services = [
@@ -112,19 +112,19 @@
 
 
 @pytest.mark.parametrize("name", ["ENOBUFS", "EADDRNOTAVAIL", "EMFILE", "ENETUNREACH", "EAGAIN"])
-def test_our_own_trouble_to_connect_is_borne_and_not_held_against_a_server(name: str) -> None:
+def test_a_local_connect_error_is_retried_and_does_not_affect_the_servers_health(name: str) -> None:
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             with FailingConnect(name, 8) as connecting:
                 assert (await client.ask(message("fix", "once", Req_Deadline="2.0"))).code == 200
-            assert connecting.left == 0 and len(server.requests) == 1
+            assert connecting.failures_left == 0 and len(server.requests) == 1
             assert not rig.limiter.decision_module.avoided_servers(rig.limiter.now())
 
     run(test())
 
 
-def test_our_own_trouble_that_lasts_ends_in_a_refusal_and_no_servers_blame() -> None:
+def test_a_lasting_local_connect_error_is_refused_and_does_not_affect_the_servers_health() -> None:
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
@@ -136,7 +136,7 @@
     run(test())
 
 
-def test_a_server_that_refuses_is_to_blame() -> None:
+def test_a_server_that_refuses_connections_is_avoided() -> None:
     async def test() -> None:
         async with limiter(host("a", unused_address())) as rig:
             client = await rig.connect()
@@ -146,7 +146,7 @@
     run(test())
 
 
-def test_a_call_to_discovery_that_this_machine_could_not_make_is_no_sign_that_it_is_away() -> None:
+def test_a_local_error_on_a_call_to_discovery_does_not_count_as_its_failure() -> None:
     lease = MembershipLease(0.0, 0.25)
     for at in (0.0, 0.5, 1.0, 2.0):
         lease.asked(at)
@@ -154,7 +154,7 @@
     assert lease.until(10.0) <= 10.0
 
 
-def test_whose_trouble_each_error_is() -> None:
+def test_error_origins() -> None:
     assert accept_error_origin(failing("EAGAIN")) is ErrorOrigin.WOULD_BLOCK
     assert accept_error_origin(failing("EMFILE")) is ErrorOrigin.PROCESS
     assert accept_error_origin(failing("EBADF")) is ErrorOrigin.PROGRAM
@@ -164,24 +164,24 @@
     assert connect_error_origin(failing("EADDRNOTAVAIL")) is ErrorOrigin.HOST
 
 
-def test_a_long_body_whose_connection_does_not_come_up_is_answered_in_its_time(
+def test_a_streamed_body_without_a_connection_is_answered_by_the_deadline(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """While it is not on its way to a server its request's own time holds, whatever the machine lacks."""
+    """The deadline applies until the body is being sent to a server, also while the host lacks resources."""
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             with FailingConnect("EADDRNOTAVAIL"):
                 answer = await client.ask(message("fix", body=b"x" * 100_000, Req_Deadline="0.3"))
-            assert answer.code == 429  # no server has seen it: a retry is harmless
+            assert answer.code == 429  # no server has received it, so the client may retry
             assert not server.requests
 
     run(test())
     assert "had no answer at its deadline" not in caplog.text
 
 
-def test_a_client_that_leaves_behind_a_long_body_is_seen_before_its_connection_comes_up() -> None:
+def test_a_client_that_disconnects_after_a_large_body_is_noticed_before_a_connection_is_established() -> None:
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
@@ -199,32 +199,32 @@
 
 
 class InterruptedSocket(socket.socket):
-    """A socket whose first `connect` is interrupted, before it began anything or after."""
+    """A socket whose first `connect` is interrupted, after it started the connection (`starts`) or before."""
 
     error: OSError
-    begins: bool
+    starts: bool
     calls = 0
 
     def connect(self, address: Any) -> None:
         self.calls += 1
         if self.calls == 1:
-            if self.begins:
+            if self.starts:
                 self.connect_ex(address)
             raise self.error
         super().connect(address)
 
 
-@pytest.mark.parametrize("begins", [False, True])
+@pytest.mark.parametrize("starts", [False, True])
 @pytest.mark.parametrize("name", ["EINTR", "EAGAIN"])
-def test_a_connect_that_was_interrupted_comes_up_or_is_this_machines_trouble(name: str, begins: bool) -> None:
+def test_an_interrupted_connect_succeeds_or_is_a_local_error(name: str, starts: bool) -> None:
     async def test() -> None:
         async with backend(echo) as server:
             sock = InterruptedSocket()
             sock.setblocking(False)
-            sock.error, sock.begins = failing(name), begins
+            sock.error, sock.starts = failing(name), starts
             address = parse_address(server.address)
             with sock:
-                if begins:
+                if starts:
                     await connect(sock, address)
                     assert sock.getpeername() == address
                     return
@@ -235,7 +235,7 @@
     run(test())
 
 
-def test_a_connect_that_is_refused_tells_so() -> None:
+def test_a_refused_connect_raises() -> None:
     async def test() -> None:
         with socket.socket() as sock:
             sock.setblocking(False)
@@ -245,9 +245,11 @@
     run(test())
 
 
-@pytest.mark.parametrize("size", [150_000, 400_000])  # bytes: read whole ahead of a connection, and in part
-def test_a_body_that_waits_for_its_connection_leaves_its_client_no_more_time(size: int) -> None:
-    """The client's wait counts from its last byte, not from when the server has got it."""
+@pytest.mark.parametrize(
+    "size", [150_000, 400_000]
+)  # bytes; read completely, or in part, before a connection is established
+def test_waiting_for_a_connection_does_not_extend_the_deadline_of_an_upload(size: int) -> None:
+    """The client's wait counts from its last byte, not from when the server has received it."""
 
     async def test() -> None:
         async with backend() as server, limiter(host("a", server.address)) as rig:
@@ -256,7 +258,7 @@
                 began = monotonic()
                 client.send(message("fix", body=b"x" * size, Req_Deadline="0.8"))
                 await asyncio.sleep(0.5)
-                connects.left = 0
+                connects.failures_left = 0
                 request = await server.arrived.get()
                 assert len(request.body) == size
                 assert (await client.answer()).code >= 400
@@ -265,7 +267,7 @@
     run(test())
 
 
-def test_a_body_that_comes_slowly_has_all_of_its_time_from_its_last_byte() -> None:
+def test_the_deadline_of_a_slow_upload_counts_from_its_last_byte() -> None:
     async def test() -> None:
         async with backend() as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
--- a/tests/test_unread_time.py
+++ b/tests/test_unread_time.py
@@ -27,9 +27,9 @@
         listener = FailingListener(rig.clients._acceptor, name)
         client = await rig.connect()
         client.send(raw)
-        await listener.asked.wait()
+        await listener.called.wait()
         await asyncio.sleep(LAY_S)
-        listener.left = 0
+        listener.failures_left = 0
         request = await server.arrived.get()
         assert 0.3 < float(request.headers["req-deadline"]) <= WAIT_S - LAY_S + SLACK_S
         request.reply()
@@ -48,9 +48,9 @@
         async with backend() as server, limiter(host("a", server.address)) as rig:
             listener = FailingListener(rig.clients._acceptor, "ENFILE")
             client = await rig.connect()
-            await listener.asked.wait()
+            await listener.called.wait()
             await asyncio.sleep(LAY_S)
-            listener.left = 0
+            listener.failures_left = 0
             other = await rig.connect()
             assert (await other.ask(message(path="/up"))).code == 200  # all that waited is accepted
             client.send(message(Req_Deadline=str(WAIT_S)))
@@ -68,9 +68,9 @@
             listener = FailingListener(rig.clients._acceptor, "ENFILE")
             client = await rig.connect()
             client.send(message(Req_Deadline="0.2"))
-            await listener.asked.wait()
+            await listener.called.wait()
             await asyncio.sleep(LAY_S)
-            listener.left = 0
+            listener.failures_left = 0
             assert (await client.answer()).code >= 400
             assert not server.requests
 
@@ -124,9 +124,9 @@
             listener = FailingListener(rig.clients._acceptor, "ENFILE")
             client = await rig.connect()
             client.send(message("fix", ident="early", body=b"x" * LONG_BODY, Req_Deadline="2"))
-            await listener.asked.wait()
+            await listener.called.wait()
             await asyncio.sleep(LAY_S)
-            listener.left = 0
+            listener.failures_left = 0
             early = await server.arrived.get()
             client.send(message(ident="late", Req_Deadline=str(WAIT_S)))
             late = await server.arrived.get()
