--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -1,7 +1,9 @@
-"""What membership does and costs in the model: `python benchmarks/peers.py kills|load SIZE [--minutes M]`.
+"""Detection times and costs of membership in the model.
 
-Beside the shipped machine: the same with all members probed at random, SWIM without Lifeguard, and heartbeats
-of all to all that hold one dead after the same silence.
+Usage: `python benchmarks/peers.py kills|load SIZE [--minutes M]`.
+
+Compares the shipped state machine with the same under random probing, with SWIM without Lifeguard, and with
+heartbeats of all to all that declare a member dead after the same silence.
 """
 
 from __future__ import annotations
@@ -24,27 +26,27 @@
 from basaltpoint.rehearsal.faults import Fault, Kind
 from basaltpoint.rehearsal.model import Model
 
-WARM_S = 20.0
+WARM_UP_S = 20.0
 
 
-class AllToAll(MembershipStateMachine):
-    """Everybody tells everybody each period that it lives; silence decides, or a refused connection twice."""
+class AllToAllHeartbeats(MembershipStateMachine):
+    """Heartbeats of all to all in each period; a member is dead after silence alone."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self._beat_at = self._now_ms
+        self._heartbeat_at_ms = self._now_ms
 
     @property
     def next_timer_ms(self) -> float:
-        return self._beat_at
+        return self._heartbeat_at_ms
 
     def tick(self, now: float) -> None:
         self._now_ms = now
         if self.state is MemberState.JOINING:
             self._update_own_record(now, MemberState.ALIVE)
-        self._beat_at = now + self.options.probe_ms
+        self._heartbeat_at_ms = now + self.options.probe_ms
         names = dict.fromkeys([*self.view.other_members(), *(name for name, _ in self.seeds)])
-        # Who there is comes from all rows, told at the start only: no list of all is given to anybody.
+        # Members are discovered from all records, sent only in the first 10 s; there is no list of members.
         rows = self.view.records if now - self.started_ms < 10_000.0 else (self._own_record,)
         for name in names:
             self._actions.append(act.Send(name, name, m.Gossip(rows)))
@@ -55,9 +57,9 @@
                 and known.record.is_live
                 and now - max(known.last_heard_ms, known.state_since_ms) > bound
             ):
-                self._hold(now, known.record, MemberState.DEAD)
+                self._set_state(now, known.record, MemberState.DEAD)
 
-    def _hold(self, now: float, row: MemberRecord, state: MemberState) -> None:
+    def _set_state(self, now: float, row: MemberRecord, state: MemberState) -> None:
         row = MemberRecord(row.name, row.address, row.incarnation, state, row.instance_id)
         self.view.put(now, row)
         self._actions.append(act.MemberChanged(None, row))
@@ -67,7 +69,7 @@
         for row in message.records:
             held = self.view.get(row.name)
             if held is None or not held.is_live or held.incarnation < row.incarnation:
-                self._hold(now, row, row.state)
+                self._set_state(now, row, row.state)
             if row.name == sender or held is None:
                 self.view.members[row.name].last_heard_ms = now
 
@@ -77,38 +79,38 @@
     member_connected = connection_refused = connection_lost
 
 
-KINDS: dict[str, tuple[type[MembershipStateMachine], dict[str, Any]]] = {
+VARIANTS: dict[str, tuple[type[MembershipStateMachine], dict[str, Any]]] = {
     "shipped": (MembershipStateMachine, {}),
     "random": (MembershipStateMachine, {"probe_on_ring": False}),
     "swim": (MembershipStateMachine, {"probe_on_ring": False, "lifeguard": False}),
-    "all to all": (AllToAll, {}),
+    "all to all": (AllToAllHeartbeats, {}),
 }
 
 
 def model(kind: str, size: int, faults: Sequence[Fault], seed: int) -> Model:
-    make, options = KINDS[kind]
+    make, options = VARIANTS[kind]
     names = [f"l{at + 1}" for at in range(size)]
     return Model(names, MembershipOptions(**options), faults, seed, make=make)
 
 
-def quantile(values: Sequence[float], part: float) -> float:
+def quantile(values: Sequence[float], fraction: float) -> float:
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))] if ordered else math.nan
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else math.nan
 
 
 def kills(kind: str, size: int, plays: int) -> dict[str, Any]:
-    """One kill a play: when the first and the last knew; bytes and messages a member and second at rest."""
+    """One kill per run: when the first and last member detected it; idle bytes and messages per second."""
     first, last, sent, messages, missing = [], [], [], [], 0
     for seed in range(plays):
         victim = f"l{size}"
-        made = model(kind, size, [Fault(Kind.KILL, WARM_S, math.inf, on=(victim,))], seed)
-        made.run(WARM_S - 5)
+        made = model(kind, size, [Fault(Kind.KILL, WARM_UP_S, math.inf, on=(victim,))], seed)
+        made.run(WARM_UP_S - 5)
         before = [(n.sent_bytes, n.sent.total()) for n in made.nodes.values()]
-        made.run(WARM_S - 0.001)
+        made.run(WARM_UP_S - 0.001)
         after = [(n.sent_bytes, n.sent.total()) for n in made.nodes.values()]
         sent.append(max(b[0] - a[0] for a, b in zip(before, after, strict=True)) / 5)
         messages.append(statistics.mean(b[1] - a[1] for a, b in zip(before, after, strict=True)) / 5)
-        made.run(WARM_S + 40)
+        made.run(WARM_UP_S + 40)
         (kill,) = checks.kills(made.all_lives, made.saws, made.now)
         missing += len(kill.missing)
         if kill.detected_s:
@@ -123,17 +125,17 @@
 
 
 def load(kind: str, size: int, minutes: float, seed: int, loss: float, pauses: bool) -> dict[str, Any]:
-    """Loss everywhere, a fifth stands still for up to 5 s in each minute: whom was held dead wrongly."""
+    """Counts wrong death verdicts under message loss, with a fifth paused for up to 5 s in each minute."""
     rng = random.Random(seed)
     names = tuple(f"l{at + 1}" for at in range(size))
-    end = WARM_S + minutes * 60
-    faults = [Fault(Kind.DROP, WARM_S, end, sources=names, targets=names, part=loss)]
+    end = WARM_UP_S + minutes * 60
+    faults = [Fault(Kind.DROP, WARM_UP_S, end, sources=names, targets=names, part=loss)]
     for minute in range(int(minutes) if pauses else 0):
         for name in rng.sample(names, max(1, size // 5)):
-            at = WARM_S + 60 * minute + rng.uniform(0, 50)
+            at = WARM_UP_S + 60 * minute + rng.uniform(0, 50)
             faults.append(Fault(Kind.PAUSE, at, at + rng.uniform(0.5, 5.0), on=(name,)))
     made = model(kind, size, faults, seed)
-    made.run(WARM_S)
+    made.run(WARM_UP_S)
     before, began = sum(n.sent_bytes for n in made.nodes.values()), time.process_time()
     made.run(end)
     spent = time.process_time() - began
@@ -141,9 +143,9 @@
     return {
         "kind": kind, "size": size, "minutes": minutes, "loss": loss, "pauses": pauses, "seed": seed,
         "wrong_views": len(wrong), "wrong_members": len({finding.members[1] for finding in wrong}),
-        "suspected": sum(saw.state == "suspect" for saw in made.saws if saw.at_s > WARM_S),
-        "bytes_s": (sum(n.sent_bytes for n in made.nodes.values()) - before) / size / (end - WARM_S),
-        "cpu_part": spent / size / (end - WARM_S),
+        "suspected": sum(saw.state == "suspect" for saw in made.saws if saw.at_s > WARM_UP_S),
+        "bytes_s": (sum(n.sent_bytes for n in made.nodes.values()) - before) / size / (end - WARM_UP_S),
+        "cpu_part": spent / size / (end - WARM_UP_S),
     }  # fmt: skip
 
 
@@ -151,13 +153,13 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("what", choices=["kills", "load"])
     parser.add_argument("size", type=int)
-    parser.add_argument("--kind", choices=sorted(KINDS), action="append")
+    parser.add_argument("--kind", choices=sorted(VARIANTS), action="append")
     parser.add_argument("--plays", type=int, default=20)
     parser.add_argument("--minutes", type=float, default=10)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--loss", type=float, default=0.1)
     args = parser.parse_args()
-    for kind in args.kind or KINDS:
+    for kind in args.kind or VARIANTS:
         if args.what == "kills":
             print(json.dumps(kills(kind, args.size, args.plays)), flush=True)
         else:
--- a/tests/fleetprocs.py
+++ b/tests/fleetprocs.py
@@ -1,4 +1,4 @@
-"""A fleet of real limiters for tests: started, agreed, ended."""
+"""Starts and stops a fleet of limiter processes for tests, and waits for its views."""
 
 from __future__ import annotations
 
@@ -17,10 +17,8 @@
 LIMITER_TABLES = tables(
     Rehearsal(fleet=FleetTable(), load=LoadTable(), limiter={}, faults=()), ["127.0.0.1:1"]
 )
-LONG_TIMEOUTS = "silent_ms = 5000\nprobe_ms = 200"  # where a slow machine must not look like a silent member
-SHORT_TIMEOUTS = (
-    "silent_ms = 1500\nprobe_ms = 200"  # so that the stories take seconds; what holds does not depend on it
-)
+LONG_TIMEOUTS = "silent_ms = 5000\nprobe_ms = 200"  # on a slow host, members must not appear dead
+SHORT_TIMEOUTS = "silent_ms = 1500\nprobe_ms = 200"  # only to shorten the tests
 
 
 @contextlib.asynccontextmanager
@@ -44,7 +42,7 @@
 
 
 async def wait_until_agreed(made: Processes, *names: str) -> None:
-    """Wait until all who are named see each other alive, and nobody else."""
+    """Waits until the named members see each other alive, and no other member live."""
 
     def agreed() -> bool:
         views = made.views()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Several limiters as processes, with faults between them: each story names what must hold."""
+"""Fleets of several limiter processes under faults of processes and links."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from basaltpoint.rehearsal.processes import Processes
 
 
-def test_a_killed_member_is_held_dead_by_all_and_lives_again_under_a_new_incarnation(tmp_path: Path) -> None:
+def test_killed_member_is_detected_and_rejoins_with_a_new_incarnation(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 4) as made:
             await made.end("l4")
@@ -45,7 +45,7 @@
     run(test())
 
 
-def test_one_that_stood_still_says_of_nobody_that_it_is_dead_and_comes_back_by_itself(tmp_path: Path) -> None:
+def test_paused_member_declares_nobody_dead_and_recovers(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 3, LONG_TIMEOUTS) as made:
             made.pause("l2")
@@ -61,7 +61,7 @@
     run(test())
 
 
-def test_after_a_split_with_a_kill_a_start_and_a_stop_on_its_sides_all_agree_again(tmp_path: Path) -> None:
+def test_views_converge_after_a_partition_with_changes_on_both_sides(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 5) as made:
             split = Fault(Kind.SPLIT, 0, math.inf, sides=(("l1", "l2"), ("l3", "l4", "l5")))
@@ -79,7 +79,7 @@
     run(test())
 
 
-def test_a_member_that_another_reaches_is_not_dead_and_the_cut_link_is_told(tmp_path: Path) -> None:
+def test_one_way_cut_link_is_reported_and_kills_nobody(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 4, LONG_TIMEOUTS) as made:
             cut = Fault(Kind.CUT, 0, math.inf, sources=("l2",), targets=("l1",))
@@ -107,7 +107,7 @@
     run(test())
 
 
-def test_the_later_of_two_processes_with_one_name_ends_with_the_reason(tmp_path: Path) -> None:
+def test_later_process_with_a_conflicting_name_terminates(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 3) as made:
             other = Processes(tmp_path / "other", ["l2"], LIMITER_TABLES, SHORT_TIMEOUTS)
@@ -115,7 +115,7 @@
             late = other.members["l2"]
             text = made.text(made.members["l2"]).replace(made.members["l2"].own, late.own)
             text = text.replace(made.members["l2"].listen, late.listen)
-            text = text.replace(made._sockets, other._sockets)  # with the same folder it would be an upgrade
+            text = text.replace(made._sockets, other._sockets)  # in the same folder it would start a handover
             text = text.replace(
                 f'advertise = "{made.members["l2"].advertise}"', f'advertise = "{late.advertise}"'
             )
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("kind", [Kind.DROP, Kind.STALL, Kind.RESET])
-def test_a_spoilt_link_of_one_pair_kills_nobody(tmp_path: Path, kind: Kind) -> None:
+def test_faulty_link_of_one_pair_kills_nobody(tmp_path: Path, kind: Kind) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 4, LONG_TIMEOUTS) as made:
             names = ("l1", "l2", "l3", "l4")
@@ -143,13 +143,13 @@
             await until(lambda: made.links.passed.total() >= before + 300)
             await made.over(fault)
             await wait_until_agreed(made, *names)
-            if kind is not Kind.DROP:  # by chance all of some probes may be lost, at these short times
+            if kind is not Kind.DROP:  # at these short timeouts, all messages of some probes may be lost
                 assert not [saw for saw in made.journal()[0] if saw.state == "dead"]
 
     run(test())
 
 
-def test_staff_see_each_view_of_each_and_remove_one_that_is_gone(
+def test_operator_sees_all_views_and_removes_a_dead_member(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def test() -> None:
@@ -179,7 +179,7 @@
     run(test())
 
 
-def test_another_fleet_or_version_is_refused_with_the_reason_on_both_sides(tmp_path: Path) -> None:
+def test_connection_of_another_cluster_is_rejected_and_logged_by_both_sides(tmp_path: Path) -> None:
     async def test() -> None:
         async with (
             running_fleet(tmp_path / "a", 1) as made,
@@ -205,7 +205,7 @@
     ],
     ids=["oversized", "garbage", "no message", "no greeting"],
 )
-def test_garbage_ends_its_own_connection_alone(tmp_path: Path, raw: bytes) -> None:
+def test_invalid_frames_close_only_their_own_connection(tmp_path: Path, raw: bytes) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 2) as made:
             host, port = made.members["l1"].own.split(":")
@@ -226,7 +226,7 @@
     run(test())
 
 
-def test_twelve_that_start_at_once_agree_and_bear_half_of_them_standing_still(tmp_path: Path) -> None:
+def test_twelve_members_converge_and_survive_a_pause_of_half(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 12) as made:
             half = made.names[::2]
@@ -242,7 +242,7 @@
     run(test())
 
 
-def test_a_restart_within_one_probe_is_a_new_incarnation_and_no_death(tmp_path: Path) -> None:
+def test_restart_between_two_probes_is_a_new_incarnation_and_no_death(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 3, "probe_ms = 20000\nsilent_ms = 60000") as made:
             before = made.journal()[1]["l3"][-1][1]
@@ -260,7 +260,7 @@
     run(test())
 
 
-def test_a_limiter_that_is_wiped_or_put_back_finds_nothing_or_what_it_had(tmp_path: Path) -> None:
+def test_limiter_state_is_wiped_or_restored_by_the_fault(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 3) as made:
             kept = made.members["l2"].folder / "state" / "kept"
@@ -281,11 +281,11 @@
     run(test())
 
 
-def test_a_seed_that_is_down_and_one_that_names_a_stranger_hold_nobody_up(tmp_path: Path) -> None:
+def test_unreachable_and_misnamed_seeds_do_not_delay_joining(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 3, start=False) as made:
             l2, l3 = made.members["l2"], made.members["l3"]
-            # l1, a seed of both, is not there yet; l3 takes l2's address for another's.
+            # l1, a seed of both, is not started yet; l3 has l2's address under a wrong name.
             l3.file.write_text(l3.file.read_text().replace(f"l2@{l2.advertise}", f"l9@{l2.advertise}"))
             made.start("l2")
             await wait_until_agreed(made, "l2")
@@ -309,7 +309,7 @@
     run(test())
 
 
-def test_a_member_without_descriptors_left_stays_alive_and_accuses_nobody(tmp_path: Path) -> None:
+def test_member_without_file_descriptors_stays_alive_and_suspects_nobody(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 3, LONG_TIMEOUTS) as made:
             process = made.members["l2"].process
@@ -318,7 +318,7 @@
             used = len(os.listdir(f"/proc/{process.pid}/fd"))
             resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (used, hard))
             before = made.links.passed.total()
-            # Its links are reset: it can't make new ones, nor take any.
+            # After its links are reset, it can neither open nor accept new ones.
             for other in ("l1", "l3"):
                 made.links.reset(("l2",), (other,))
             await until(lambda: made.links.passed.total() >= before + 40)
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -1,4 +1,4 @@
-"""Long pauses and links cut in a ring, between several processes."""
+"""Fleets of limiter processes under long pauses and under a ring of one-way link cuts."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 from basaltpoint.rehearsal.faults import Fault, Kind
 
-SHORT = "silent_ms = 1000\nprobe_ms = 200"
+SHORT_TIMEOUTS = "silent_ms = 1000\nprobe_ms = 200"
 
 
-def test_half_of_six_stand_still_for_3_10_and_60_s_and_come_back_accusing_nobody(
+def test_three_of_six_members_recover_from_pauses_of_3_10_and_60_s(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        async with running_fleet(tmp_path, 6, SHORT) as made:
+        async with running_fleet(tmp_path, 6, SHORT_TIMEOUTS) as made:
             pauses = {"l4": 3, "l5": 10, "l6": 60}
             stood = list(pauses)
             for name in stood:
@@ -32,7 +32,7 @@
                 await wait_until_agreed(made, *there)
             for name in stood:
                 assert "stood still" in made.log(name)
-                # Whoever still stood when this one woke was gone in truth; of the others it said nothing.
+                # It may declare dead only members that were still paused when it resumed.
                 later = set(stood[stood.index(name) + 1 :])
                 dead = {saw.name for saw in made.journal()[0] if saw.by == name and saw.state == "dead"}
                 assert dead <= later
@@ -41,7 +41,7 @@
     run(test())
 
 
-def test_a_ring_of_links_cut_one_way_kills_nobody(tmp_path: Path) -> None:
+def test_ring_of_one_way_cuts_kills_nobody(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 5, "silent_ms = 5000\nprobe_ms = 200") as made:
             names = made.names
@@ -52,7 +52,7 @@
             before = made.links.passed.total()
             for cut in cuts:
                 await made.begin(cut)
-            # Longer than any doubt that nobody contradicts: 300 frames of each member.
+            # 300 frames per member take longer than any suspicion without refutation.
             await until(lambda: made.links.passed.total() >= before + 300 * len(names))
             for cut in cuts:
                 await made.over(cut)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Who is there: rows under their join, and the machine in virtual time under faults drawn at random."""
+"""Membership: merging of records, and the state machine in virtual time under random and chosen faults."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 from basaltpoint.rehearsal.faults import Fault, Kind, drawn, last_end
 from basaltpoint.rehearsal.model import Model
 
-ROWS = st.builds(
+MEMBER_RECORDS = st.builds(
     MemberRecord,
     st.just("a"),
     st.sampled_from(["x:1", "y:2"]),
@@ -51,15 +51,15 @@
 )
 
 
-def play(count: int, faults: list[Fault], seconds: float, seed: int = 1, **options: object) -> Model:
+def run_model(count: int, faults: list[Fault], seconds: float, seed: int = 1, **options: object) -> Model:
     names = [f"l{at + 1}" for at in range(count)]
     model = Model(names, MembershipOptions(**options), faults, seed)  # type: ignore[arg-type]
     model.run(seconds)
     return model
 
 
-def settled(model: Model, seconds: float) -> float:
-    """How long after the last fault all agreed; fails where they did not, or a rule was broken."""
+def assert_converged(model: Model, seconds: float) -> float:
+    """Returns the seconds from the last fault until all views agreed; fails on any finding of the checks."""
     lives, saws = model.all_lives, model.saws
     from_s = last_end(model.faults, seconds)
     took, findings = checks.agreed(lives, saws, from_s, seconds)
@@ -68,9 +68,9 @@
     return took
 
 
-# --- Rows ----------------------------------------------------------------------------------------------
-@given(ROWS, ROWS, ROWS)
-def test_the_join_is_the_same_in_any_order_and_any_number_of_times(
+# --- Records -------------------------------------------------------------------------------------------
+@given(MEMBER_RECORDS, MEMBER_RECORDS, MEMBER_RECORDS)
+def test_merge_is_commutative_associative_and_idempotent(
     a: MemberRecord, b: MemberRecord, c: MemberRecord
 ) -> None:
     assert merge(a, b) == merge(b, a)
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize(
-    "row",
+    "record",
     [
         MemberRecord("a", "x:1", 0, MemberState.ALIVE, 1),
         MemberRecord("a", "x:1", INCARNATION_LIMIT, MemberState.ALIVE, 1),
@@ -90,15 +90,15 @@
         MemberRecord("a", "x:1", 1, MemberState.ALIVE, 1, unreachable=("b",) * 9),
     ],
 )
-def test_a_row_out_of_bounds_is_refused_with_the_reason(row: MemberRecord) -> None:
+def test_invalid_record_is_rejected_with_a_reason(record: MemberRecord) -> None:
     assert (
-        "allowed" in validation_error(row)
-        or "longer" in validation_error(row)
-        or "more than" in validation_error(row)
+        "allowed" in validation_error(record)
+        or "longer" in validation_error(record)
+        or "more than" in validation_error(record)
     )
 
 
-def test_fields_and_messages_of_a_newer_version_are_borne() -> None:
+def test_fields_and_messages_of_newer_versions_are_ignored() -> None:
     newer = msgspec.msgpack.encode(["g", [["a", "x:1", 1, 1, 1, "", False, 0, [], "later"]], "later"])
     assert PEER_PROTOCOL.decode(memoryview(newer)) == Gossip(
         (MemberRecord("a", "x:1", 1, MemberState.ALIVE, 1),)
@@ -109,7 +109,7 @@
 
 
 @given(st.integers(2, 300))
-def test_each_is_watched_by_as_many_as_it_watches(count: int) -> None:
+def test_member_probes_a_logarithmic_number_of_others(count: int) -> None:
     view = MembershipView("m0")
     for at in range(count):
         view.put(0.0, MemberRecord(f"m{at}", f"x:{at}", 1, MemberState.ALIVE, 1))
@@ -118,79 +118,79 @@
 
 
 @given(st.integers(0, 40), st.integers(1, 8))
-def test_news_is_told_often_enough_and_then_no_more(rows: int, most: int) -> None:
-    spread, told = GossipQueue(), dict[str, int]()
-    for at in range(rows):
-        spread.add(MemberRecord(f"m{at}", "x:1", 1, MemberState.ALIVE, 1))
-    while taken := spread.next_records(most, 12):
-        assert len(taken) <= most
-        for row in taken:
-            told[row.name] = told.get(row.name, 0) + 1
-    assert len(told) == rows and set(told.values()) <= {12} and not len(spread)
-
-
-def test_what_others_tell_is_told_less_and_another_row_about_the_same_counts_for_nothing() -> None:
-    row, spread = MemberRecord("m", "x:1", 2, MemberState.SUSPECT, 1, reported_by="a"), GossipQueue()
-    tellings = []
-    for heard in ((), (row,), (row, row), (MemberRecord("m", "x:1", 1, MemberState.ALIVE, 1),)):
-        spread.add(row)
-        for one in heard:
-            spread.received(one, 12)
-        tellings.append(0)
-        while spread.next_records(8, 12):
-            tellings[-1] += 1
-    assert tellings == [12, 4, 0, 12]
-
-
-# --- The machine ---------------------------------------------------------------------------------------
+def test_record_is_gossiped_a_limited_number_of_times(record_count: int, max_records: int) -> None:
+    queue, transmissions = GossipQueue(), dict[str, int]()
+    for at in range(record_count):
+        queue.add(MemberRecord(f"m{at}", "x:1", 1, MemberState.ALIVE, 1))
+    while records := queue.next_records(max_records, 12):
+        assert len(records) <= max_records
+        for record in records:
+            transmissions[record.name] = transmissions.get(record.name, 0) + 1
+    assert len(transmissions) == record_count and set(transmissions.values()) <= {12} and not len(queue)
+
+
+def test_received_copies_of_the_same_record_reduce_its_transmissions() -> None:
+    record, queue = MemberRecord("m", "x:1", 2, MemberState.SUSPECT, 1, reported_by="a"), GossipQueue()
+    transmissions = []
+    for received in ((), (record,), (record, record), (MemberRecord("m", "x:1", 1, MemberState.ALIVE, 1),)):
+        queue.add(record)
+        for one in received:
+            queue.received(one, 12)
+        transmissions.append(0)
+        while queue.next_records(8, 12):
+            transmissions[-1] += 1
+    assert transmissions == [12, 4, 0, 12]
+
+
+# --- The state machine ---------------------------------------------------------------------------------
 @pytest.mark.parametrize("count", [3, 12, 40])
 @pytest.mark.parametrize("seed", range(4))
-def test_after_faults_at_random_all_agree_and_no_incarnation_lives_again(count: int, seed: int) -> None:
+def test_views_converge_after_random_faults_without_resurrection(count: int, seed: int) -> None:
     rng = random.Random(seed)
     faults = drawn(rng, [f"l{at + 1}" for at in range(count)], 90.0, 4)
-    settled(play(count, faults, 180.0, seed), 180.0)
+    assert_converged(run_model(count, faults, 180.0, seed), 180.0)
 
 
 @pytest.mark.parametrize("count", [2, 3, 12, 40])
-def test_a_kill_is_known_to_all_within_seconds(count: int) -> None:
-    model = play(count, [Fault(Kind.KILL, 10.0, math.inf, on=(f"l{count}",))], 30.0)
-    settled(model, 30.0)
+def test_killed_member_is_detected_by_all_within_seconds(count: int) -> None:
+    model = run_model(count, [Fault(Kind.KILL, 10.0, math.inf, on=(f"l{count}",))], 30.0)
+    assert_converged(model, 30.0)
     (kill,) = checks.kills(model.all_lives, model.saws, 30.0)
     assert not kill.missing and max(kill.detected_s.values()) < 2.5
 
 
-@pytest.mark.parametrize("on", [("l2",), ("l2", "l3", "l5")])
+@pytest.mark.parametrize("paused", [("l2",), ("l2", "l3", "l5")])
 @pytest.mark.parametrize("pause_s", [3.0, 10.0, 60.0])
-def test_who_stood_still_says_of_nobody_that_it_is_gone(on: tuple[str, ...], pause_s: float) -> None:
-    model = play(5, [Fault(Kind.PAUSE, 10.0, 10.0 + pause_s, on=on)], 120.0)
-    settled(model, 120.0)
-    awake = checks.wrong_deaths(model.all_lives, model.saws)
-    assert all(finding.members[1] in on for finding in awake)
+def test_paused_members_declare_nobody_dead(paused: tuple[str, ...], pause_s: float) -> None:
+    model = run_model(5, [Fault(Kind.PAUSE, 10.0, 10.0 + pause_s, on=paused)], 120.0)
+    assert_converged(model, 120.0)
+    wrong_deaths = checks.wrong_deaths(model.all_lives, model.saws)
+    assert all(finding.members[1] in paused for finding in wrong_deaths)
     if pause_s <= 5.0:
-        assert not awake
+        assert not wrong_deaths
 
 
-def test_a_member_that_hears_but_is_not_heard_by_one_is_not_dead_and_the_cut_is_told() -> None:
-    model = play(5, [Fault(Kind.CUT, 10.0, 70.0, sources=("l2",), targets=("l1",))], 60.0)
+def test_one_way_cut_link_is_reported_and_kills_nobody() -> None:
+    model = run_model(5, [Fault(Kind.CUT, 10.0, 70.0, sources=("l2",), targets=("l1",))], 60.0)
     assert not checks.wrong_deaths(model.all_lives, model.saws)
-    told = {cut[:2] for cut in model.nodes["l4"].peers.view.broken_links()}
-    assert ("l1", "l2") in told or ("l2", "l1") in told
+    reported = {cut[:2] for cut in model.nodes["l4"].peers.view.broken_links()}
+    assert ("l1", "l2") in reported or ("l2", "l1") in reported
     model.run(120.0)
     assert not list(model.nodes["l4"].peers.view.broken_links())
 
 
-def test_a_ring_of_one_sided_cuts_kills_nobody() -> None:
+def test_ring_of_one_way_cuts_kills_nobody() -> None:
     names = [f"l{at + 1}" for at in range(5)]
     ring = [
         Fault(Kind.CUT, 10.0, 70.0, sources=(name,), targets=(names[(at + 1) % 5],))
         for at, name in enumerate(names)
     ]
-    model = play(5, ring, 120.0)
-    settled(model, 120.0)
+    model = run_model(5, ring, 120.0)
+    assert_converged(model, 120.0)
     assert not checks.wrong_deaths(model.all_lives, model.saws)
 
 
-def test_two_halves_agree_again_whatever_became_of_each() -> None:
+def test_views_converge_after_a_partition_with_changes_on_both_sides() -> None:
     sides = (("l1", "l2"), ("l3", "l4", "l5"))
     faults = [
         Fault(Kind.SPLIT, 10.0, 60.0, sides=sides),
@@ -198,33 +198,33 @@
         Fault(Kind.STOP, 25.0, 45.0, on=("l3",)),
         Fault(Kind.KILL, 30.0, 50.0, on=("l4",)),
     ]
-    assert settled(play(5, faults, 120.0), 120.0) < 15.0
+    assert assert_converged(run_model(5, faults, 120.0), 120.0) < 15.0
 
 
-def test_the_later_of_two_processes_with_one_name_ends_and_says_why() -> None:
-    model = play(3, [], 10.0)
-    late = model._make(
+def test_later_process_with_a_conflicting_name_terminates() -> None:
+    model = run_model(3, [], 10.0)
+    later_process = model._make(
         "l2", "other:1", 7, 9999, [("l1", "l1")], MembershipOptions(), random.Random(1), 10_000.0
     )
-    late.tick(10_000.0)
-    late.message_received(
+    later_process.tick(10_000.0)
+    later_process.message_received(
         10_001.0,
         "l1",
         "l1",
         PushPull(model.nodes["l1"].peers.view.records, 0, 1),
     )
-    late.take_actions()
-    late.name_conflict_found(10_002.0, model.nodes["l2"].peers.instance_id, 10_000.0)
-    (end,) = [action for action in late.take_actions() if type(action).__name__ == "Terminate"]
-    assert "the name l2 is in use at l2" in end.reason and late.has_ended
+    later_process.take_actions()
+    later_process.name_conflict_found(10_002.0, model.nodes["l2"].peers.instance_id, 10_000.0)
+    (end,) = [action for action in later_process.take_actions() if type(action).__name__ == "Terminate"]
+    assert "the name l2 is in use at l2" in end.reason and later_process.has_ended
 
 
-def test_a_liar_costs_a_bounded_amount_and_its_victim_contradicts_it() -> None:
-    model = play(5, [], 10.0)
+def test_false_records_are_bounded_and_a_false_death_is_refuted() -> None:
+    model = run_model(5, [], 10.0)
     node = model.nodes["l1"]
-    lies = tuple(MemberRecord(f"x{at}", f"x:{at}", 5, MemberState.ALIVE, 1) for at in range(2000))
+    false_records = tuple(MemberRecord(f"x{at}", f"x:{at}", 5, MemberState.ALIVE, 1) for at in range(2000))
     for at in range(0, 2000, 100):
-        node.peers.message_received(10_000.0, "l5", "l5", Gossip(lies[at : at + 100]))
+        node.peers.message_received(10_000.0, "l5", "l5", Gossip(false_records[at : at + 100]))
     assert len(node.peers.view.members) <= 4 * MembershipOptions().max_members
     victim = model.nodes["l2"].peers.view.get("l2")
     assert victim
@@ -232,12 +232,12 @@
     node.peers.message_received(10_000.0, "l5", "l5", Gossip((dead,)))
     model._after(node)
     model.run(15.0)
-    row = node.peers.view.get("l2")
-    assert row and row.state is MemberState.ALIVE and row.incarnation > victim.incarnation
+    record = node.peers.view.get("l2")
+    assert record and record.state is MemberState.ALIVE and record.incarnation > victim.incarnation
 
 
-def test_an_operators_removal_needs_force_where_somebody_may_still_reach_it() -> None:
-    model = play(3, [], 10.0)
+def test_removing_a_live_member_requires_force() -> None:
+    model = run_model(3, [], 10.0)
     node = model.nodes["l1"]
     assert "--force" in node.peers.remove_member(10_000.0, "l2", False)
     assert "known are" in node.peers.remove_member(10_000.0, "l9", False)
@@ -247,8 +247,8 @@
     assert [(name, why) for _, name, why in model.ended] == [("l2", "l1 declared this member gone")]
 
 
-def test_a_message_stays_short_and_a_member_that_floods_asks_for_no_more_than_its_share() -> None:
-    model = play(40, [], 10.0)
+def test_relayed_probes_of_a_flooding_member_are_bounded() -> None:
+    model = run_model(40, [], 10.0)
     node = model.nodes["l1"]
     for seq in range(2 * MAX_RELAYED_PROBES):
         node.peers.message_received(10_000.0, "l5", "l5", PingRequest((), seq, "l7", "l7"))
@@ -259,133 +259,141 @@
     )  # type: ignore[union-attr]
 
 
-# --- Pauses, decision by decision ----------------------------------------------------------------------
-def test_an_heir_has_the_age_of_its_member_and_so_the_older_claim_to_the_name() -> None:
-    model = play(3, [], 10.0)
-    older = model.nodes["l2"].peers
-    rows = older.hand_over()
+# --- Successors and pauses -----------------------------------------------------------------------------
+def test_successor_inherits_the_age_that_decides_a_name_conflict() -> None:
+    model = run_model(3, [], 10.0)
+    predecessor = model.nodes["l2"].peers
+    records = predecessor.hand_over()
     for age_ms, ends in ((10_000.0, False), (0.0, True)):
         successor = model._member("l2", 1)
-        successor.take_over(10_000.0, rows, age_ms)
-        successor.name_conflict_found(10_001.0, older.instance_id + 1, 5_000.0)
+        successor.take_over(10_000.0, records, age_ms)
+        successor.name_conflict_found(10_001.0, predecessor.instance_id + 1, 5_000.0)
         assert (successor.has_ended, successor.instance_id, successor.view.ring) == (
             ends,
-            older.instance_id,
-            older.view.ring,
+            predecessor.instance_id,
+            predecessor.view.ring,
         )
-    assert older.next_timer_ms == math.inf and not older.take_actions()
+    assert predecessor.next_timer_ms == math.inf and not predecessor.take_actions()
 
 
 @pytest.mark.parametrize("count", [3, 12, 40, 200])
-def test_an_upgrade_changes_no_view(count: int) -> None:
+def test_upgrade_changes_no_view(count: int) -> None:
     on = tuple(f"l{at + 1}" for at in range(0, count, 3))
-    model = play(count, [Fault(Kind.UPGRADE, 15.0, math.inf, on=on)], 45.0)
-    settled(model, 45.0)
-    # Whatever is seen from then on is what an successor took over: alive, as first seen.
+    model = run_model(count, [Fault(Kind.UPGRADE, 15.0, math.inf, on=on)], 45.0)
+    assert_converged(model, 45.0)
+    # Later views hold only what a successor took over: members alive, in their first incarnations.
     first = {(saw.name, saw.incarnation, "alive") for saw in model.saws if saw.at_s < 15.0}
     assert {(saw.name, saw.incarnation, saw.state) for saw in model.saws if saw.at_s >= 15.0} <= first
 
 
-class Lone:
-    """One machine among two others that never answer, called by hand."""
+class SingleMember:
+    """One state machine, driven by the test, with two other members that never respond."""
 
     def __init__(self, seed: int = 1) -> None:
-        options = MembershipOptions(max_health_score=0)  # its own doubts would stretch every time here
+        options = MembershipOptions(max_health_score=0)  # a bad local health would stretch all timeouts
         self.peers = MembershipStateMachine("l1", "l1", 1, 1000, [], options, random.Random(seed), 0.0)
         self.now = 0.0
-        self.done: list[Action] = []
-        self.go(1.0)
-        rows = tuple(MemberRecord(name, name, 1, MemberState.ALIVE, 5) for name in ("l2", "l3"))
-        self.peers.message_received(self.now, "l3", "l3", Gossip(rows))
-
-    def go(self, until: float) -> list[Action]:
-        """Tick whenever it is due; what was to be done."""
-        done: list[Action] = []
+        self.actions: list[Action] = []
+        self.run_until(1.0)
+        records = tuple(MemberRecord(name, name, 1, MemberState.ALIVE, 5) for name in ("l2", "l3"))
+        self.peers.message_received(self.now, "l3", "l3", Gossip(records))
+
+    def run_until(self, until: float) -> list[Action]:
+        """Runs all timers until the given time; returns the actions."""
+        actions: list[Action] = []
         while True:
-            done += self.peers.take_actions()
+            actions += self.peers.take_actions()
             due = max(self.now, self.peers.next_timer_ms)
             if due > until:
                 break
             self.now = due
             self.peers.tick(self.now)
         self.now = until
-        return done
+        return actions
 
-    def wake(self, after: float) -> list[Action]:
-        """Stand still, then be called."""
+    def resume_after(self, after: float) -> list[Action]:
+        """Simulates a pause of that many ms, then runs the late timers; returns the actions."""
         self.now += after
         self.peers.tick(self.now)
         return self.peers.take_actions()
 
-    def state(self, name: str) -> MemberState:
-        row = self.peers.view.get(name)
-        assert row
-        return row.state
+    def state_of(self, name: str) -> MemberState:
+        record = self.peers.view.get(name)
+        assert record
+        return record.state
 
 
-@pytest.mark.parametrize("told", [False, True], ids=["by its own clock", "as another holds it dead"])
-def test_nobody_is_held_dead_by_an_answer_that_failed_to_come_long_ago(told: bool) -> None:
-    """It may have stood still then, and its contradiction been lost: it is asked before the verdict."""
-    lone = Lone()
+@pytest.mark.parametrize(
+    "others_declare_dead", [False, True], ids=["by its own timeout", "declared dead by another"]
+)
+def test_member_is_probed_again_before_an_old_failed_probe_counts(others_declare_dead: bool) -> None:
+    """The suspected member may have been paused during the old probe, and its refutation lost."""
+    member = SingleMember()
     others = tuple(MemberRecord(f"m{at}", f"m{at}", 1, MemberState.ALIVE, 5) for at in range(40))
-    lone.peers.message_received(lone.now, "l3", "l3", Gossip(others))
-    far = next(row for row in others if row.name not in lone.peers.view.probe_targets())
-    doubt = replace(far, state=MemberState.SUSPECT, reported_by="l3")
-    for by in ("l3", "l2", "m1", "m2"):  # shared by so many it is the first to be decided on
-        lone.peers.message_received(lone.now, "l3", "l3", Gossip((replace(doubt, reported_by=by),)))
-    asked = 0.0
-    while lone.state(far.name) is not MemberState.DEAD:
-        now = lone.now
-        if told and now - asked > 5_000.0 and asked:
-            lone.peers.message_received(now, "l3", "l3", Gossip((replace(doubt, state=MemberState.DEAD),)))
-        done = lone.go(now + 250.0)
-        if [a for a in done if isinstance(a, Send) and a.member == far.name and isinstance(a.message, Ping)]:
-            asked = lone.now
-        assert lone.now < 120_000.0
-    assert lone.now - asked < 3_000.0 < lone.now
-
-
-def test_a_probe_that_was_out_during_a_pause_accuses_nobody() -> None:
-    lone = Lone()
-    while not any(probe.is_indirect for probe in lone.peers.prober.probes.values()):
-        lone.go(lone.now + 10.0)
-    assert lone.state("l2") is lone.state("l3") is MemberState.ALIVE
-    lone.wake(10_000.0)
+    member.peers.message_received(member.now, "l3", "l3", Gossip(others))
+    target = next(record for record in others if record.name not in member.peers.view.probe_targets())
+    suspicion = replace(target, state=MemberState.SUSPECT, reported_by="l3")
+    for by in ("l3", "l2", "m1", "m2"):  # confirmed so often that it expires first
+        member.peers.message_received(member.now, "l3", "l3", Gossip((replace(suspicion, reported_by=by),)))
+    last_probe_ms = 0.0
+    while member.state_of(target.name) is not MemberState.DEAD:
+        now = member.now
+        if others_declare_dead and now - last_probe_ms > 5_000.0 and last_probe_ms:
+            member.peers.message_received(
+                now, "l3", "l3", Gossip((replace(suspicion, state=MemberState.DEAD),))
+            )
+        actions = member.run_until(now + 250.0)
+        if [
+            a
+            for a in actions
+            if isinstance(a, Send) and a.member == target.name and isinstance(a.message, Ping)
+        ]:
+            last_probe_ms = member.now
+        assert member.now < 120_000.0
+    assert member.now - last_probe_ms < 3_000.0 < member.now
+
+
+def test_probe_in_progress_during_a_pause_causes_no_suspicion() -> None:
+    member = SingleMember()
+    while not any(probe.is_indirect for probe in member.peers.prober.probes.values()):
+        member.run_until(member.now + 10.0)
+    assert member.state_of("l2") is member.state_of("l3") is MemberState.ALIVE
+    member.resume_after(10_000.0)
     assert not any(
         isinstance(a, MemberChanged) and a.after.state is MemberState.SUSPECT
-        for a in lone.peers.take_actions()
+        for a in member.peers.take_actions()
     )
-    assert lone.state("l2") is lone.state("l3") is MemberState.ALIVE
+    assert member.state_of("l2") is member.state_of("l3") is MemberState.ALIVE
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_doubt_that_ran_out_during_a_pause_is_asked_anew_and_put_off_by_it(seed: int) -> None:
-    lone = Lone(seed)
-    while lone.state("l2") is not MemberState.SUSPECT:
-        lone.go(lone.now + 10.0)
-    doubted = lone.now
-    lone.go(doubted + 2_000.0)
-    woken = lone.wake(30_000.0)
-    assert any(isinstance(a, Send) and a.member == "l2" and isinstance(a.message, Ping) for a in woken)
-    lone.peers.message_received(
-        lone.now, "l3", "l3", Gossip()
-    )  # so that it is not this member that is cut off
-    # Doubted for 7 s where nobody is left to agree; 30 s of pause and 1 s to ask come on top.
-    lone.go(doubted + 37_500.0)
-    assert lone.state("l2") is MemberState.SUSPECT
-    lone.go(doubted + 60_000.0)
-    assert lone.state("l2") is MemberState.DEAD
-
-
-class Punctual(MembershipStateMachine):
-    """Fails where it takes itself to have stood still, in a model that calls in time."""
+def test_suspicion_that_expired_during_a_pause_is_extended_and_probed_again(seed: int) -> None:
+    member = SingleMember(seed)
+    while member.state_of("l2") is not MemberState.SUSPECT:
+        member.run_until(member.now + 10.0)
+    suspected_ms = member.now
+    member.run_until(suspected_ms + 2_000.0)
+    actions = member.resume_after(30_000.0)
+    assert any(isinstance(a, Send) and a.member == "l2" and isinstance(a.message, Ping) for a in actions)
+    member.peers.message_received(
+        member.now, "l3", "l3", Gossip()
+    )  # without a message, it would consider itself cut off
+    # 7 s of suspicion, as no member is left to confirm it, plus 30 s of pause and 1 s for probes.
+    member.run_until(suspected_ms + 37_500.0)
+    assert member.state_of("l2") is MemberState.SUSPECT
+    member.run_until(suspected_ms + 60_000.0)
+    assert member.state_of("l2") is MemberState.DEAD
+
+
+class NeverPaused(MembershipStateMachine):
+    """Fails if it detects a pause; the model runs its timers in time."""
 
     def _detect_pause(self, now: float) -> None:
         super()._detect_pause(now)
         assert self.timer_delay_ms < 1.0
 
 
-def test_a_doubt_that_grows_shorter_is_not_taken_for_a_pause() -> None:
+def test_shortened_suspicion_is_not_taken_for_a_pause() -> None:
     split = Fault(Kind.SPLIT, 10.0, 40.0, sides=(("l1", "l2"), ("l3", "l4", "l5")))
     for seed in range(4):
         model = Model(
@@ -393,30 +401,30 @@
             MembershipOptions(silent_ms=1500.0),
             [split],
             seed,
-            make=Punctual,
+            make=NeverPaused,
         )
         model.run(60.0)
-        settled(model, 60.0)
+        assert_converged(model, 60.0)
 
 
-def test_a_lost_message_now_and_then_is_not_told_as_a_cut_link() -> None:
+def test_occasional_message_loss_is_not_reported_as_a_broken_link() -> None:
     names = tuple(f"l{at + 1}" for at in range(12))
-    model = play(12, [Fault(Kind.DROP, 10.0, 70.0, sources=names, targets=names, part=0.05)], 70.0)
+    model = run_model(12, [Fault(Kind.DROP, 10.0, 70.0, sources=names, targets=names, part=0.05)], 70.0)
     assert sum(node.peers.view.members[name].record.self_report for name, node in model.nodes.items()) < 12
     assert not checks.wrong_deaths(model.all_lives, model.saws)
 
 
-def test_a_refusal_that_nobody_confirms_is_borne_as_silence() -> None:
-    lone = Lone()
-    lone.peers.prober.probe_soon(lone.now, "l2")
-    lone.go(lone.now + 1.0)
-    lone.peers.connection_refused(lone.now, "l2")
-    lone.go(lone.now + 2_000.0)
-    row = lone.peers.view.get("l2")
-    assert row and row.state is MemberState.SUSPECT and not row.connection_refused
+def test_unconfirmed_connection_refusal_counts_as_silence() -> None:
+    member = SingleMember()
+    member.peers.prober.probe_soon(member.now, "l2")
+    member.run_until(member.now + 1.0)
+    member.peers.connection_refused(member.now, "l2")
+    member.run_until(member.now + 2_000.0)
+    record = member.peers.view.get("l2")
+    assert record and record.state is MemberState.SUSPECT and not record.connection_refused
 
 
-def test_a_full_exchange_leaves_both_with_what_either_knew() -> None:
+def test_push_pull_exchange_reconciles_two_views() -> None:
     views = {name: MembershipView(name) for name in ("a", "b")}
     for name, others in (("a", range(0, 300)), ("b", range(100, 400))):
         for at in others:
@@ -435,9 +443,9 @@
     both["a"].send_digest("b", "b")
     while waiting:
         to, sync = waiting.pop(0)
-        for row in sync.records:
-            held = views[to].get(row.name)
-            views[to].put(0.0, merge(held, row) if held else row)
+        for record in sync.records:
+            current = views[to].get(record.name)
+            views[to].put(0.0, merge(current, record) if current else record)
         both[to].message_received("a" if to == "b" else "b", "x", sync)
     assert (
         views["a"].digest() == views["b"].digest()
@@ -445,48 +453,48 @@
     )
 
 
-def test_a_split_ends_also_where_no_seed_is_told_any_more() -> None:
+def test_partition_heals_without_seeds() -> None:
     split = Fault(Kind.SPLIT, 10.0, 60.0, sides=(("l1", "l2", "l3"), ("l4", "l5")))
-    model = play(5, [split], 5.0)
+    model = run_model(5, [split], 5.0)
     for node in model.nodes.values():
         node.peers.set_seeds(())
     model.run(120.0)
-    settled(model, 120.0)
+    assert_converged(model, 120.0)
 
 
-def test_a_doubt_shrinks_as_others_share_it_and_a_refusal_is_shorter_still() -> None:
+def test_suspicion_shrinks_with_confirmations_and_with_a_refusal() -> None:
     options = MembershipOptions()
-    doubt, ends = Suspicion(1, 0.0, False), []
+    suspicion, expiries_ms = Suspicion(1, 0.0, False), []
     for who in ("a", "b", "c", "d"):
-        assert doubt.confirm(who, False) and not doubt.confirm(who, False)
-        ends.append(doubt.expires_ms(options, 200))
+        assert suspicion.confirm(who, False) and not suspicion.confirm(who, False)
+        expiries_ms.append(suspicion.expires_ms(options, 200))
     scale = math.log10(200)
-    assert ends == sorted(ends, reverse=True) and len(set(ends)) == 4
-    assert ends[0] == pytest.approx(14_000 * scale) and ends[3] == pytest.approx(7_000 * scale)
-    assert doubt.confirm("a", True) and doubt.expires_ms(options, 200) == pytest.approx(400 * scale)
+    assert expiries_ms == sorted(expiries_ms, reverse=True) and len(set(expiries_ms)) == 4
+    assert expiries_ms[0] == pytest.approx(14_000 * scale) and expiries_ms[3] == pytest.approx(7_000 * scale)
+    assert suspicion.confirm("a", True) and suspicion.expires_ms(options, 200) == pytest.approx(400 * scale)
 
 
-def test_one_that_is_cut_off_doubts_itself_and_the_others_do_not() -> None:
+def test_local_health_degrades_at_the_isolated_member_only() -> None:
     cut = Fault(Kind.SPLIT, 10.0, 60.0, sides=(("l1",), ("l2", "l3", "l4", "l5")))
-    model = play(5, [cut], 14.0)
-    doubts = {name: node.peers.prober.health_score for name, node in model.nodes.items()}
-    assert doubts["l1"] >= 3 and max(doubts[name] for name in ("l2", "l3", "l4", "l5")) <= 2
+    model = run_model(5, [cut], 14.0)
+    scores = {name: node.peers.prober.health_score for name, node in model.nodes.items()}
+    assert scores["l1"] >= 3 and max(scores[name] for name in ("l2", "l3", "l4", "l5")) <= 2
 
 
-def test_another_of_ones_name_is_asked_three_times_before_it_is_taken_for_gone() -> None:
-    rivals = NameConflict(MembershipOptions())
-    assert rivals.conflict_reported(0.0, MemberRecord("l1", "x:1", 7, MemberState.ALIVE, 5))
-    assert [rivals.count_query(500.0 * at) for at in range(4)] == [True, True, True, False]
-    assert not rivals.is_pending
+def test_name_conflict_is_checked_three_times() -> None:
+    conflict = NameConflict(MembershipOptions())
+    assert conflict.conflict_reported(0.0, MemberRecord("l1", "x:1", 7, MemberState.ALIVE, 5))
+    assert [conflict.count_query(500.0 * at) for at in range(4)] == [True, True, True, False]
+    assert not conflict.is_pending
     assert (
-        not rivals.conflict_reported(2_000.0, MemberRecord("l1", "x:1", 9, MemberState.ALIVE, 5))
-        and rivals.incarnation == 9
+        not conflict.conflict_reported(2_000.0, MemberRecord("l1", "x:1", 9, MemberState.ALIVE, 5))
+        and conflict.incarnation == 9
     )
-    assert rivals.conflict_reported(6_000.0, MemberRecord("l1", "x:1", 9, MemberState.ALIVE, 5))
+    assert conflict.conflict_reported(6_000.0, MemberRecord("l1", "x:1", 9, MemberState.ALIVE, 5))
 
 
-def test_one_that_must_contradict_a_doubt_trusts_itself_less() -> None:
-    model = play(3, [], 10.0)
+def test_refuting_a_suspicion_degrades_local_health() -> None:
+    model = run_model(3, [], 10.0)
     peers = model.nodes["l1"].peers
     own = peers.view.get("l1")
     assert own and peers.prober.health_score == 0
--- a/tests/test_slow_fleet.py
+++ b/tests/test_slow_fleet.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 import pytest
-from fleetsim import Fleet, Play
+from fleetsim import FleetScenario, FleetSimulation
 
 from basaltpoint import interface as api
 
@@ -30,50 +30,63 @@
 ) -> None:
     """Short ones count from their begin, when all that is out is overtaken at once."""
     start, end = 10_000.0, 10_000.0 + lasts
-    fleet = Fleet(seed=3, rate=OFFERED, cancels=cancels, slow=during((start, end), times=times))
-    play = Play(fleet).run(end + 10_000)
+    fleet = FleetScenario(
+        seed=3,
+        requests_per_s=OFFERED,
+        timeouts_cancel_work=cancels,
+        slowdown=during((start, end), times=times),
+    )
+    play = FleetSimulation(fleet).run(end + 10_000)
     fair = min(1.0, CAPACITY / times / OFFERED)
-    assert play.share(5000, start) > 0.99
-    assert play.share(start, end) > (0.85 if cancels else 0.68) * fair
-    assert play.share(end + 1000, end + 3000) > 0.97  # it comes back at once
-    assert play.share(end + 3000, end + 9000) > 0.99
-    assert play.most_out < 85  # on twelve cores; where nothing held it, it was 104
+    assert play.outcome_fraction(5000, start) > 0.99
+    assert play.outcome_fraction(start, end) > (0.85 if cancels else 0.68) * fair
+    assert play.outcome_fraction(end + 1000, end + 3000) > 0.97  # it comes back at once
+    assert play.outcome_fraction(end + 3000, end + 9000) > 0.99
+    assert play.max_attempts_in_progress < 85  # on twelve cores; where nothing held it, it was 104
 
 
 @pytest.mark.parametrize("cancels", [True, False], ids=["cancelled", "runs on"])
 def test_a_second_slow_time_right_after_the_first_is_no_worse(cancels: bool) -> None:
     slow = during((8_000, 14_000), (16_000, 22_000), times=2.5)
-    play = Play(Fleet(seed=5, rate=OFFERED, cancels=cancels, slow=slow)).run(30_000)
-    first, second = play.share(8_000, 14_000), play.share(16_000, 22_000)
+    play = FleetSimulation(
+        FleetScenario(seed=5, requests_per_s=OFFERED, timeouts_cancel_work=cancels, slowdown=slow)
+    ).run(30_000)
+    first, second = play.outcome_fraction(8_000, 14_000), play.outcome_fraction(16_000, 22_000)
     assert first > 0.36 and second > 0.8 * first
-    assert play.share(14_500, 16_000) > 0.95 and play.share(23_000, 29_000) > 0.97
+    assert play.outcome_fraction(14_500, 16_000) > 0.95 and play.outcome_fraction(23_000, 29_000) > 0.97
 
 
 @pytest.mark.parametrize("cancels", [True, False], ids=["cancelled", "runs on"])
 def test_half_of_the_fleet_slow_is_not_taken_for_all(cancels: bool) -> None:
     """The other half can do it all: nothing is to be refused for load."""
     slow = during((8_000, 20_000), times=3.0, servers=range(3))
-    play = Play(Fleet(seed=5, rate=60.0, cancels=cancels, slow=slow)).run(28_000)
-    assert play.share(8_000, 20_000) > 0.95
-    assert play.share(8_000, 20_000, "Refuse") < 0.02
-    assert play.share(21_000, 27_000) > 0.99
+    play = FleetSimulation(
+        FleetScenario(seed=5, requests_per_s=60.0, timeouts_cancel_work=cancels, slowdown=slow)
+    ).run(28_000)
+    assert play.outcome_fraction(8_000, 20_000) > 0.95
+    assert play.outcome_fraction(8_000, 20_000, "Refuse") < 0.02
+    assert play.outcome_fraction(21_000, 27_000) > 0.99
 
 
 def test_a_meter_that_falls_silent_neither_stops_customers_nor_opens_the_quota() -> None:
     plan = api.Plan(rate=5, burst=10, name="p")
-    fleet = Fleet(
+    fleet = FleetScenario(
         seed=6,
-        rate=48.0,
+        requests_per_s=48.0,
         plan=plan,
-        asks=lambda now, customer: 4.0 if customer == 0 else 1.0,  # 2.6 times its quota
-        told=lambda now: not 8_000 <= now < 13_000,
+        customer_weight=lambda now, customer: 4.0 if customer == 0 else 1.0,  # 2.6 times its quota
+        responses_carry_usage=lambda now: not 8_000 <= now < 13_000,
+    )
+    play = FleetSimulation(fleet).run(25_000)
+    assert play.outcome_fraction(8_000, 13_000) > 0.75 and play.outcome_fraction(13_000, 20_000) > 0.75
+    used = (
+        sum(units for now, customer, units in play.first_attempts if customer == 0 and now >= 8_000)
+        / 17
+        / plan.rate
     )
-    play = Play(fleet).run(25_000)
-    assert play.share(8_000, 13_000) > 0.75 and play.share(13_000, 20_000) > 0.75
-    used = sum(units for now, customer, units in play.sent if customer == 0 and now >= 8_000) / 17 / plan.rate
     assert 0.85 < used < 1.15
-    assert play.beyond(0) < 0.1
-    assert all(play.beyond(customer) < 0.01 for customer in range(1, 12))
+    assert play.overdraft_fraction(0) < 0.1
+    assert all(play.overdraft_fraction(customer) < 0.01 for customer in range(1, 12))
 
 
 def test_a_customer_that_moves_wholly_to_another_limiter_is_served_there_within_seconds() -> None:
@@ -82,44 +95,48 @@
     def door(now: float, customer: int, rng) -> int:
         return (0 if now < 10_000 else 1) if customer == 0 else customer + rng.randrange(3)
 
-    fleet = Fleet(
+    fleet = FleetScenario(
         seed=6,
-        rate=48.0,
+        requests_per_s=48.0,
         plan=plan,
-        door=door,
-        asks=lambda now, customer: 1.5 if customer == 0 else 1.0,  # 0.72 of its quota
+        choose_limiter=door,
+        customer_weight=lambda now, customer: 1.5 if customer == 0 else 1.0,  # 0.72 of its quota
     )
-    play = Play(fleet).run(25_000)
+    play = FleetSimulation(fleet).run(25_000)
 
     def used(start: float, end: float) -> float:
-        units = sum(units for now, customer, units in play.sent if customer == 0 and start <= now < end)
+        units = sum(
+            units for now, customer, units in play.first_attempts if customer == 0 and start <= now < end
+        )
         return units / (end - start) * 1000 / plan.rate
 
     assert used(3_000, 10_000) > 0.6
     assert used(10_000, 13_000) > 0.4  # of 0.72
     assert used(13_000, 24_000) > 0.6
-    assert play.beyond(0) == 0.0
+    assert play.overdraft_fraction(0) == 0.0
 
 
 def test_units_settled_at_four_times_the_guess_are_held_to_the_quota() -> None:
     plan = api.Plan(rate=8, burst=16, name="p")
-    fleet = Fleet(
+    fleet = FleetScenario(
         seed=6,
-        rate=36.0,
+        requests_per_s=36.0,
         plan=plan,
         true_units=lambda customer, guess: 4.0 * guess if customer == 0 else guess,
     )
-    play = Play(fleet).run(25_000)
+    play = FleetSimulation(fleet).run(25_000)
     metered = (
         sum(units for (customer, period), units in play.usage.items() if customer == 0 and period >= 4) / 21
     )
     assert 0.8 * plan.rate < metered < 1.5 * plan.rate
-    assert play.share(4_000, 25_000) > 0.95
+    assert play.outcome_fraction(4_000, 25_000) > 0.95
 
 
 def test_a_limiter_that_restarts_while_everything_is_slow_is_in_step_within_a_second() -> None:
     slow = during((8_000, 20_000), times=2.0)
-    play = Play(Fleet(seed=7, rate=OFFERED, slow=slow, restarts={12_000.0: 1})).run(28_000)
-    assert play.share(13_000, 20_000) > 0.6
-    assert play.share(21_000, 27_000) > 0.98
-    assert play.most_out < 85
+    play = FleetSimulation(
+        FleetScenario(seed=7, requests_per_s=OFFERED, slowdown=slow, limiter_restarts={12_000.0: 1})
+    ).run(28_000)
+    assert play.outcome_fraction(13_000, 20_000) > 0.6
+    assert play.outcome_fraction(21_000, 27_000) > 0.98
+    assert play.max_attempts_in_progress < 85
