--- a/basaltpoint/policy/quota.py
+++ b/basaltpoint/policy/quota.py
@@ -20,9 +20,8 @@
 DRAW_LOG_MS = 10000.0  # minimum time for which a customer's draws are kept; covers the meter's lag
 MAX_LEARNING_USAGE_PERCENT = 90  # of the rate; a period with a higher use does not count for the local share
 SHARE_PRIOR_UNITS = 20.0  # weight of an even distribution over all limiters against metered evidence
-MIN_LOCAL_BURST_UNITS = (
-    1.0  # with a smaller local share of the burst, own draws say nothing of the quota bucket
-)
+# With a smaller local share of the burst, own draws say nothing of the quota bucket.
+MIN_LOCAL_BURST_UNITS = 1.0
 PRIOR_USE_FRACTION = 1.0  # of the rate; assumed use of a customer before its first reading
 EXCESS_COST_PRIOR_FRACTION = 0.8  # added, times the excess cost, to that assumption
 PRIOR_UNITS = 0.2  # weight of that assumption
@@ -39,9 +38,8 @@
 READING_AGE_MS = 20000.0  # time constant of the decay of readings, as customers change their behaviour
 MIN_ADMITTED_FRACTION = 0.05  # lower limit of the fraction by which a reading is divided
 SHARE_DECAY_RATIO = 0.85  # weight kept per metered period; local shares change within tens of seconds
-CERTAIN_ROOM_FRACTION = (
-    0.25  # of the burst; with more left in the bucket the admitted fraction is not applied
-)
+# Of the burst; with more left in the bucket the admitted fraction is not applied.
+CERTAIN_ROOM_FRACTION = 0.25
 # Fraction of the burst that is reserved for requests of a higher worth, times the difference in worth; the
 # second one also times the square root of the fraction of requests that is refused.
 RESERVED_FRACTION = 0.1
@@ -155,7 +153,7 @@
         self.heard_at = self.read_at = -INF  # last response with a reading; last new reading
         self.own = self.whole = 0.0  # own draws and metered use, with decay
         self.usage: int | None = None  # last reading, percent of the rate
-        self.outstanding = 0
+        self.outstanding = 0  # attempts of this limiter
 
     def change_plan(self, now: float, plan: api.Plan) -> None:
         """Changes the plan; the quota bucket keeps its level as a fraction of the burst."""
