--- a/basaltpoint/store/raft.py
+++ b/basaltpoint/store/raft.py
@@ -850,10 +850,10 @@
         return self.hard_state.recovering and self.hard_state.recovery_goal == (0, 0)
 
     def _handle_recovery_response(self, sender: str, message: m.RecoveryResponse) -> None:
-        """Sets the recovery goal once enough voters have responded (see the recovery of Viewstamped
-        Replication).
+        """Sets the recovery goal once enough voters have responded.
 
-        Every quorum that this replica may have been part of includes one of those voters.
+        Every quorum that this replica may have been part of includes one of those voters (as in the recovery
+        of Viewstamped Replication).
         """
         if not self._awaits_recovery_goal():
             return
@@ -868,9 +868,8 @@
             return
         term = max(self.hard_state.term, *(each.term for each in responses))
         goal = max((each.last_term, each.last_index) for each in responses)
-        self.hard_state = HardState(
-            term, UNKNOWN_VOTE, goal != (0, 0), goal
-        )
+        # Goal (0, 0): all logs are empty, so nothing can have been lost.
+        self.hard_state = HardState(term, UNKNOWN_VOTE, goal != (0, 0), goal)
         self._finish_recovery()
 
     def _finish_recovery(self) -> None:
--- a/tests/linear.py
+++ b/tests/linear.py
@@ -1,6 +1,8 @@
-"""A linearizability checker for histories over single keys (Wing and Gong 1993, with Lowe's memory of 2017).
+"""A linearizability checker for operations on single keys (Wing and Gong 1993, with Lowe's memoization of
+2017).
 
-Each key is judged by itself: a history is linearizable where that of each key is (Herlihy and Wing 1990).
+Each key is checked on its own: a history is linearizable if the history of each key is (Herlihy and Wing
+1990).
 """
 
 from __future__ import annotations
@@ -13,10 +15,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """One operation: `write` sets `value`; `read` saw `value`; `swap` set `value` where it found `old`.
+    """One operation: `write` sets `value`, `read` returned `value`, `swap` set `value` if it found
+    `expected`.
 
-    `ended` is inf where the answer was lost: it took effect at any time after it began, or never. `good`
-    tells of a swap whether it found what it expected; None where that is not known.
+    `start` and `end` are times. `end` is inf if the response was lost: the operation took effect at any time
+    after its start, or never. `succeeded` states whether a swap found the expected value; None if unknown.
     """
 
     key: str
@@ -29,20 +32,20 @@
 
 
 def _apply(state: str | None, op: Operation) -> tuple[bool, str | None]:
-    """Whether it can take effect on a state, and the state behind it."""
+    """Returns whether an operation is possible in a state, and the state after it."""
     if op.kind == "read":
         return state == op.value, state
     if op.kind == "write":
         return True, op.value
-    found = state == op.expected
+    matches = state == op.expected
     if op.succeeded is None:
-        return True, op.value if found else state
-    return found == op.succeeded, op.value if found else state
+        return True, op.value if matches else state
+    return matches == op.succeeded, op.value if matches else state
 
 
 def _is_linearizable(operations: list[Operation]) -> bool:
     operations = sorted(operations, key=lambda op: op.start)
-    # A read whose answer was lost says nothing.
+    # A read whose response was lost adds no constraint.
     operations = [op for op in operations if not (op.kind == "read" and op.end == math.inf)]
     required = sum(1 << at for at, op in enumerate(operations) if op.end < math.inf)
     visited: set[tuple[int, str | None]] = set()
@@ -51,23 +54,23 @@
         applied, state = stack.pop()
         if applied & required == required:
             return True
-        # Only what began before the first end of those left can be next.
+        # The next operation must have started before the earliest end of the remaining ones.
         earliest_end = min(op.end for at, op in enumerate(operations) if not applied >> at & 1)
         for at, op in enumerate(operations):
             if op.start > earliest_end:
                 break
             if applied >> at & 1:
                 continue
-            fits, after = _apply(state, op)
-            following = (applied | 1 << at, after)
-            if fits and following not in visited:
+            possible, next_state = _apply(state, op)
+            following = (applied | 1 << at, next_state)
+            if possible and following not in visited:
                 visited.add(following)
                 stack.append(following)
     return False
 
 
 def violations(history: Iterable[Operation]) -> list[str]:
-    """The keys whose operations have no order that explains them."""
+    """Returns the keys whose operations are not linearizable."""
     by_key: dict[str, list[Operation]] = defaultdict(list)
     for op in history:
         by_key[op.key].append(op)
--- a/tests/storesim.py
+++ b/tests/storesim.py
@@ -1,9 +1,9 @@
-"""A cluster of replicas in simulated time: one seed, one run. Nodes and disks are the store's own code.
+"""Simulation of a cluster; one seed gives one run. Nodes and disks are the store's own code.
 
-Network, clocks, disks and crashes are the simulation's: messages are lost, doubled, reordered and held back,
-one or both directions are cut, clocks go wrong by a quarter, a replica sleeps, ends between any two writes,
-and wakes with a disk on which what was not synced is partly lost. Raft's safety properties are asserted at
-every step.
+Network, clocks, disks and crashes are simulated: messages are lost, duplicated, reordered and delayed, one or
+both directions of a connection are blocked, clock rates are up to a quarter off, a replica is paused, crashes
+between any two writes, or restarts with a disk that lost a part of its unsynced data. Raft's safety
+properties are asserted at every step.
 """
 
 from __future__ import annotations
@@ -25,26 +25,24 @@
 from basaltpoint.store.node import Node, StorageLimits
 from basaltpoint.store.raft import RefusedError
 
-FAULTS_MS = 8_000.0  # of faults in a run
-MAX_CONVERGENCE_MS = 30_000.0  # longest time to agree again when all faults are gone
-CLIENT_TIMEOUT_MS = 450.0  # of a client, before it asks another replica the same
+FAULTS_MS = 8_000.0  # duration of the faults in a run
+MAX_CONVERGENCE_MS = 30_000.0  # time in which the replicas must agree after the end of all faults
+CLIENT_TIMEOUT_MS = 450.0  # after it, a client repeats its request at a random replica
 
 
 class SimulatedCrash(BaseException):
-    """The process ends here."""
+    """The process ends at this point."""
 
 
 @dataclass(slots=True)
 class _File:
     data: bytearray = field(default_factory=bytearray)
     synced_bytes: int = 0
-    unreliable_from: int | None = (
-        None  # from here to `synced` or the end a failed sync may have lost what it told
-    )
+    unreliable_from: int | None = None  # a failed sync may have lost data from this offset on
 
 
 class SimFiles:
-    """A folder of which a power failure takes what was not synced, or a part of it."""
+    """A folder that loses unsynced data and file names, or a part of them, at a power failure."""
 
     def __init__(self) -> None:
         self.current_files: dict[str, _File] = {}
@@ -67,7 +65,7 @@
             made = _File()
             self._change_names(lambda names: names.update({name: made}))
         if self.is_failing:
-            self.current_files[name].data += data[: len(data) // 2]  # as much as there was room for
+            self.current_files[name].data += data[: len(data) // 2]  # a partial write
             raise OSError(28, "No space left on device")
         self.current_files[name].data += data
 
@@ -83,7 +81,8 @@
     def sync(self, name: str) -> None:
         file = self.current_files[name]
         if self.is_failing:
-            # The system told it once: a later sync succeeds, whether or not these bytes are on the disk.
+            # The system reports the error once: a later sync succeeds even if these bytes never reach the
+            # disk.
             if file.unreliable_from is None and file.synced_bytes < len(file.data):
                 file.unreliable_from = file.synced_bytes
             raise OSError(5, "Input/output error")
@@ -105,7 +104,7 @@
         self.durable_files, self._unsynced_changes = dict(self.current_files), []
 
     def lose_power(self, rng: random.Random) -> None:
-        """Power fails: of bytes that were not synced some first part is left, of names any."""
+        """Power failure: of the unsynced bytes a prefix remains, of the unsynced name changes any subset."""
         for op in self._unsynced_changes:
             if rng.random() < 0.5:
                 op(self.durable_files)
@@ -122,7 +121,7 @@
             file.synced_bytes = len(file.data)
 
     def copy(self) -> SimFiles:
-        """What is on the disk now, for a rollback."""
+        """Returns a copy of the current files, to be put back later."""
         copied = SimFiles()
         copied.durable_files = {
             name: _File(bytearray(file.data), len(file.data)) for name, file in self.current_files.items()
@@ -133,36 +132,36 @@
 
 @dataclass
 class Host:
-    """Where a replica runs."""
+    """The host of one replica."""
 
     name: str
     files: SimFiles
     clock_rate: float
     node: Node | None = None
     is_paused: bool = False
-    deferred: list[Callable[[], None]] = field(default_factory=list)  # what came while it slept
-    incarnation: int = 0  # counts its lives
+    deferred: list[Callable[[], None]] = field(default_factory=list)  # actions that arrived during a pause
+    incarnation: int = 0  # counts process starts and ends
     may_be_stale: bool = False
 
 
 @dataclass
 class Faults:
-    """How often what goes wrong; 0 to 1 of messages or steps."""
+    """Probabilities of faults, from 0 to 1 for each message or step."""
 
     loss_rate: float = 0.03
     duplicate_rate: float = 0.02
-    crash_rate: float = 0.003  # at each point of a write
-    has_events: bool = True  # partitions, sleeps, crashes between
+    crash_rate: float = 0.003  # at each crash point
+    has_events: bool = True  # partitions, pauses, crashes, full disks, transfers and membership changes
 
 
 class SimulatedClient:
-    """Asks for one thing after the other and writes the history down."""
+    """Sends one operation after another and records the history."""
 
     def __init__(self, sim: ClusterSimulation, name: str) -> None:
         self.sim, self.name = sim, name
         self.session = self.number = 0
         self.write_count = 0
-        self.last_read: dict[str, tuple[str | None, int]] = {}  # what it last read: value, revision
+        self.last_read: dict[str, tuple[str | None, int]] = {}  # key -> value and revision that it last read
         self.attempt_number = 0
 
     def start(self) -> None:
@@ -191,72 +190,73 @@
         old, revision = self.last_read.get(key, (None, 0))
         checks = (kv.Check(key, revision),) if kind == "swap" else ()
         txn = kv.Transaction(checks, (kv.Put(key, value.encode()),))
-        began = self.sim.now_ms
+        start = self.sim.now_ms
 
-        def ended(result: kv.Result) -> None:
+        def completed(result: kv.Result) -> None:
             if result.error in ("", "check"):
                 self.sim.history.append(
-                    Operation(key, kind, value, began, self.sim.now_ms, old, result.error == "")
+                    Operation(key, kind, value, start, self.sim.now_ms, old, result.error == "")
                 )
                 self.last_read.pop(key, None)
                 self.schedule_next()
-            else:  # its session is gone: whether it took effect is not known
-                self.sim.history.append(Operation(key, kind, value, began, math.inf, old, None))
+            else:  # its session has ended: the outcome is unknown
+                self.sim.history.append(Operation(key, kind, value, start, math.inf, old, None))
                 self.start()
 
-        pending = Operation(key, kind, value, began, math.inf, old, None)
+        pending = Operation(key, kind, value, start, math.inf, old, None)
         self.sim.open_operations[self.name] = pending
-        self._command(txn, ended)
+        self._command(txn, completed)
 
-    def _command(self, action: kv.Action, ended: Callable[[kv.Result], None]) -> None:
-        """Ask one replica after the other until an answer comes; the session keeps it from running twice."""
+    def _command(self, action: kv.Action, completed: Callable[[kv.Result], None]) -> None:
+        """Retries at random replicas until a response arrives; the session prevents a second execution."""
         opening = isinstance(action, kv.OpenSession)
         if not opening:
             self.number += 1
         command = kv.Command(action, 0 if opening else self.session, 0 if opening else self.number)
-        done = False
+        is_completed = False
 
-        def answer(result: kv.Result | None, turn: int) -> None:
-            nonlocal done
-            if done or (result is None and turn != self.attempt_number):
+        def receive(result: kv.Result | None, attempt_number: int) -> None:
+            nonlocal is_completed
+            if is_completed or (result is None and attempt_number != self.attempt_number):
                 return
             if result is None:
                 retry()
                 return
-            done = True
+            is_completed = True
             self.sim.open_operations.pop(self.name, None)
-            ended(result)
+            completed(result)
 
         def retry() -> None:
             self.sim.schedule(self.sim.rng.uniform(5, 60), attempt)
 
         def attempt() -> None:
-            if done:
+            if is_completed:
                 return
             self.attempt_number += 1
             turn = self.attempt_number
             self.sim.call_any_replica(
-                lambda node, now, back: node.propose(now, command, back), lambda r: answer(r, turn)
+                lambda node, now, back: node.propose(now, command, back), lambda r: receive(r, turn)
             )
             self.sim.schedule(
-                CLIENT_TIMEOUT_MS, lambda: attempt() if not done and turn == self.attempt_number else None
+                CLIENT_TIMEOUT_MS,
+                lambda: attempt() if not is_completed and turn == self.attempt_number else None,
             )
 
         attempt()
 
     def _read(self, key: str) -> None:
-        began = self.sim.now_ms
-        over = False
+        start = self.sim.now_ms
+        is_completed = False
 
-        def ended(value: Any) -> None:
-            nonlocal over
-            if over:
+        def completed(value: Any) -> None:
+            nonlocal is_completed
+            if is_completed:
                 return
-            over = True
+            is_completed = True
             if value is not None:
                 found, _ = value
                 self.last_read[key] = value
-                self.sim.history.append(Operation(key, "read", found, began, self.sim.now_ms))
+                self.sim.history.append(Operation(key, "read", found, start, self.sim.now_ms))
             self.schedule_next()
 
         def ask(node: Node, now: float, back: Callable[[Any], None]) -> None:
@@ -268,12 +268,12 @@
 
             node.read(now, done)
 
-        self.sim.call_any_replica(ask, ended)
-        self.sim.schedule(CLIENT_TIMEOUT_MS, lambda: ended(None))
+        self.sim.call_any_replica(ask, completed)
+        self.sim.schedule(CLIENT_TIMEOUT_MS, lambda: completed(None))
 
 
 class ClusterSimulation:
-    """One run."""
+    """One run of a simulated cluster."""
 
     def __init__(
         self,
@@ -303,55 +303,57 @@
         self.clients = [SimulatedClient(self, f"c{at}") for at in range(clients)]
 
     # --- Time and network --------------------------------------------------------------------------
-    def schedule(self, ms: float, act: Callable[[], None]) -> None:
+    def schedule(self, ms: float, action: Callable[[], None]) -> None:
         self._count += 1
-        heapq.heappush(self._queue, (self.now_ms + ms, self._count, act))
+        heapq.heappush(self._queue, (self.now_ms + ms, self._count, action))
 
     def local_time(self, host: Host) -> float:
         return self.now_ms * host.clock_rate
 
-    def send(self, sender: Host, to: str, message: Message) -> None:
-        raw, run = wire.encode(message), sender.incarnation
+    def send(self, sender: Host, receiver: str, message: Message) -> None:
+        raw, incarnation = wire.encode(message), sender.incarnation
         for _ in range(2 if self.rng.random() < self.faults.duplicate_rate else 1):
-            if self.rng.random() < self.faults.loss_rate or to not in self.hosts:
+            if self.rng.random() < self.faults.loss_rate or receiver not in self.hosts:
                 continue
             delay = self.rng.uniform(0.3, 5) if self.rng.random() < 0.95 else self.rng.uniform(20, 400)
-            self.schedule(delay, lambda: self._deliver(sender, run, to, raw))
+            self.schedule(delay, lambda: self._deliver(sender, incarnation, receiver, raw))
 
-    def _deliver(self, sender: Host, run: int, to: str, raw: bytes) -> None:
-        if (
-            sender.name,
-            to,
-        ) in self.blocked_links or sender.incarnation != run:  # a connection ends with its process
+    def _deliver(self, sender: Host, incarnation: int, receiver: str, raw: bytes) -> None:
+        # A connection closes with its process.
+        if (sender.name, receiver) in self.blocked_links or sender.incarnation != incarnation:
             return
-        self.run_on(self.hosts[to], lambda node, now: node.step(now, sender.name, wire.decode_message(raw)))
+        self.run_on(
+            self.hosts[receiver], lambda node, now: node.step(now, sender.name, wire.decode_message(raw))
+        )
 
-    def run_on(self, host: Host, act: Callable[[Node, float], None]) -> None:
-        """Have a replica do something now; one asleep does it when it wakes."""
+    def run_on(self, host: Host, action: Callable[[Node, float], None]) -> None:
+        """Runs an action on a replica, or after its pause if it is paused."""
         if host.is_paused:
-            run = host.incarnation
-            host.deferred.append(lambda: self.run_on(host, act) if host.incarnation == run else None)
+            incarnation = host.incarnation
+            host.deferred.append(
+                lambda: self.run_on(host, action) if host.incarnation == incarnation else None
+            )
             return
         if host.node is None:
             return
         try:
-            act(host.node, self.local_time(host))
+            action(host.node, self.local_time(host))
             host.node.process_output()
         except SimulatedCrash:
             self.crash(host)
         self._check_safety(host)
 
-    def call_any_replica(self, act: Callable[..., None], back: Callable[[Any], None]) -> None:
-        """A client's call on any replica; its answer takes its time, and may be lost."""
+    def call_any_replica(self, call_replica: Callable[..., None], respond: Callable[[Any], None]) -> None:
+        """Calls a random replica for a client, with delays; the response may be lost."""
         host = self.hosts[self.rng.choice(sorted(self.hosts))]
 
         def call(node: Node, now: float) -> None:
             def answer(result: Any) -> None:
                 if self.rng.random() >= self.faults.loss_rate * 2:
-                    self.schedule(self.rng.uniform(0.3, 5), lambda: back(result))
+                    self.schedule(self.rng.uniform(0.3, 5), lambda: respond(result))
 
             try:
-                act(node, now, answer)
+                call_replica(node, now, answer)
             except RefusedError:
                 answer(None)
 
@@ -380,21 +382,18 @@
                 may_be_stale=host.may_be_stale,
                 crash_point=lambda name: self._reach_crash_point(host, name),
             )
-        except (
-            SimulatedCrash,
-            OSError,
-        ):  # a start that the disk does not let through ends, and is tried again
+        except (SimulatedCrash, OSError):  # the start is retried
             self.crash(host)
             return
         host.may_be_stale = False
         self._tick_regularly(host, host.incarnation)
 
-    def _tick_regularly(self, host: Host, run: int) -> None:
-        if host.incarnation != run or host.node is None:
+    def _tick_regularly(self, host: Host, incarnation: int) -> None:
+        if host.incarnation != incarnation or host.node is None:
             return
         if not host.is_paused:
             self.run_on(host, lambda node, now: node.tick(now))
-        self.schedule(self.rng.uniform(3, 12), lambda: self._tick_regularly(host, run))
+        self.schedule(self.rng.uniform(3, 12), lambda: self._tick_regularly(host, incarnation))
 
     def _reach_crash_point(self, host: Host, name: str) -> None:
         if (
@@ -402,7 +401,7 @@
             and self.now_ms < self.faults_end_ms
             and self.rng.random() < self.faults.crash_rate
         ):
-            self.log.append(f"{self.now_ms:.0f} {host.name} ends at {name}")
+            self.log.append(f"{self.now_ms:.0f} {host.name} crashes at {name}")
             raise SimulatedCrash
 
     def crash(self, host: Host) -> None:
@@ -410,23 +409,23 @@
         host.deferred.clear()
         host.files.lose_power(self.rng)
         host.incarnation += 1
-        run = host.incarnation
+        incarnation = host.incarnation
         self.schedule(
-            self.rng.uniform(20, 2500), lambda: self.start(host) if host.incarnation == run else None
+            self.rng.uniform(20, 2500), lambda: self.start(host) if host.incarnation == incarnation else None
         )
 
     def resume(self, host: Host) -> None:
         host.is_paused = False
         waiting, host.deferred = host.deferred, []
-        for act in waiting:
-            act()
+        for action in waiting:
+            action()
 
     @property
     def leader(self) -> Host | None:
         leading = [host for host in self.hosts.values() if host.node and host.node.is_leader]
         return max(leading, key=lambda host: host.node.raft.hard_state.term if host.node else 0, default=None)
 
-    # --- What goes wrong --------------------------------------------------------------------------------
+    # --- Fault injection --------------------------------------------------------------------------------
     def _inject_fault(self) -> None:
         if self.now_ms >= self.faults_end_ms:
             return
@@ -439,39 +438,40 @@
             (
                 "crash",
                 "crash",
-                "island",
-                "deaf",
-                "mute",
-                "sleep",
-                "split",
+                "isolated",
+                "receives nothing",
+                "sends nothing",
+                "pause",
+                "partition",
                 "heal",
-                "full",
+                "full disk",
                 "transfer",
                 "members",
             )
         ):
             case "crash" if host.node:
-                self.log.append(f"{self.now_ms:.0f} {host.name} ends")
+                self.log.append(f"{self.now_ms:.0f} {host.name} crashes")
                 self.crash(host)
-            case "island":
+            case "isolated":
                 self.blocked_links |= {(host.name, name) for name in others} | {
                     (name, host.name) for name in others
                 }
-            case "deaf":
+            case "receives nothing":
                 self.blocked_links |= {(name, host.name) for name in others}
-            case "mute":
+            case "sends nothing":
                 self.blocked_links |= {(host.name, name) for name in others}
-            case "split":
+            case "partition":
                 half = set(rng.sample(sorted(self.hosts), len(self.hosts) // 2))
                 pairs = {(a, b) for a in self.hosts for b in self.hosts if (a in half) != (b in half)}
                 self.blocked_links |= pairs
-            case "sleep" if host.node and not host.is_paused:
+            case "pause" if host.node and not host.is_paused:
                 host.is_paused = True
-                run = host.incarnation
+                incarnation = host.incarnation
                 self.schedule(
-                    rng.uniform(50, 2500), lambda: self.resume(host) if host.incarnation == run else None
+                    rng.uniform(50, 2500),
+                    lambda: self.resume(host) if host.incarnation == incarnation else None,
                 )
-            case "full" if host.node:
+            case "full disk" if host.node:
                 host.files.is_failing = True
                 self.schedule(rng.uniform(50, 800), lambda: self._end_disk_fault(host))
             case "transfer" if leader and leader.node and others:
@@ -489,30 +489,30 @@
         self.schedule(rng.uniform(100, 900), self._inject_fault)
 
     def _change_membership(self, leader: Host) -> None:
-        """A member comes as a learner, gets its vote, or goes; whether it may now is the leader's to say."""
+        """Proposes to add a learner, promote one, or remove a member; the leader may refuse."""
         assert leader.node
-        held = list(leader.node.raft.membership.members)
-        learners = [at for at, member in enumerate(held) if not member.voter]
+        membership = list(leader.node.raft.membership.members)
+        learners = [at for at, member in enumerate(membership) if not member.voter]
         if learners:
             at = self.rng.choice(learners)
-            held[at] = Member(held[at].name, held[at].address)
-        elif len(held) > self.size or self.rng.random() < 0.3:
-            if len(held) > 2:
-                del held[self.rng.randrange(len(held))]
+            membership[at] = Member(membership[at].name, membership[at].address)
+        elif len(membership) > self.size or self.rng.random() < 0.3:
+            if len(membership) > 2:
+                del membership[self.rng.randrange(len(membership))]
         else:
             self.added_host_count += 1
-            held.append(Member(self.add_host(f"x{self.added_host_count}").name, "", voter=False))
-        members = Membership(tuple(held))
+            membership.append(Member(self.add_host(f"x{self.added_host_count}").name, "", voter=False))
+        membership = Membership(tuple(membership))
         self.run_on(
             leader,
             lambda node, now: _ignore_refusal(
-                lambda: node.change_membership(now, members, lambda result: None)
+                lambda: node.change_membership(now, membership, lambda result: None)
             ),
         )
 
     def _end_disk_fault(self, host: Host) -> None:
         host.files.is_failing = False
-        if host.node and host.node.failure and self.rng.random() < 0.3:  # an operator starts it again
+        if host.node and host.node.failure and self.rng.random() < 0.3:  # an operator restarts it
             self.crash(host)
 
     # --- Properties (Ongaro, figure 3.2) ------------------------------------------------------------------
@@ -520,24 +520,24 @@
         node = host.node
         if node is None:
             return
-        core = node.raft
+        raft = node.raft
         if node.is_leader:
-            term = core.hard_state.term
+            term = raft.hard_state.term
             first = self.leader_by_term.setdefault(term, host.name)
             assert first == host.name, f"two leaders in term {term}"
             if getattr(node, "checked", 0) != term:
                 node.checked = term  # type: ignore[attr-defined]
                 for index, entry in self.committed.items():
-                    if index > core.log.snapshot.index:
-                        assert core.log.term_at(index) == entry.term, (
+                    if index > raft.log.snapshot.index:
+                        assert raft.log.term_at(index) == entry.term, (
                             f"leader {host.name} lacks entry {index}"
                         )
-        start = max(getattr(node, "seen", 0), core.log.snapshot.index)
-        if core.applied_index > start and start >= core.log.base_index:
-            for entry in core.log.entries_after(start, last=core.applied_index):
+        start = max(getattr(node, "seen", 0), raft.log.snapshot.index)
+        if raft.applied_index > start and start >= raft.log.base_index:
+            for entry in raft.log.entries_after(start, last=raft.applied_index):
                 known = self.committed.setdefault(entry.index, entry)
                 assert known == entry, f"{host.name} applied another entry {entry.index}"
-        node.seen = core.applied_index  # type: ignore[attr-defined]
+        node.seen = raft.applied_index  # type: ignore[attr-defined]
         self.steps += 1
 
     def _check_log_matching(self) -> None:
@@ -548,12 +548,12 @@
                 low, high = max(a.base_index, b.base_index), min(a.last_index, b.last_index)
                 agreed = max((i for i in range(low, high + 1) if a.term_at(i) == b.term_at(i)), default=low)
                 assert all(a.term_at(i) == b.term_at(i) for i in range(low + 1, agreed + 1)), (
-                    "logs differ before an agreement"
+                    "logs differ before a matching entry"
                 )
 
     # --- The run ----------------------------------------------------------------------------------------
     def run(self) -> None:
-        """Faults, then calm; AssertionError where a property is broken."""
+        """Runs with faults, then without. AssertionError if a property is violated."""
         for client in self.clients:
             client.start()
         if self.faults.has_events:
@@ -561,11 +561,11 @@
         self.run_until(lambda: self.now_ms >= self.faults_end_ms)
         self.end_faults()
         self.run_until(self.has_converged, MAX_CONVERGENCE_MS)
-        assert self.has_converged(), "the replicas do not come to agree when all is well again"
+        assert self.has_converged(), "the replicas do not converge after the end of all faults"
         self.check_final_state()
 
     def end_faults(self) -> None:
-        """All faults end."""
+        """Ends all faults."""
         self.faults = Faults(0, 0, 0, False)
         self.blocked_links.clear()
         for host in self.hosts.values():
@@ -576,29 +576,29 @@
                 self.crash(host)
 
     def run_until(self, condition: Callable[[], bool], max_ms: float = math.inf) -> None:
-        end, looked = self.now_ms + max_ms, 0.0
+        end, last_check_ms = self.now_ms + max_ms, 0.0
         while self._queue and not condition() and self.now_ms < end:
             self.now_ms, _, act = heapq.heappop(self._queue)
             act()
-            if self.now_ms - looked > 100:
-                looked = self.now_ms
+            if self.now_ms - last_check_ms > 100:
+                last_check_ms = self.now_ms
                 self._check_log_matching()
 
     def has_converged(self) -> bool:
-        """Whether all voters are up and hold the same state, and no client waits."""
+        """Whether all members are up and have applied the whole log, and no client waits."""
         leader = self.leader
         if self.open_operations or leader is None or leader.node is None:
             return False
-        core = leader.node.raft
-        for name in core.membership.names:
+        raft = leader.node.raft
+        for name in raft.membership.names:
             node = self.hosts[name].node
             if (
                 node is None
-                or node.raft.applied_index != core.log.last_index
+                or node.raft.applied_index != raft.log.last_index
                 or node.raft.hard_state.recovering
             ):
                 return False
-        return core.applied_index == core.log.last_index
+        return raft.applied_index == raft.log.last_index
 
     def check_final_state(self) -> None:
         leader = self.leader
@@ -610,17 +610,17 @@
         ]
         assert all(state == states[0] for state in states), "replicas hold different states"
         self._check_log_matching()
-        wrong = violations([*self.history, *self.open_operations.values()])
-        assert not wrong, f"no order explains what was seen of {wrong}"
+        violating_keys = violations([*self.history, *self.open_operations.values()])
+        assert not violating_keys, f"the history is not linearizable for the keys {violating_keys}"
 
 
-def _ignore_refusal(act: Callable[[], Any]) -> None:
+def _ignore_refusal(action: Callable[[], Any]) -> None:
     with contextlib.suppress(RefusedError):
-        act()
+        action()
 
 
 def run_seed(seed: int, size: int) -> ClusterSimulation:
-    """One seed; a failure tells how to play it again."""
+    """Runs one seed; a failure states how to repeat it."""
     sim = ClusterSimulation(seed, size)
     try:
         sim.run()
@@ -631,21 +631,21 @@
 
 
 def main(argv: list[str]) -> int:
-    """`storesim.py SIZE FIRST [LAST]`: many seeds by hand."""
+    """Runs a range of seeds: `storesim.py SIZE FIRST [LAST]`."""
     size, first = int(argv[0]), int(argv[1])
     last = int(argv[2]) if len(argv) > 2 else first
-    ops = steps = bad = 0
+    ops = steps = failed = 0
     for seed in range(first, last + 1):
         try:
             sim = run_seed(seed, size)
             ops, steps = ops + len(sim.history), steps + sim.steps
         except AssertionError as error:
-            bad += 1
+            failed += 1
             print(f"seed {seed}: {error}", flush=True)
             if first == last:
                 raise
-    print(f"{last - first + 1} seeds of {size} replicas: {steps} steps, {ops} operations, {bad} failed")
-    return 1 if bad else 0
+    print(f"{last - first + 1} seeds of {size} replicas: {steps} steps, {ops} operations, {failed} failed")
+    return 1 if failed else 0
 
 
 if __name__ == "__main__":
--- a/tests/test_linear.py
+++ b/tests/test_linear.py
@@ -1,4 +1,4 @@
-"""The checker itself: it must find what is planted, and nothing else."""
+"""The linearizability checker finds every planted violation and reports none in valid histories."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 
 def history(rng: random.Random, count: int = 60) -> list[Operation]:
-    """Concurrent operations that did have an order: each takes effect at a moment within its time."""
-    made, state = [], None
-    moment = 0.0
+    """Returns concurrent operations with a valid order: each takes effect at a time between start and end."""
+    operations, state = [], None
+    effect_time = 0.0
     for at in range(count):
-        moment += rng.random()
-        began, ended = moment - rng.random() * 3, moment + rng.random() * 3
+        effect_time += rng.random()
+        start, end = effect_time - rng.random() * 3, effect_time + rng.random() * 3
         kind = rng.choice(("read", "write", "swap"))
         if kind == "read":
-            made.append(op("read", state, began, ended))
+            operations.append(op("read", state, start, end))
         elif kind == "write":
             state = f"v{at}"
-            made.append(op("write", state, began, ended))
+            operations.append(op("write", state, start, end))
         else:
             old = rng.choice((state, "other"))
-            good = old == state
-            state = f"v{at}" if good else state
-            made.append(op("swap", f"v{at}", began, ended, expected=old, succeeded=good))
-    return made
+            succeeded = old == state
+            state = f"v{at}" if succeeded else state
+            operations.append(op("swap", f"v{at}", start, end, expected=old, succeeded=succeeded))
+    return operations
 
 
-def test_histories_with_an_order_are_accepted() -> None:
+def test_linearizable_histories_are_accepted() -> None:
     for seed in range(200):
         assert not violations(history(random.Random(seed)))
 
@@ -56,14 +56,14 @@
     assert violations(ops) == ["k"]
 
 
-def test_a_value_that_comes_back_after_a_repeat_is_found() -> None:
-    """What a command applied twice looks like."""
+def test_a_value_that_returns_after_an_overwrite_is_found() -> None:
+    """A command that was applied twice shows up as a value that returns after it was overwritten."""
     ops = [op("write", "1", 0, 10), op("read", "1", 1, 2), op("write", "2", 3, 4), op("read", "2", 5, 6)]
     assert not violations(ops)
     assert violations([*ops, op("read", "1", 7, 8)]) == ["k"]
 
 
-def test_an_unanswered_write_may_have_taken_effect_or_not() -> None:
+def test_a_write_without_a_response_may_have_taken_effect_or_not() -> None:
     lost = op("write", "1", 0, math.inf)
     assert not violations([lost, op("read", None, 1, 2), op("read", "1", 3, 4)])
     assert not violations([lost, op("read", None, 1, 2)])
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -1,4 +1,4 @@
-"""The log on the disk: what a crash leaves is read again; what it can't have left stops the replica."""
+"""The log on disk: what a crash can leave is read back; data that no crash can leave stops the replica."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     return snapshot
 
 
-def test_what_was_written_is_read_again(tmp_path: Path) -> None:
+def test_written_data_is_read_back(tmp_path: Path) -> None:
     disk = Disk(OsFiles(tmp_path))
     disk.write((entry(1), entry(2)), HardState(1, "a"))
     disk.write((entry(3, 2),), HardState(2, "b"))
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("left", [1, 10, 25, 30])
-def test_a_torn_tail_is_cut_and_writing_goes_on(tmp_path: Path, left: int) -> None:
+def test_a_torn_tail_is_truncated_and_writing_continues(tmp_path: Path, left: int) -> None:
     disk = Disk(OsFiles(tmp_path))
     disk.write((entry(1),), HardState(1, "a"))
     name = tmp_path / "log-00000000000000000001.seg"
@@ -67,24 +67,28 @@
 
 
 @pytest.mark.parametrize("what", ["write", "rewrite"])
-def test_a_kill_at_each_byte_of_a_record_leaves_what_was_promised(what: str) -> None:
-    """Of a write in an old segment, and of the batch that writes all anew in another one."""
-    whole = SimFiles()
-    disk = Disk(whole)
+def test_a_crash_at_each_byte_of_a_batch_keeps_acknowledged_data(what: str) -> None:
+    """Covers a write to an existing segment and the batch of a rewrite to a new segment."""
+    complete_files = SimFiles()
+    disk = Disk(complete_files)
     disk.write((entry(1),), HardState(1, "a"))
     disk.log.append(entry(1))
-    before = {name: len(file.data) for name, file in whole.current_files.items()}
+    before = {name: len(file.data) for name, file in complete_files.current_files.items()}
     if what == "rewrite":
         disk.rewrite(disk.log, HardState(1, "a"))
-        [name] = [name for name in whole.current_files if name not in before and name.startswith("log-")]
+        [name] = [
+            name for name in complete_files.current_files if name not in before and name.startswith("log-")
+        ]
     else:
         disk.write((entry(2),), None)
-        [name] = [name for name, file in whole.current_files.items() if len(file.data) > before[name]]
-    start, size = before.get(name, 0), len(whole.current_files[name].data)
+        [name] = [
+            name for name, file in complete_files.current_files.items() if len(file.data) > before[name]
+        ]
+    start, size = before.get(name, 0), len(complete_files.current_files[name].data)
     for left in range(start, size):
-        files = whole.copy()
+        files = complete_files.copy()
         del files.current_files[name].data[left:]
-        if what == "rewrite":  # the old one goes after the new one is whole
+        if what == "rewrite":  # the old segment is removed once the new one is complete
             files.append("log-00000000000000000001.seg", bytes(first_segment()))
         again = Disk(files)
         assert indexes_and_terms(again.log) == [(1, 1)] and again.hard_state == HardState(1, "a"), left
@@ -93,14 +97,14 @@
 
 
 def first_segment() -> bytearray:
-    """The one segment of a disk with one entry."""
+    """Returns the segment of a disk with one entry."""
     files = SimFiles()
     Disk(files).write((entry(1),), HardState(1, "a"))
     [file] = files.current_files.values()
     return file.data
 
 
-def test_each_flipped_bit_before_the_last_write_stops_the_replica(tmp_path: Path) -> None:
+def test_a_flipped_bit_in_each_byte_before_the_last_write_stops_the_replica(tmp_path: Path) -> None:
     disk = Disk(OsFiles(tmp_path))
     disk.write((entry(1),), HardState(1, "a"))
     name = tmp_path / "log-00000000000000000001.seg"
@@ -111,20 +115,20 @@
         name.write_bytes(raw[:at] + bytes([raw[at] ^ 4]) + raw[at + 1 :])
         with pytest.raises(CorruptionError, match=r"log-0+1\.seg: corruption at byte \d+.*store remove"):
             Disk(OsFiles(tmp_path))
-        assert name.stat().st_size == len(raw), "nothing may be cut from what can't be trusted"
+        assert name.stat().st_size == len(raw), "a corrupt file must not be truncated"
 
 
-def test_damage_in_an_earlier_segment_stops_the_replica(tmp_path: Path) -> None:
+def test_corruption_in_an_earlier_segment_stops_the_replica(tmp_path: Path) -> None:
     disk = Disk(OsFiles(tmp_path))
     disk.write(tuple(entry(at) for at in range(1, 9)), HardState(1, "a"))
     write_snapshot(disk, 4)
     name = tmp_path / "log-00000000000000000001.seg"
-    name.write_bytes(name.read_bytes()[:-1])  # even its tail: what follows was written later
+    name.write_bytes(name.read_bytes()[:-1])  # a torn tail is corruption, too, as later segments exist
     with pytest.raises(CorruptionError):
         Disk(OsFiles(tmp_path))
 
 
-def test_a_damaged_snapshot_stops_the_replica(tmp_path: Path) -> None:
+def test_a_corrupt_snapshot_stops_the_replica(tmp_path: Path) -> None:
     disk = Disk(OsFiles(tmp_path))
     disk.write((entry(1),), None)
     write_snapshot(disk, 1)
@@ -136,7 +140,7 @@
             Disk(OsFiles(tmp_path))
 
 
-def test_a_snapshot_lets_entries_before_the_last_one_go(tmp_path: Path) -> None:
+def test_a_snapshot_drops_entries_before_the_preceding_one(tmp_path: Path) -> None:
     disk = Disk(OsFiles(tmp_path))
     base = 0
     for at in range(1, 101):
@@ -150,7 +154,7 @@
     assert len(list(tmp_path.iterdir())) <= 5
 
 
-def test_a_leaders_snapshot_replaces_all(tmp_path: Path) -> None:
+def test_a_snapshot_from_the_leader_replaces_all_entries(tmp_path: Path) -> None:
     disk = Disk(OsFiles(tmp_path))
     disk.write((entry(1), entry(2)), HardState(1, "a"))
     disk.install_snapshot(Snapshot(50, 3, MEMBERS, b"x"))
@@ -165,7 +169,7 @@
 
 # --- Every crash point -------------------------------------------------------------------------------
 class DiskScenario:
-    """Writes, snapshots and an install; it remembers what was promised and what was begun."""
+    """Runs writes, snapshots and an installation; records what was acknowledged and what was started."""
 
     def __init__(self, files: SimFiles, crash_at: int) -> None:
         self.files, self.points_left, self.reached_points = files, crash_at, list[str]()
@@ -205,14 +209,14 @@
         self.write(disk, entry(21, 3))
 
 
-def test_every_crash_point_leaves_what_was_promised() -> None:
-    """Each point is tried with several fates of what was not synced."""
-    count, tried = 1, set[str]()
+def test_every_crash_point_keeps_acknowledged_data() -> None:
+    """Crashes at each point in turn, with several random losses of unsynced data."""
+    count, reached = 1, set[str]()
     while True:
-        for fate in range(12):
-            story = DiskScenario(SimFiles(), count)
+        for loss_seed in range(12):
+            scenario = DiskScenario(SimFiles(), count)
             try:
-                story.run()
+                scenario.run()
             except SimulatedCrash:
                 pass
             else:
@@ -223,33 +227,33 @@
                     "snapshot.renamed",
                     "roll.named",
                 }
-                assert needed | {"install.renamed", "install.rolled", "forget.removed"} <= tried
+                assert needed | {"install.renamed", "install.rolled", "forget.removed"} <= reached
                 return
-            tried.add(story.reached_points[-1])
-            story.files.lose_power(random.Random(fate))
-            again = Disk(story.files)
-            where = f"{story.reached_points[-1]}, point {count}, fate {fate}"
-            assert again.hard_state in (story.hard_state, story.started_hard_state), where
+            reached.add(scenario.reached_points[-1])
+            scenario.files.lose_power(random.Random(loss_seed))
+            again = Disk(scenario.files)
+            where = f"{scenario.reached_points[-1]}, point {count}, loss seed {loss_seed}"
+            assert again.hard_state in (scenario.hard_state, scenario.started_hard_state), where
             log = again.log
-            assert log.snapshot.index >= story.snapshot_index, where
-            if story.installed or log.snapshot.index == 20:
+            assert log.snapshot.index >= scenario.snapshot_index, where
+            if scenario.installed or log.snapshot.index == 20:
                 assert log.snapshot.data == b"leader's", where
-                assert log.last_index >= 20 + (21 in [e.index for e in story.acknowledged]), where
+                assert log.last_index >= 20 + (21 in [e.index for e in scenario.acknowledged]), where
                 continue
-            held = {each.index: each for each in log.entries}
-            wanted = [each for each in story.acknowledged if each.index > log.base_index]
-            good = all(held.get(each.index) == each for each in wanted)
-            replaced = [each for each in story.started if each.index > log.base_index]
-            assert good or [held.get(each.index) for each in replaced] == replaced, where
-            # And it can be written to, and read once more.
+            entries = {each.index: each for each in log.entries}
+            acknowledged = [each for each in scenario.acknowledged if each.index > log.base_index]
+            keeps_acknowledged = all(entries.get(each.index) == each for each in acknowledged)
+            replaced = [each for each in scenario.started if each.index > log.base_index]
+            assert keeps_acknowledged or [entries.get(each.index) for each in replaced] == replaced, where
+            # The disk also accepts a write that is read back.
             last = log.last_index + 1
             again.write((entry(last, 9),), HardState(9, "z"))
-            final = Disk(story.files)
+            final = Disk(scenario.files)
             assert final.log.last_index == last and final.hard_state == HardState(9, "z"), where
         count += 1
 
 
-def test_an_end_between_a_leaders_snapshot_and_its_segment_is_taken_up() -> None:
+def test_a_crash_between_an_installed_snapshot_and_its_segment_is_recovered() -> None:
     files = SimFiles()
     left = 0
 
@@ -268,7 +272,7 @@
     assert indexes_and_terms(Disk(files).log) == [(21, 3)]
 
 
-def test_a_full_disk_is_told_and_loses_nothing() -> None:
+def test_a_full_disk_is_reported_and_loses_nothing() -> None:
     files = SimFiles()
     disk = Disk(files)
     disk.write((entry(1),), HardState(1, "a"))
@@ -281,8 +285,8 @@
     assert indexes_and_terms(again.log)[:1] == [(1, 1)]
 
 
-def test_what_a_failed_sync_left_is_written_anew_elsewhere() -> None:
-    """The sync after it succeeds, and the bytes are lost all the same: nothing rests on them."""
+def test_data_of_a_failed_sync_is_written_to_new_files() -> None:
+    """A sync after a failed one succeeds although the bytes may be lost, so nothing may depend on them."""
     for seed in range(20):
         files = SimFiles()
         disk = Disk(files)
@@ -293,7 +297,7 @@
             disk.write((entry(2),), HardState(2, "a"))
         disk.log.append(entry(2))
         with pytest.raises(OSError):
-            disk.rewrite(disk.log, HardState(2, "a"))  # it fails still
+            disk.rewrite(disk.log, HardState(2, "a"))  # the disk still fails
         files.is_failing = False
         disk.rewrite(disk.log, HardState(2, "a"))
         disk.write((entry(3),), None)
@@ -305,7 +309,7 @@
 
 
 def crash_during_rewrite(at: int) -> tuple[SimFiles, str]:
-    """A disk that failed once, its process ended at the n-th point of writing it anew; the point's name."""
+    """Crashes at a point of a rewrite after a disk failure; returns the files and the point's name."""
     files, passed = SimFiles(), list[str]()
     rewriting = False
 
@@ -330,7 +334,7 @@
     return files, ""
 
 
-def test_every_crash_point_of_a_rewrite_leaves_what_was_promised() -> None:
+def test_every_crash_point_of_a_rewrite_keeps_acknowledged_data() -> None:
     points = []
     for at in range(100):
         files, point = crash_during_rewrite(at)
@@ -346,8 +350,8 @@
     assert {"rewrite.torn", "rewrite.unsynced", "rewrite.synced", "rewrite.named"} <= set(points)
 
 
-def test_a_segment_that_never_came_whole_does_not_come_back_behind_a_torn_one() -> None:
-    """Its removal is on the disk before anything is written to the segment before it."""
+def test_an_incomplete_segment_does_not_reappear_after_a_torn_one() -> None:
+    """The removal must be synced before anything is written to the preceding segment."""
     for seed in range(20):
         files = SimFiles()
         disk = Disk(files)
--- a/tests/test_store_faulty_disk.py
+++ b/tests/test_store_faulty_disk.py
@@ -1,4 +1,4 @@
-"""Replicas as processes whose disks fail for a while: they go on, and nothing acknowledged is lost."""
+"""Replica processes whose disks fail for a while: they continue, and no acknowledged write is lost."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 
 pytestmark = pytest.mark.skipif(compiler() is None, reason="failing system calls need a C compiler")
 
-FULL = CallFault(Call.FILE_WRITE, Effect.FAIL, 1.0, errno.ENOSPC)
-BROKEN_SYNC = CallFault(Call.FILE_SYNC, Effect.FAIL, 1.0, errno.EIO)
-BROKEN_NOW_AND_THEN = CallFault(Call.FILE_SYNC, Effect.FAIL, 0.2, errno.EIO)
-FAULT_S = 3.0
+DISK_FULL = CallFault(Call.FILE_WRITE, Effect.FAIL, 1.0, errno.ENOSPC)
+SYNC_FAILS = CallFault(Call.FILE_SYNC, Effect.FAIL, 1.0, errno.EIO)
+SYNC_FAILS_SOMETIMES = CallFault(Call.FILE_SYNC, Effect.FAIL, 0.2, errno.EIO)
+FAULT_DURATION_S = 3.0
 
 
-def preload(made: Cluster, path: Path) -> dict[str, FaultTable]:
-    """A table for each replica, by which its calls fail from its start on."""
+def preload(running_cluster: Cluster, path: Path) -> dict[str, FaultTable]:
+    """Returns a fault table for each replica, which applies from the start of its process on."""
     library = build(path)
-    tables = {name: FaultTable(path / f"{name}.faults") for name in made.names}
-    made.environment = {name: environment(library, table) for name, table in tables.items()}
+    tables = {name: FaultTable(path / f"{name}.faults") for name in running_cluster.names}
+    running_cluster.environment = {name: environment(library, table) for name, table in tables.items()}
     return tables
 
 
 @pytest.mark.parametrize(
-    "fault", [FULL, BROKEN_SYNC, BROKEN_NOW_AND_THEN], ids=["full", "sync", "now and then"]
+    "fault", [DISK_FULL, SYNC_FAILS, SYNC_FAILS_SOMETIMES], ids=["full", "sync", "now and then"]
 )
-def test_three_failing_disks_lose_nothing_and_nobody_starts_a_replica(
+def test_three_failing_disks_lose_no_acknowledged_write_without_a_restart(
     tmp_path: Path, fault: CallFault
 ) -> None:
     async def story(made: Cluster, tables: dict[str, FaultTable]) -> None:
@@ -43,7 +43,7 @@
         await until(lambda: _more(writers, [0, 0, 0]))
         for table in tables.values():
             table.begin(fault)
-        await asyncio.sleep(FAULT_S)
+        await asyncio.sleep(FAULT_DURATION_S)
         for table in tables.values():
             table.end(fault)
         before = [writer.count for writer in writers]
@@ -52,7 +52,7 @@
             writer.stopped = True
         await asyncio.gather(*tasks)
         assert all(process.poll() is None for process in made.running.values())
-        # What is read again after a kill is what was on the disks.
+        # After a kill, the replicas read back what was on their disks.
         made.environment = {}
         for name in made.names:
             made.kill(name, signal.SIGKILL)
--- a/tests/test_store_raft.py
+++ b/tests/test_store_raft.py
@@ -1,4 +1,4 @@
-"""The consensus core on simulated time: each test is the story of one failure."""
+"""Raft in simulated time: each test guards against one failure."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class FaultFreeCluster(ClusterSimulation):
-    """A cluster in which nothing goes wrong but what the test does."""
+    """A simulated cluster whose only faults are those that the test causes."""
 
     def __init__(self, size: int = 3, seed: int = 1) -> None:
         super().__init__(seed, size, Faults(0, 0, 0, False), MAX_WAIT_MS * 100, clients=0)
@@ -27,7 +27,7 @@
 
     def wait_until(self, condition: Callable[[], bool], max_ms: float = MAX_WAIT_MS) -> None:
         self.run_until(condition, max_ms)
-        assert condition(), "it did not come to be"
+        assert condition(), "the condition did not become true"
 
     def advance(self, ms: float) -> None:
         self.schedule(ms, lambda: None)
@@ -48,7 +48,7 @@
         return [host for host in self.hosts.values() if host is not self.leading_host]
 
     def propose(self, host: Host, command: Command) -> list[kv.Result | None]:
-        """Results come into the list."""
+        """Returns a list that receives the result."""
         results: list[kv.Result | None] = []
         self.run_on(host, lambda node, now: node.propose(now, command, results.append))
         return results
@@ -60,7 +60,7 @@
         return results[0]
 
     def read(self, host: Host, key: str) -> list[str | None]:
-        """What a current read sees, once it is answered."""
+        """Returns a list that receives the value of a linearizable read, or "refused"."""
         seen: list[str | None] = []
 
         def done(good: bool) -> None:
@@ -118,7 +118,7 @@
 
 
 def busy_text(act: Callable[[], object]) -> str:
-    """What is refused for a moment only: nothing of it was begun."""
+    """Returns the text of a refusal after which a retry may succeed."""
     with pytest.raises(BusyError) as error:
         act()
     return str(error.value)
@@ -137,13 +137,13 @@
         run_seed(seed, 5)
 
 
-def test_the_same_seed_is_the_same_run() -> None:
+def test_the_same_seed_gives_the_same_run() -> None:
     one, other = run_seed(7, 3), run_seed(7, 3)
     assert (one.steps, one.history, one.log) == (other.steps, other.history, other.log)
 
 
 # --- Elections -------------------------------------------------------------------------------------------
-def test_one_who_comes_back_from_a_cut_does_not_take_the_leader_down() -> None:
+def test_a_replica_that_returns_from_a_partition_does_not_depose_the_leader() -> None:
     sim = FaultFreeCluster()
     away, term = sim.followers()[0], sim.node(sim.leading_host).raft.hard_state.term
     sim.isolate(away)
@@ -154,40 +154,40 @@
     assert sim.node(away).raft.leader == sim.leading_host.name
 
 
-def test_a_removed_member_that_asks_for_votes_again_and_again_changes_nothing() -> None:
+def test_a_removed_member_that_keeps_requesting_votes_changes_nothing() -> None:
     sim = FaultFreeCluster(size=4)
-    gone, lead = sim.followers()[0], sim.leading_host
-    sim.remove_member(gone)
+    removed, lead = sim.followers()[0], sim.leading_host
+    sim.remove_member(removed)
     term = sim.node(lead).raft.hard_state.term
-    assert gone.name in sim.node(gone).raft.membership.names, "it never heard of its removal"
+    assert removed.name in sim.node(removed).raft.membership.names, "the member must not know of its removal"
     sim.advance(20_000)
     assert sim.leading_host is lead and sim.node(lead).raft.hard_state.term == term
-    assert sim.node(gone).raft.hard_state.term == term and not sim.node(gone).is_leader
+    assert sim.node(removed).raft.hard_state.term == term and not sim.node(removed).is_leader
 
 
-def test_real_votes_of_a_removed_member_are_not_heard_while_a_leader_lives() -> None:
+def test_vote_requests_of_a_removed_member_are_ignored_while_a_leader_is_active() -> None:
     sim = FaultFreeCluster(size=4)
-    gone, lead = sim.followers()[0], sim.leading_host
-    sim.remove_member(gone)
+    removed, lead = sim.followers()[0], sim.leading_host
+    sim.remove_member(removed)
     term = sim.node(lead).raft.hard_state.term
-    for _ in range(50):  # one that knows no pre-vote
+    for _ in range(50):  # a replica without pre-vote
         for host in sim.hosts.values():
-            if host is not gone:
-                sim.send(gone, host.name, m.RequestVote(term + 100, 10**6, term + 99))
+            if host is not removed:
+                sim.send(removed, host.name, m.RequestVote(term + 100, 10**6, term + 99))
         sim.advance(100)
     assert sim.leading_host is lead and sim.node(lead).raft.hard_state.term == term
 
 
-def test_a_leader_that_hears_nobody_stops_leading() -> None:
+def test_a_leader_that_receives_nothing_steps_down() -> None:
     sim = FaultFreeCluster()
     lead = sim.leading_host
-    sim.isolate(lead, sends=True)  # its heartbeats still keep the others quiet
+    sim.isolate(lead, sends=True)  # its heartbeats still prevent an election
     sim.wait_until(lambda: not sim.node(lead).is_leader, 2_000)
     sim.wait_until(lambda: sim.leader is not None and sim.leader is not lead)
     assert sim.write("a", "1").error == ""
 
 
-def test_leadership_is_handed_over_without_a_pause_of_an_election() -> None:
+def test_a_leadership_transfer_takes_less_than_an_election_timeout() -> None:
     sim = FaultFreeCluster()
     target, began = sim.followers()[0], sim.now_ms
     sim.run_on(sim.leading_host, lambda node, now: node.raft.transfer_leadership(now, target.name))
@@ -196,11 +196,13 @@
     assert "no voter" in refusal_text(
         lambda: sim.node(target).raft.transfer_leadership(sim.local_time(target), "nobody")
     )
-    sim.run_on(target, lambda node, now: node.raft.transfer_leadership(now, target.name))  # it leads already
+    sim.run_on(
+        target, lambda node, now: node.raft.transfer_leadership(now, target.name)
+    )  # already the leader
     assert sim.write("a", "1").error == "" and sim.leader is target
 
 
-def test_a_handover_to_one_who_is_dead_is_given_up() -> None:
+def test_a_leadership_transfer_to_an_unreachable_member_is_abandoned() -> None:
     sim = FaultFreeCluster()
     lead, target = sim.leading_host, sim.followers()[0]
     sim.isolate(target)
@@ -212,15 +214,15 @@
     assert sim.write("a", "2", lead).error == ""
 
 
-# --- Reads and writes of one who led -----------------------------------------------------------------
-def test_a_leader_cut_off_answers_no_read_with_what_is_old() -> None:
-    for speaks, hears in ((False, False), (False, True), (True, False)):
+# --- Reads and writes of a former leader ---------------------------------------------------------------
+def test_a_partitioned_leader_serves_no_stale_read() -> None:
+    for sends, receives in ((False, False), (False, True), (True, False)):
         sim = FaultFreeCluster()
         old = sim.leading_host
-        old.clock_rate = 0.01  # its clock nearly stands: it believes for long that it leads
+        old.clock_rate = 0.01  # with this slow clock it takes itself for the leader for long
         sim.write("a", "old")
-        sim.isolate(old, receives=hears, sends=speaks)
-        if speaks:  # the others still hear it: they go on under it, and it commits nothing
+        sim.isolate(old, receives=receives, sends=sends)
+        if sends:  # the others still follow it, but it commits nothing
             seen, results = sim.read(old, "a"), sim.propose(old, put("a", "new"))
             sim.advance(3_000)
             assert not seen and not results
@@ -233,16 +235,16 @@
         assert seen in ([], ["refused"]), seen
 
 
-def test_a_leader_that_slept_acknowledges_nothing_and_tells_nothing_old() -> None:
+def test_a_leader_that_was_paused_acknowledges_nothing_and_serves_no_stale_read() -> None:
     sim = FaultFreeCluster()
     old = sim.leading_host
     sim.write("a", "old")
     old.is_paused = True
-    written = sim.propose(old, put("a", "lost?"))  # taken while it slept
+    written = sim.propose(old, put("a", "lost?"))  # received during the pause
     seen = sim.read(old, "a")
     sim.wait_until(lambda: sim.leader is not None and sim.leader is not old)
     sim.write("a", "new")
-    for _ in range(20):  # what lies in its sockets was sent before
+    for _ in range(20):  # these ticks run before messages that arrived during the pause
         sim.run_on(old, lambda node, now: node.tick(now))
     with pytest.raises(RefusedError):
         sim.resume(old)
@@ -253,7 +255,7 @@
     assert later == ["new"]
 
 
-def test_a_follower_reads_what_was_acknowledged_before() -> None:
+def test_a_follower_read_returns_acknowledged_writes() -> None:
     sim = FaultFreeCluster()
     for at in range(10):
         sim.write("a", str(at))
@@ -263,18 +265,18 @@
             assert seen == [str(at)]
 
 
-def test_a_read_that_a_lost_leader_was_asked_for_is_given_up_once_another_leads() -> None:
+def test_a_read_forwarded_to_a_lost_leader_fails_once_another_leads() -> None:
     sim = FaultFreeCluster()
     sim.write("a", "1")
     host, old = sim.followers()[0], sim.leading_host
-    told: list[bool] = []
-    sim.isolate(old, receives=False, sends=False)  # its answer will never come
-    sim.run_on(host, lambda node, now: node.read(now, told.append))
+    results: list[bool] = []
+    sim.isolate(old, receives=False, sends=False)  # its response will never arrive
+    sim.run_on(host, lambda node, now: node.read(now, results.append))
     sim.wait_until(lambda: sim.node(host).raft.leader not in ("", old.name))
-    assert told == [False]
+    assert results == [False]
 
 
-def test_a_command_whose_answer_was_lost_is_applied_once() -> None:
+def test_a_command_whose_response_was_lost_is_applied_once() -> None:
     sim = FaultFreeCluster()
     opened = sim.propose(sim.leading_host, Command(kv.OpenSession()))
     sim.wait_until(lambda: bool(opened))
@@ -291,7 +293,7 @@
 
 
 def test_entries_of_an_earlier_term_are_not_committed_by_counting() -> None:
-    """Figure 3.7 of the dissertation: an entry on a majority may still be replaced."""
+    """An entry of an earlier term on a majority may still be replaced (figure 3.7 of the dissertation)."""
     sim = FaultFreeCluster(size=5)
     s1, (s2, s3, s4, s5) = sim.leading_host, sim.followers()
     for host in (s3, s4, s5):
@@ -302,7 +304,7 @@
     term = sim.node(s1).raft.hard_state.term
     index = sim.node(s1).raft.log.last_index
     assert sim.node(s1).raft.commit_index < index or sim.node(s1).raft.log.term_at(index) == term
-    # As a leader of a later term it finds the entry on a majority, and no entry of its own there yet.
+    # As the leader of a later term it finds the entry on a majority, which holds none of its own entries yet.
     core = sim.node(s1).raft
     core._become_follower(term + 5, "")
     core.role = type(core.role).LEADER
@@ -316,10 +318,10 @@
 
 
 # --- Members ------------------------------------------------------------------------------------------
-def test_a_new_member_is_brought_up_by_a_snapshot_and_votes_when_it_has_caught_up() -> None:
+def test_a_new_member_receives_a_snapshot_and_votes_once_it_has_caught_up() -> None:
     sim = FaultFreeCluster()
     sim.write_entries(80)
-    assert sim.node(sim.leading_host).raft.log.base_index > 0, "the beginning of the log is gone"
+    assert sim.node(sim.leading_host).raft.log.base_index > 0, "the start of the log must be compacted"
     new = sim.add_member("n9")
     sim.wait_until(lambda: sim.node(new).raft.applied_index == sim.node(sim.leading_host).raft.applied_index)
     assert sim.node(new).state_machine.state == sim.node(sim.leading_host).state_machine.state
@@ -330,7 +332,7 @@
     assert len(sim.node(new).raft.membership.voters) == 4
 
 
-def test_a_learner_that_never_catches_up_holds_nothing_up_and_gets_no_vote() -> None:
+def test_a_learner_that_never_catches_up_delays_nothing_and_gets_no_vote() -> None:
     sim = FaultFreeCluster()
     new = sim.add_member("n9")
     sim.isolate(new, sends=True)
@@ -344,7 +346,7 @@
     assert "n9 lacks" in text
     sim.node(sim.leading_host).raft.progress["n9"].last_response_ms = float(
         "inf"
-    )  # it answers, but lacks too much
+    )  # it responds, but lacks too many entries
     text = refusal_text(
         lambda: sim.node(sim.leading_host).change_membership(
             sim.local_time(sim.leading_host), Membership(tuple(members)), print
@@ -354,7 +356,7 @@
     assert sim.write("a", "1").error == ""
 
 
-def test_one_change_at_a_time() -> None:
+def test_one_membership_change_at_a_time() -> None:
     sim = FaultFreeCluster()
     held = list(sim.node(sim.leading_host).raft.membership.members)
     two = Membership(tuple(held[:1]))
@@ -370,7 +372,7 @@
     )
 
 
-def test_a_leader_that_is_removed_hands_on_and_the_rest_goes_on() -> None:
+def test_a_removed_leader_steps_down_and_the_others_continue() -> None:
     sim = FaultFreeCluster(size=4)
     old = sim.leading_host
     sim.remove_member(old)
@@ -380,31 +382,34 @@
 
 # --- Disks ---------------------------------------------------------------------------------------------
 def _isolate_one_follower(sim: FaultFreeCluster) -> tuple[Host, Host, Host]:
-    """A write that two hold and the third does not: leader, holder, lagging one."""
+    """Isolates a follower, so that a write reaches the other two replicas alone.
+
+    Returns the leader, the other follower and the isolated one.
+    """
     lead, (holder, lagging) = sim.leading_host, sim.followers()
     sim.isolate(lagging)
     return lead, holder, lagging
 
 
-@pytest.mark.parametrize("told", ["by its own stamp", "by the others"])
-def test_an_old_disk_put_back_does_not_vote_what_was_acknowledged_away(told: str) -> None:
+@pytest.mark.parametrize("detected_by", ["by its own stamp", "by the others"])
+def test_a_replica_with_an_older_disk_does_not_vote_away_acknowledged_writes(detected_by: str) -> None:
     sim = FaultFreeCluster()
     lead, holder, lagging = _isolate_one_follower(sim)
     old = holder.files.copy()
     sim.write("a", "acknowledged")
     holder.node, holder.files = None, old
     holder.incarnation += 1
-    holder.may_be_stale = told == "by its own stamp"
-    if told == "by the others":
-        # The leader tells what the holder has to the third, as it does to all; entries do not come through.
-        marks = sim.node(lead).raft.applied_index
-        sim.node(lagging).raft._acknowledged_indexes[holder.name] = marks
+    holder.may_be_stale = detected_by == "by its own stamp"
+    if detected_by == "by the others":
+        # The isolated follower knows the holder's acknowledged index, as heartbeats carry it, but no entries.
+        acknowledged_index = sim.node(lead).raft.applied_index
+        sim.node(lagging).raft._acknowledged_indexes[holder.name] = acknowledged_index
     sim.crash(lead)
-    lead.incarnation += 1  # and it does not come back yet
+    lead.incarnation += 1  # prevents its restart
     sim.blocked_links.clear()
     sim.start(holder)
     sim.advance(20_000)
-    assert sim.leader is None, "two that lack an acknowledged write elected one of them"
+    assert sim.leader is None, "two replicas without an acknowledged write elected a leader"
     sim.start(lead)
     sim.wait_until(lambda: sim.leader is not None)
     seen = sim.read(sim.leading_host, "a")
@@ -414,7 +419,7 @@
     sim.wait_until(lambda: sim.node(holder).state_machine.state == sim.node(lead).state_machine.state)
 
 
-def test_a_disk_put_back_while_the_leader_lives_is_filled_up_again() -> None:
+def test_an_older_disk_is_brought_up_to_date_while_the_leader_is_active() -> None:
     sim = FaultFreeCluster()
     holder = sim.followers()[0]
     old = holder.files.copy()
@@ -430,7 +435,7 @@
     assert sim.write("a", "1").error == ""
 
 
-def test_one_in_doubt_asks_until_it_is_told() -> None:
+def test_a_recovering_replica_repeats_its_requests_until_it_gets_responses() -> None:
     sim = FaultFreeCluster()
     holder = sim.followers()[0]
     old = holder.files.copy()
@@ -439,7 +444,7 @@
     holder.incarnation += 1
     sim.isolate(holder)
     sim.start(holder)
-    sim.advance(20)  # what it asked at once was lost
+    sim.advance(20)  # its first requests were lost
     sim.blocked_links.clear()
     sim.wait_until(lambda: not sim.node(holder).raft.hard_state.recovering, 5_000)
     sim.wait_until(
@@ -460,7 +465,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_three_full_disks_for_ten_seconds_lose_nothing_that_was_acknowledged(seed: int) -> None:
-    """Nobody starts a replica again; writes go on once there is room."""
+    """No replica restarts; writes continue once there is space on the disks."""
     sim = ClusterSimulation(seed, 3, Faults(0.01, 0.01, 0, False), faults_end_ms=14_000.0)
     hosts = list(sim.hosts.values())
 
@@ -470,7 +475,7 @@
 
     sim.schedule(1_500, lambda: fill(True))
     sim.schedule(11_500, lambda: fill(False))
-    sim.run()  # judges that one order explains all that was seen
+    sim.run()  # checks that the history is linearizable
     assert all(host.incarnation == 1 for host in hosts)
     wrote = [op for op in sim.history if op.kind == "write"]
     assert any(op.end < 1_500 for op in wrote) and any(op.start > 11_500 for op in wrote)
@@ -490,7 +495,7 @@
 
 
 # --- Leases --------------------------------------------------------------------------------------------
-def test_a_holder_that_slept_past_its_lease_writes_nothing_under_it() -> None:
+def test_a_holder_that_was_paused_past_its_lease_writes_nothing_under_it() -> None:
     sim = FaultFreeCluster()
     granted = sim.propose(sim.leading_host, Command(kv.GrantLease(1_000)))
     sim.wait_until(lambda: bool(granted))
@@ -502,13 +507,13 @@
     assert result.error == "lease" and "ended" in result.text
 
 
-def test_a_lease_that_runs_out_while_the_leader_hands_over_disturbs_nothing() -> None:
+def test_a_lease_that_expires_during_a_leadership_transfer_disturbs_nothing() -> None:
     sim = FaultFreeCluster()
     granted = sim.propose(sim.leading_host, Command(kv.GrantLease(100)))
     sim.wait_until(lambda: bool(granted))
     sim.write("holder", "me", lease=granted[0].ident if granted[0] else 0)
     lead, target = sim.leading_host, sim.followers()[0]
-    sim.isolate(target)  # the handover takes its whole time
+    sim.isolate(target)  # the transfer runs into its timeout
     sim.run_on(lead, lambda node, now: node.raft.transfer_leadership(now, target.name))
     sim.advance(1_000)
     sim.blocked_links.clear()
--- a/tests/test_store_state_machine.py
+++ b/tests/test_store_state_machine.py
@@ -1,4 +1,4 @@
-"""The store's state machine: what a transaction, a lease, a session and a watch must hold."""
+"""The store's state machine: guarantees of transactions, leases, sessions and watches."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 
 
-class StateMachineFixture:
+class StateMachineDriver:
     def __init__(self, **named: int) -> None:
         self.state_machine = StoreStateMachine(**named)
         self.last_index = 0
@@ -37,11 +37,11 @@
 
 
 @pytest.fixture
-def rig() -> StateMachineFixture:
-    return StateMachineFixture()
+def rig() -> StateMachineDriver:
+    return StateMachineDriver()
 
 
-def test_a_transaction_takes_effect_whole_or_not_at_all(rig: StateMachineFixture) -> None:
+def test_a_transaction_takes_effect_whole_or_not_at_all(rig: StateMachineDriver) -> None:
     first = rig.put("a", "1")
     ops = (Put("a", b"2"), Put("b", b"2"), Delete("c"))
     failed = rig.apply(Transaction((Check("a", first.revision), Check("b", 7)), ops))
@@ -51,7 +51,7 @@
     assert rig.values() == {"a": "2", "b": "2"} and done.revision == first.revision + 1
 
 
-def test_all_changes_of_a_transaction_have_one_revision(rig: StateMachineFixture) -> None:
+def test_all_changes_of_a_transaction_have_one_revision(rig: StateMachineDriver) -> None:
     rig.apply(Transaction((), (Put("a", b"1"), Put("b", b"1"))))
     rig.put("a", "2")
     value = rig.state_machine.state.values
@@ -62,7 +62,7 @@
     )
 
 
-def test_a_prefix_goes_at_once(rig: StateMachineFixture) -> None:
+def test_a_prefix_is_removed_in_one_revision(rig: StateMachineDriver) -> None:
     for key in ("a/1", "a/2", "b"):
         rig.put(key)
     rig.apply(Transaction((), (Delete("a/", prefix=True),)))
@@ -70,7 +70,7 @@
     assert [event.key for event in rig.state_machine.events_since(4, "")] == ["a/1", "a/2"]
 
 
-def test_a_removal_of_nothing_changes_nothing(rig: StateMachineFixture) -> None:
+def test_a_removal_of_nothing_changes_nothing(rig: StateMachineDriver) -> None:
     assert rig.apply(Transaction((), (Delete("a"),))).revision == 0
 
 
@@ -88,16 +88,16 @@
         (kv.GrantLease(0), "1 ms at least"),
     ],
 )
-def test_what_is_beyond_the_bounds_is_refused_with_what_is_allowed(
-    rig: StateMachineFixture, action: kv.Action, text: str
+def test_a_command_beyond_a_limit_is_refused_and_states_the_limit(
+    rig: StateMachineDriver, action: kv.Action, text: str
 ) -> None:
     result = rig.apply(action)
     assert result.error == "limit" and text in result.text
     assert not rig.state_machine.state.values
 
 
-def test_the_state_keeps_to_its_size_and_room_comes_back_with_removals() -> None:
-    rig = StateMachineFixture(max_state_bytes=100)
+def test_the_state_stays_within_its_size_limit_and_removals_free_space() -> None:
+    rig = StateMachineDriver(max_state_bytes=100)
     assert rig.put("a", "x" * 60).error == ""
     assert rig.put("b", "x" * 60).error == "limit"
     assert rig.put("a", "y" * 90).error == ""
@@ -106,17 +106,17 @@
     assert rig.put("b", "x" * 60).error == ""
 
 
-def test_a_lease_takes_its_keys_along(rig: StateMachineFixture) -> None:
+def test_the_end_of_a_lease_removes_its_keys(rig: StateMachineDriver) -> None:
     lease = rig.apply(kv.GrantLease(1000)).ident
     rig.put("a", "1", lease)
     rig.put("b", "1", lease)
-    rig.put("b", "2")  # no longer under it
+    rig.put("b", "2")  # no longer attached to the lease
     rig.apply(kv.RevokeLease(lease))
     assert rig.values() == {"b": "2"}
     assert rig.put("c", "1", lease).error == "lease"
 
 
-def test_an_expiry_that_a_renewal_overtook_ends_nothing(rig: StateMachineFixture) -> None:
+def test_an_expiry_after_a_renewal_ends_nothing(rig: StateMachineDriver) -> None:
     lease = rig.apply(kv.GrantLease(1000)).ident
     rig.put("a", "1", lease)
     rig.apply(kv.RenewLease(lease))
@@ -126,19 +126,19 @@
     assert rig.values() == {} and rig.apply(kv.RenewLease(lease)).error == "lease"
 
 
-def test_the_clock_lets_each_lease_run_its_time_from_the_last_renewal() -> None:
-    rig, clock = StateMachineFixture(), LeaseTimers()
+def test_a_lease_expires_its_time_to_live_after_the_last_renewal() -> None:
+    rig, timers = StateMachineDriver(), LeaseTimers()
     lease = rig.apply(kv.GrantLease(1000)).ident
     leases = rig.state_machine.state.leases
-    assert clock.expired(0, leases) == [] and clock.expired(999, leases) == []
+    assert timers.expired(0, leases) == [] and timers.expired(999, leases) == []
     rig.apply(kv.RenewLease(lease))
-    assert clock.expired(1000, leases) == [] and clock.expired(1999, leases) == []
-    assert clock.expired(2000, leases) == [ExpireLease(lease, 1)]
-    clock.reset()  # another leader: it knows no times yet
-    assert clock.expired(2001, leases) == [] and clock.expired(3001, leases) == [ExpireLease(lease, 1)]
+    assert timers.expired(1000, leases) == [] and timers.expired(1999, leases) == []
+    assert timers.expired(2000, leases) == [ExpireLease(lease, 1)]
+    timers.reset()  # a new leader starts without times
+    assert timers.expired(2001, leases) == [] and timers.expired(3001, leases) == [ExpireLease(lease, 1)]
 
 
-def test_a_repeated_command_is_answered_and_not_applied(rig: StateMachineFixture) -> None:
+def test_a_repeated_command_gets_its_result_and_is_not_applied_again(rig: StateMachineDriver) -> None:
     session = rig.apply(kv.OpenSession()).ident
     first = rig.apply(Transaction((), (Put("a", b"1"),)), session, 1)
     rig.put("a", "2")
@@ -149,20 +149,20 @@
     assert rig.values() == {"a": "3"}
 
 
-def test_a_command_of_a_session_that_is_gone_is_not_applied(
-    rig: StateMachineFixture, monkeypatch: pytest.MonkeyPatch
+def test_a_command_of_an_ended_session_is_not_applied(
+    rig: StateMachineDriver, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(kv, "MAX_SESSIONS", 2)
     sessions = [rig.apply(kv.OpenSession()).ident for _ in range(2)]
     rig.apply(Transaction((), (Put("a", b"1"),)), sessions[0], 1)
-    third = rig.apply(kv.OpenSession()).ident  # the second was unused for longest
+    third = rig.apply(kv.OpenSession()).ident  # ends the least recently used session, the second
     result = rig.apply(Transaction((), (Put("a", b"2"),)), sessions[1], 1)
     assert result.error == "session" and rig.values() == {"a": "1"}
     assert rig.apply(Transaction((), (Put("a", b"3"),)), third, 1).error == ""
 
 
-def test_a_watch_is_told_every_change_or_that_it_can_not_be(
-    rig: StateMachineFixture, monkeypatch: pytest.MonkeyPatch
+def test_a_watch_gets_every_event_or_a_compacted_error(
+    rig: StateMachineDriver, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(kv, "MAX_EVENTS", 5)
     for at in range(4):
@@ -174,8 +174,8 @@
     assert error.value.oldest_revision == 4 and rig.state_machine.events_since(9, "") == []
 
 
-def test_events_of_one_transaction_go_together(
-    rig: StateMachineFixture, monkeypatch: pytest.MonkeyPatch
+def test_events_of_one_transaction_are_dropped_together(
+    rig: StateMachineDriver, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(kv, "MAX_EVENTS", 3)
     rig.apply(Transaction((), (Put("a", b""), Put("b", b""))))
@@ -185,7 +185,7 @@
     ] == ["c", "d"]
 
 
-def test_a_watch_from_before_a_snapshot_is_told_compacted(rig: StateMachineFixture) -> None:
+def test_a_watch_from_before_a_snapshot_gets_a_compacted_error(rig: StateMachineDriver) -> None:
     for at in range(5):
         rig.put(f"a{at}")
     other = StoreStateMachine()
@@ -197,8 +197,8 @@
     assert [event.key for event in other.events_since(6, "")] == ["z"]
 
 
-def test_a_snapshot_goes_on_as_the_state_that_it_was_made_of() -> None:
-    rng, rig = random.Random(3), StateMachineFixture()
+def test_a_restored_snapshot_behaves_like_the_original_state() -> None:
+    rng, rig = random.Random(3), StateMachineDriver()
     other: StoreStateMachine | None = None
     session = rig.apply(kv.OpenSession()).ident
     leases = [rig.apply(kv.GrantLease(10)).ident for _ in range(3)]
