--- a/basaltpoint/routing/routes.py
+++ b/basaltpoint/routing/routes.py
@@ -193,9 +193,7 @@
             self._host_routes(host).add(rank, route)
         for bucket in (self._any_host, *self._exact.values(), *self._wildcard.values()):
             if bucket.regex:
-                assert compile_set is not None, (
-                    "a route has an expression, but `compile_set` is missing"
-                )
+                assert compile_set is not None, "a route has an expression, but `compile_set` is missing"
                 bucket.regex_set = compile_set([route.path for _, route in bucket.regex])
 
     def _host_routes(self, host: str) -> _HostRoutes:
--- a/basaltpoint/sim/adapter.py
+++ b/basaltpoint/sim/adapter.py
@@ -17,12 +17,12 @@
     def __init__(self) -> None:
         self._modules: dict[int, DecisionModule] = {}
 
-    def reply(self, now: float, count: int, body: bytes) -> bytes:
+    def reply(self, now: float, record_count: int, body: bytes) -> bytes:
         """Handles a batch of `count` records at `now` (ms); returns the reply or fault frame.
 
         Raises WireError for a batch that the protocol does not allow.
         """
-        records = wire.decode_batch(count, body)
+        records = wire.decode_batch(record_count, body)
         groups: list[tuple[int, list[api.Action]]] = []
         for instance, record in records:
             if not groups or groups[-1][0] != instance:
--- a/basaltpoint/sim/wire.py
+++ b/basaltpoint/sim/wire.py
@@ -38,7 +38,7 @@
     444: api.Status.CANCELLED,
     409: api.Status.MOOT,
 }
-STATES = (api.ServerState.GONE, api.ServerState.READY, api.ServerState.DRAINING)
+SERVER_STATES = (api.ServerState.GONE, api.ServerState.READY, api.ServerState.DRAINING)
 LIST_KINDS = {
     0: api.ListKind.DELTA,
     2: api.ListKind.FULL,
@@ -115,9 +115,9 @@
     servers = []
     for _ in range(count):
         ident, zone, _, cell, state, rating, started = reader.read_struct(_SERVER_ENTRY)
-        if state >= len(STATES):
+        if state >= len(SERVER_STATES):
             raise WireError(f"unknown readiness {state} of server {ident}")
-        servers.append(api.Server(ident, zone, cell, STATES[state], rating, started, ident))
+        servers.append(api.Server(ident, zone, cell, SERVER_STATES[state], rating, started, ident))
     return api.ServerList(LIST_KINDS[scope], tuple(servers))
 
 
@@ -170,7 +170,7 @@
 _TARGET_INSTANCE = 11
 
 
-def decode_batch(count: int, body: bytes) -> list[tuple[int, Record]]:
+def decode_batch(record_count: int, body: bytes) -> list[tuple[int, Record]]:
     """Returns the (instance, record) pairs of a batch of `count` records.
 
     Raises WireError for a body that the protocol does not allow.
@@ -178,7 +178,7 @@
     reader = _RecordReader(body)
     records: list[tuple[int, Record]] = []
     instance: int | None = None
-    for index in range(count):
+    for index in range(record_count):
         (code,) = reader.read_struct(_U8)
         if code == _TARGET_INSTANCE:
             (instance,) = reader.read_struct(_U32)
@@ -189,7 +189,7 @@
             raise WireError(f"record {index} comes before any target_instance")
         records.append((instance, _DECODERS[code](reader)))
     if reader.offset != len(body):
-        raise WireError(f"{len(body) - reader.offset} bytes left after the last of {count} records")
+        raise WireError(f"{len(body) - reader.offset} bytes left after the last of {record_count} records")
     return records
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -47,22 +47,27 @@
 
     def __init__(self, servers: list[api.Server] | None = None, **changes: Any) -> None:
         self.decision_module = DecisionModule(replace(BASE, **changes), seed=1)
-        self.number = 0
+        self.last_request = 0
         if servers is None:
             servers = [server(1), server(2)]
-        self.listed(0.0, *servers, kind="full")
+        self.apply_list(0.0, *servers, kind="full")
 
-    def listed(self, now: float, *servers: api.Server, kind: str = "delta") -> list[api.Action]:
+    def apply_list(self, now: float, *servers: api.Server, kind: str = "delta") -> list[api.Action]:
         return self.decision_module.handle(now, api.ServerList(api.ListKind(kind), servers))
 
     def arrive(
-        self, now: float, cls: int = 0, customer: int = 1, doors: int = 1, deadline: float = 4000.0
+        self,
+        now: float,
+        cls: int = 0,
+        customer: int = 1,
+        customer_limiters: int = 1,
+        deadline: float = 4000.0,
     ) -> list[api.Action]:
-        self.number += 1
-        event = api.Arrival(self.number, cls, 0, customer, 1.0, doors, now + deadline)
+        self.last_request += 1
+        event = api.Arrival(self.last_request, cls, 0, customer, 1.0, customer_limiters, now + deadline)
         return self.decision_module.handle(now, event)
 
-    def done(
+    def end_attempt(
         self, now: float, sent: api.Send, status: str, attempt: int = 0, **extra: Any
     ) -> list[api.Action]:
         closed = extra.pop("closed", status == "ok")
@@ -85,5 +90,5 @@
     return [action for action in actions if isinstance(action, api.Send)]
 
 
-def kinds(actions: list[api.Action]) -> list[str]:
+def action_names(actions: list[api.Action]) -> list[str]:
     return [type(action).__name__ for action in actions]
--- a/tests/test_jam.py
+++ b/tests/test_jam.py
@@ -15,7 +15,7 @@
     now = start
     while now < end:
         for sent in sends(rig.arrive(now - elapsed)):
-            rig.done(now, sent, "ok", elapsed=elapsed)
+            rig.end_attempt(now, sent, "ok", elapsed=elapsed)
         now += every
 
 
@@ -28,7 +28,7 @@
     rig = Rig()
     serve_requests(rig, 200.0, 4000.0, 50.0, 100.0)
     for sent in [sends(rig.arrive(4000.0 + n))[0] for n in range(MIN_COMPLETIONS - 1)]:
-        rig.done(5100.0, sent, "timeout", elapsed=1000.0)
+        rig.end_attempt(5100.0, sent, "timeout", elapsed=1000.0)
     serve_requests(rig, 5200.0, 12_000.0, 50.0, 100.0)
     pool = rig.decision_module.pools[0]
     assert not pool.timeouts
@@ -75,7 +75,7 @@
     serve_requests(rig, 200.0, 3000.0, 50.0, 40.0)
     outstanding = [sends(rig.arrive(3000.0 + n))[0] for n in range(20)]
     for sent in outstanding:
-        rig.done(4100.0, sent, "timeout", elapsed=1000.0)
+        rig.end_attempt(4100.0, sent, "timeout", elapsed=1000.0)
     rig.tick(4700.0)
     assert not rig.decision_module.pools[0].losing_responses
 
@@ -86,7 +86,7 @@
     outstanding = [sends(rig.arrive(3000.0 + n))[0] for n in range(20)]
     serve_requests(rig, 3100.0, 4100.0, 25.0, 40.0)
     for sent in outstanding:
-        rig.done(4100.0, sent, "timeout", elapsed=1000.0)
+        rig.end_attempt(4100.0, sent, "timeout", elapsed=1000.0)
     serve_requests(rig, 4125.0, 4700.0, 25.0, 40.0)
     assert rig.decision_module.pools[0].losing_responses
 
@@ -96,7 +96,7 @@
     rig = Rig([server(n) for n in range(1, 9)])
     serve_requests(rig, 1000.0, 6000.0, 100.0, 650.0)
     [sent] = sends(rig.arrive(6000.0))
-    rig.done(7100.0, sent, "timeout", elapsed=1000.0)
+    rig.end_attempt(7100.0, sent, "timeout", elapsed=1000.0)
     assert not rig.decision_module.pools[0].servers.suspects
 
 
@@ -104,7 +104,7 @@
     rig = Rig([server(n) for n in range(1, 9)])
     serve_requests(rig, 1000.0, 6000.0, 100.0, 150.0)
     [sent] = sends(rig.arrive(6000.0))
-    rig.done(7100.0, sent, "timeout", elapsed=1000.0)
+    rig.end_attempt(7100.0, sent, "timeout", elapsed=1000.0)
     assert rig.decision_module.pools[0].servers.suspects == {sent.server}
 
 
@@ -174,7 +174,7 @@
 
 def respond(rig: Rig, now: float, sent_to: list[api.Send], elapsed: float) -> None:
     for sent in sent_to:
-        rig.done(now, sent, "ok", elapsed=elapsed)
+        rig.end_attempt(now, sent, "ok", elapsed=elapsed)
 
 
 def test_a_hanging_server_is_avoided_before_its_first_time_out() -> None:
@@ -215,12 +215,12 @@
     sent_to = send_burst(rig, 3000.0, 24)
     respond(rig, 3100.0, sent_to[1] + sent_to[3], 100.0)
     for sent in sent_to[2]:
-        rig.done(4000.0, sent, "timeout", elapsed=1000.0)
+        rig.end_attempt(4000.0, sent, "timeout", elapsed=1000.0)
     health = rig.decision_module.pools[0].servers.records[2].health
     assert (health.suspect, health.backoff, health.retest_ms) == (True, 1, 5000.0)
     trial = next(s for s in (sends(rig.arrive(5100.0))[0] for _ in range(200)) if s.server == 2)
     assert (health.backoff, health.retest_ms) == (2, 7100.0)
-    rig.done(6100.0, trial, "timeout", elapsed=1000.0)
+    rig.end_attempt(6100.0, trial, "timeout", elapsed=1000.0)
     assert (health.backoff, health.retest_ms) == (2, 7100.0)  # the trial was counted when it was sent
 
 
@@ -230,9 +230,9 @@
     rig = warm_up(Rig())
     outstanding = [sends(rig.arrive(3000.0))[0] for _ in range(lost)]
     for sent in [sends(rig.arrive(3900.0))[0] for _ in range(20)]:
-        rig.done(4000.0, sent, "ok", elapsed=100.0)
+        rig.end_attempt(4000.0, sent, "ok", elapsed=100.0)
     for sent in outstanding:
-        rig.done(4000.0, sent, "timeout", elapsed=1000.0)
+        rig.end_attempt(4000.0, sent, "timeout", elapsed=1000.0)
     pool = rig.decision_module.pools[0]
     pool.caps_updated_ms = 0.0
     rig.tick(4600.0)  # earlier responses are outside of the loss window
@@ -243,8 +243,8 @@
     """A retry needs at least half the median latency: with 50 ms left of 200 it would be wasted work."""
     rig = warm_up(Rig(THREE))
     late, soon = sends(rig.arrive(3000.0))[0], sends(rig.arrive(3000.0))[0]
-    assert sends(rig.done(3960.0, late, "reset", elapsed=960.0)) == []
-    assert len(sends(rig.done(3940.0, soon, "reset", elapsed=940.0))) == 1
+    assert sends(rig.end_attempt(3960.0, late, "reset", elapsed=960.0)) == []
+    assert len(sends(rig.end_attempt(3940.0, soon, "reset", elapsed=940.0))) == 1
 
 
 def test_time_is_reserved_for_a_retry_only_if_it_is_enough_for_one() -> None:
@@ -253,7 +253,7 @@
     rig.decision_module.pools[0].losing_responses = True
     first = sends(rig.arrive(3000.0))[0]
     assert first.until_ms == 3500.0
-    [second] = sends(rig.done(3500.0, first, "timeout", elapsed=500.0))
+    [second] = sends(rig.end_attempt(3500.0, first, "timeout", elapsed=500.0))
     assert second.until_ms == 4000.0
 
 
@@ -261,9 +261,9 @@
     """Guards against three retries of each request that kept all servers full."""
     rig = warm_up(Rig())
     [first] = sends(rig.arrive(3000.0))
-    [second] = sends(rig.done(3010.0, first, "full"))
+    [second] = sends(rig.end_attempt(3010.0, first, "full"))
     assert second.server != first.server
-    done = rig.done(3020.0, second, "full", attempt=1)
+    done = rig.end_attempt(3020.0, second, "full", attempt=1)
     assert [type(action) for action in done] == [api.Refuse]
     [later] = sends(rig.arrive(3020.0))  # a first attempt is permitted
-    assert len(sends(rig.done(3300.0, later, "reset"))) == 1  # the pause is over
+    assert len(sends(rig.end_attempt(3300.0, later, "reset"))) == 1  # the pause is over
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from helpers import BASE, kinds, sends, server
+from helpers import BASE, action_names, sends, server
 
 from basaltpoint import interface as api
 from basaltpoint.policy import DecisionModule
@@ -111,7 +111,7 @@
     rig.decision_module.handle(20.0, api.SettingsChanged(replace(rig.settings, pool_classes={1: (0, 3)})))
     rig.listed(20.0, 2)
     assert 2 in rig.decision_module.pools  # until its request has ended
-    assert kinds(rig.done(30.0, out, "reset")) == ["Refuse"]  # no server is left
+    assert action_names(rig.done(30.0, out, "reset")) == ["Refuse"]  # no server is left
     rig.decision_module.handle(5000.0, api.TimerFired(0))
     assert set(rig.decision_module.pools) == {0, 1}
     rig.done(5001.0, other, "ok")
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -135,9 +135,9 @@
     [sent] = sends(rig.arrive(10.0))
     customer = rig.decision_module.customers[1]
     if attempt:
-        [sent] = sends(rig.done(20.0, sent, "connect_failed"))
+        [sent] = sends(rig.end_attempt(20.0, sent, "connect_failed"))
     before = customer.units_drawn_until(1e9)[0]
-    rig.done(60.0, sent, "ok", attempt, units=4.0)
+    rig.end_attempt(60.0, sent, "ok", attempt, units=4.0)
     assert customer.units_drawn_until(1e9)[0] == before + 3.0
 
 
@@ -145,7 +145,7 @@
     for post_paid, units in ((False, 4.0), (True, 0.0)):
         rig = Rig(plans=(PLAN,), post_paid=post_paid)
         [sent] = sends(rig.arrive(10.0))
-        rig.done(60.0, sent, "ok", units=units)
+        rig.end_attempt(60.0, sent, "ok", units=units)
         assert rig.decision_module.customers[1].units_drawn_until(1e9)[0] == 1.0
 
 
@@ -217,12 +217,12 @@
     """Guards against memory that grows with every customer ever seen: thousands at each limiter."""
     rig = Rig()
     for n in range(50):
-        rig.done(20.0 + n, sends(rig.arrive(10.0 + n, customer=n))[0], "ok")
+        rig.end_attempt(20.0 + n, sends(rig.arrive(10.0 + n, customer=n))[0], "ok")
     (pending,) = sends(rig.arrive(100.0, customer=99))
     rig.arrive(130000.0, customer=7)
     rig.arrive(260000.0, customer=7)
     assert set(rig.decision_module.customers) == {99, 7}
-    rig.done(260010.0, pending, "ok")
+    rig.end_attempt(260010.0, pending, "ok")
 
 
 def test_customers_of_one_request_are_forgotten_early() -> None:
@@ -231,7 +231,7 @@
     pending = sends(rig.arrive(0.0, customer=1_000_000))
     for step in range(5000):
         [sent] = sends(rig.arrive(step * 50.0, customer=step))
-        rig.done(step * 50.0 + 20.0, sent, "ok")
+        rig.end_attempt(step * 50.0 + 20.0, sent, "ok")
     assert pending and 1_000_000 in rig.decision_module.customers
     assert len(rig.decision_module.customers) < 1000
     assert len(rig.decision_module.pools[0].servers.admission_times_ms) < 200
@@ -245,7 +245,7 @@
     now = 300_000.0
     for step in range(300):
         [sent] = sends(rig.arrive(now + step, customer=step))
-        rig.done(now + step, sent, "ok")
+        rig.end_attempt(now + step, sent, "ok")
     rig.tick(now + 1050.0)
     assert len(rig.decision_module.customers) == 300
     rig.tick(now + 5000.0)
@@ -256,7 +256,7 @@
     rig = Rig()
     for step in range(5000):
         [sent] = sends(rig.arrive(step * 50.0))
-        rig.done(step * 50.0 + 20.0, sent, "ok")
+        rig.end_attempt(step * 50.0 + 20.0, sent, "ok")
     [customer] = rig.decision_module.customers.values()
     assert 200 <= len(customer.draw_log) <= 450
     end = 5000 * 50.0
@@ -267,10 +267,10 @@
     """It is empty at the start, as the predecessor may have drawn all of it, and is refilled from then on."""
     plan = api.Plan(rate=1000, burst=2000, ceiling_rate=10.0, ceiling_depth=8.0)
     rig = Rig(plans=(plan,))
-    assert not sends(rig.arrive(50.0, customer=1, doors=2))
-    results = [rig.arrive(400.0, customer=2, doors=2) for _ in range(5)]
+    assert not sends(rig.arrive(50.0, customer=1, customer_limiters=2))
+    results = [rig.arrive(400.0, customer=2, customer_limiters=2) for _ in range(5)]
     assert sum(len(sends(actions)) for actions in results) == 2  # 0.4 s at half the rate
-    results = [rig.arrive(90_000.0, customer=3, doors=2) for _ in range(9)]
+    results = [rig.arrive(90_000.0, customer=3, customer_limiters=2) for _ in range(9)]
     assert sum(len(sends(actions)) for actions in results) == 4  # half the depth
 
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -4,55 +4,68 @@
 
 from sockets import SETTINGS, Client, Request, backend, host, limiter, message, run
 
-AIMED = {**SETTINGS["services"][0], "aimMs": 60_000.0, "hardLimitMs": 100_000.0}
-SCARCE = {"services": [AIMED], "contracts": [{"name": "basic", "rate": 0.01, "mostAtOnce": 4.0}]}
-USUAL = "90"  # seconds that a client waits for its first try
-LATE = "35"  # 65 s of the request's 100 have passed: its aim, too
-IN_TIME = "75"
-ALONE = "units=1,spread=1,first=0"
+SERVICE = {**SETTINGS["services"][0], "aimMs": 60_000.0, "hardLimitMs": 100_000.0}
+SCARCE_QUOTA = {"services": [SERVICE], "contracts": [{"name": "basic", "rate": 0.01, "mostAtOnce": 4.0}]}
+USUAL_WAIT_S = "90"  # seconds that a client waits for its first try
+LATE_WAIT_S = "35"  # 65 s of the request's 100 have passed: its aim, too
+WAIT_IN_TIME_S = "75"
+SINGLE_LIMITER_TERMS = "units=1,spread=1,first=0"
 
 
 async def serve(request: Request) -> None:
     request.reply(body=b"x")
 
 
-async def ask(client: Client, ident: str, customer: int, wait: str) -> int:
+async def send_request(client: Client, ident: str, customer: int, wait: str) -> int:
     raw = message(
         ident=ident,
         X_Api_Key=f"{customer:016x}",
         Req_Deadline=wait,
-        X_Call_Terms=ALONE,
+        X_Call_Terms=SINGLE_LIMITER_TERMS,
     )
     return (await client.ask(raw)).code
 
 
-def test_a_repeat_that_comes_too_late_takes_nothing_that_is_scarce() -> None:
+def test_a_late_client_retry_takes_no_scarce_units() -> None:
     """Answered late it would earn nothing, and a new try would lack its units."""
 
     async def test() -> None:
         async with backend(serve) as server:
-            async with limiter(host("a", server.address), settings=SCARCE) as rig:
+            async with limiter(host("a", server.address), settings=SCARCE_QUOTA) as rig:
                 client = await rig.connect()
                 for n in range(12):  # few wait for longer than most
-                    assert await ask(client, f"other-{n}", 100 + n, "99" if n % 6 == 0 else USUAL) == 200
-                assert [await ask(client, f"first-{n}", 1, USUAL) for n in range(2)] == [200, 200]
-                assert await ask(client, "late", 1, LATE) == 429
-                assert await ask(client, "in-time", 1, IN_TIME) == 200
+                    assert (
+                        await send_request(
+                            client, f"other-{n}", 100 + n, "99" if n % 6 == 0 else USUAL_WAIT_S
+                        )
+                        == 200
+                    )
+                assert [await send_request(client, f"first-{n}", 1, USUAL_WAIT_S) for n in range(2)] == [
+                    200,
+                    200,
+                ]
+                assert await send_request(client, "late", 1, LATE_WAIT_S) == 429
+                assert await send_request(client, "in-time", 1, WAIT_IN_TIME_S) == 200
                 assert "late" not in [request.headers["req-id"] for request in server.requests]
-                assert await ask(client, "plenty", 2, LATE) == 200  # its store is full
+                assert await send_request(client, "plenty", 2, LATE_WAIT_S) == 200  # its store is full
 
     run(test())
 
 
-def test_short_waits_are_no_sign_of_a_repeat_where_they_are_usual() -> None:
+def test_short_waits_mark_no_retry_where_they_are_usual() -> None:
     """Also where as many wait for longer: last tries do, as nothing comes after them."""
 
     async def test() -> None:
         async with backend(serve) as server:
-            async with limiter(host("a", server.address), settings=SCARCE) as rig:
+            async with limiter(host("a", server.address), settings=SCARCE_QUOTA) as rig:
                 client = await rig.connect()
                 for n in range(12):
-                    assert await ask(client, f"other-{n}", 100 + n, "99" if n % 2 else LATE) == 200
-                assert [await ask(client, f"first-{n}", 1, LATE) for n in range(3)] == [200] * 3
+                    assert (
+                        await send_request(client, f"other-{n}", 100 + n, "99" if n % 2 else LATE_WAIT_S)
+                        == 200
+                    )
+                assert [await send_request(client, f"first-{n}", 1, LATE_WAIT_S) for n in range(3)] == [
+                    200
+                ] * 3
 
     run(test())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,66 +5,66 @@
 from collections import Counter
 
 import pytest
-from helpers import BASE, CLASSES, Rig, kinds, sends, server
+from helpers import BASE, CLASSES, Rig, action_names, sends, server
 
 from basaltpoint import interface as api
 
 SAFE, KEYED_ALL, KEYED_ZONE, UNSAFE = range(4)
 
 
-def test_no_servers_is_answered_at_once() -> None:
+def test_without_servers_requests_are_refused_at_once() -> None:
     rig = Rig([])
     for cls in range(4):
-        assert kinds(rig.arrive(1.0, cls)) == ["Refuse"]
+        assert action_names(rig.arrive(1.0, cls)) == ["Refuse"]
 
 
-def test_unsafe_is_not_repeated_or_refused_after_it_may_have_run() -> None:
+def test_unsafe_is_not_retried_or_refused_after_it_may_have_run() -> None:
     for status in ("timeout", "error", "reset", "cancelled"):
         rig = Rig()
         (sent,) = sends(rig.arrive(1.0, UNSAFE))
-        assert kinds(rig.done(100.0, sent, status)) == ["Fail"]
+        assert action_names(rig.end_attempt(100.0, sent, status)) == ["Fail"]
 
 
-def test_unsafe_moves_on_after_proof_that_it_never_ran() -> None:
+def test_unsafe_is_retried_elsewhere_after_proof_that_it_never_ran() -> None:
     rig = Rig()
     (sent,) = sends(rig.arrive(1.0, UNSAFE))
-    (again,) = sends(rig.done(20.0, sent, "full"))
+    (again,) = sends(rig.end_attempt(20.0, sent, "full"))
     assert again.server != sent.server
-    (last,) = sends(rig.done(40.0, again, "connect_failed", attempt=1))
-    assert kinds(rig.done(60.0, last, "full", attempt=2)) == ["Refuse"]
+    (last,) = sends(rig.end_attempt(40.0, again, "connect_failed", attempt=1))
+    assert action_names(rig.end_attempt(60.0, last, "full", attempt=2)) == ["Refuse"]
 
 
-def test_safe_is_sent_again_after_an_error() -> None:
+def test_safe_is_retried_after_an_error() -> None:
     rig = Rig()
     (sent,) = sends(rig.arrive(1.0, SAFE))
-    (again,) = sends(rig.done(20.0, sent, "error"))
+    (again,) = sends(rig.end_attempt(20.0, sent, "error"))
     assert again.server != sent.server
 
 
-def test_keyed_stays_in_its_group() -> None:
+def test_keyed_retry_stays_in_its_zone() -> None:
     rig = Rig([server(1, 0), server(2, 1), server(3, 0)])
     (sent,) = sends(rig.arrive(1.0, KEYED_ZONE))
     zone = {1: 0, 2: 1, 3: 0}
-    actions = rig.done(20.0, sent, "reset")
+    actions = rig.end_attempt(20.0, sent, "reset")
     assert all(zone[again.server] == zone[sent.server] for again in sends(actions))
-    assert "Refuse" not in kinds(actions)
+    assert "Refuse" not in action_names(actions)
 
 
-def test_keyed_is_not_repeated_after_its_window() -> None:
+def test_keyed_is_not_retried_after_its_deduplication_window() -> None:
     rig = Rig([server(1, 0)])
     (sent,) = sends(rig.arrive(1.0, KEYED_ZONE, deadline=9000.0))
-    assert kinds(rig.done(2002.0, sent, "error")) == ["Fail"]
+    assert action_names(rig.end_attempt(2002.0, sent, "error")) == ["Fail"]
 
 
-def test_never_two_attempts_out_where_copies_are_barred() -> None:
+def test_never_two_outstanding_attempts_without_hedging() -> None:
     rig = Rig()
     (sent,) = sends(rig.arrive(1.0, SAFE))
     for now in range(50, 990, 50):
         assert not sends(rig.tick(float(now)))
-    assert "Cancel" not in kinds(rig.done(995.0, sent, "ok"))
+    assert "Cancel" not in action_names(rig.end_attempt(995.0, sent, "ok"))
 
 
-def test_second_copy_goes_elsewhere_where_allowed() -> None:
+def test_hedged_attempt_goes_to_another_server() -> None:
     rig = Rig(may_hedge=True)
     (sent,) = sends(rig.arrive(1.0, KEYED_ALL))
     copies = [copy for now in range(50, 2000, 50) for copy in sends(rig.tick(float(now)))]
@@ -75,92 +75,92 @@
     rig = Rig()
     (sent,) = sends(rig.arrive(1.0, SAFE, deadline=300.0))
     assert sent.until_ms <= 301.0
-    assert kinds(rig.done(301.0, sent, "timeout")) == ["Fail"]
+    assert action_names(rig.end_attempt(301.0, sent, "timeout")) == ["Fail"]
     assert rig.decision_module.handle(301.0, api.Abandoned(sent.request)) == []
-    assert rig.done(301.0, sent, "ok") == []
+    assert rig.end_attempt(301.0, sent, "ok") == []
 
 
-def test_abandoned_is_withdrawn_and_never_answered() -> None:
+def test_abandoned_request_is_cancelled_and_never_answered() -> None:
     rig = Rig()
     (sent,) = sends(rig.arrive(1.0, SAFE))
-    assert kinds(rig.decision_module.handle(50.0, api.Abandoned(sent.request))) == ["Cancel"]
-    assert rig.done(52.0, sent, "cancelled") == []
+    assert action_names(rig.decision_module.handle(50.0, api.Abandoned(sent.request))) == ["Cancel"]
+    assert rig.end_attempt(52.0, sent, "cancelled") == []
     assert rig.decision_module.requests == {}
 
 
-def test_moot_is_answered_and_draws_no_retry() -> None:
+def test_superseded_attempt_is_refused_and_not_retried() -> None:
     rig = Rig()
     (sent,) = sends(rig.arrive(1.0, UNSAFE))
-    assert kinds(rig.done(1.0, sent, "moot")) == ["Refuse"]
+    assert action_names(rig.end_attempt(1.0, sent, "moot")) == ["Refuse"]
 
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
-def test_nothing_new_to_a_server_that_drains_or_is_gone(state: str) -> None:
+def test_no_attempt_goes_to_a_draining_or_removed_server(state: str) -> None:
     rig = Rig()
-    rig.listed(5.0, server(1, state=state))
+    rig.apply_list(5.0, server(1, state=state))
     for now in range(10, 40):
         assert {sent.server for sent in sends(rig.arrive(float(now)))} == {2}
 
 
-def test_absence_from_a_complete_list_is_gone() -> None:
+def test_a_server_missing_from_a_full_list_is_removed() -> None:
     rig = Rig()
-    rig.listed(5.0, server(2), kind="full")
+    rig.apply_list(5.0, server(2), kind="full")
     assert all(sent.server == 2 for now in range(10, 30) for sent in sends(rig.arrive(float(now))))
 
 
-def test_a_failed_list_keeps_the_last() -> None:
+def test_a_failed_list_keeps_the_last_servers() -> None:
     rig = Rig()
-    rig.listed(5.0, kind="failed")
+    rig.apply_list(5.0, kind="failed")
     assert sends(rig.arrive(6.0))
 
 
-def test_cold_server_takes_a_small_share_and_no_burst() -> None:
+def test_a_cold_server_gets_a_small_share_and_no_burst() -> None:
     rig = Rig([server(n) for n in range(1, 9)])
     cold, total = 0, 0
     for step in range(3000):
         now = 10.0 * step + 1
         if step == 1500:
-            rig.listed(now, server(1, started=now))
+            rig.apply_list(now, server(1, started=now))
         for sent in sends(rig.arrive(now)):
             total += step >= 1500 and now < 16000.0
             cold += sent.server == 1 and step >= 1500 and now < 16000.0
-            rig.done(now + 5.0, sent, "ok", elapsed=5.0)
+            rig.end_attempt(now + 5.0, sent, "ok", elapsed=5.0)
     assert total > 50
     assert cold <= total / 8 * BASE.cold_start_fraction * BASE.overload_crash_ratio
 
 
-def ceiling_rig(doors: int, **changes: object) -> tuple[Rig, api.Plan]:
+def rig_with_ceiling(doors: int, **changes: object) -> tuple[Rig, api.Plan]:
     plan = api.Plan(rate=50, burst=100, ceiling_rate=8, ceiling_depth=12, ceiling_slack=1)
     return Rig(plans=(plan,), **changes), plan
 
 
-def test_ceiling_holds_alone_and_starts_empty() -> None:
-    rig, plan = ceiling_rig(2)
+def test_each_limiter_enforces_its_part_of_the_ceiling_and_starts_empty() -> None:
+    rig, plan = rig_with_ceiling(2)
     passed = 0
     for step in range(2000):
         now = 1.0 + step * 5
-        for sent in sends(rig.arrive(now, doors=2)):
+        for sent in sends(rig.arrive(now, customer_limiters=2)):
             passed += 1
-            rig.done(now + 2, sent, "ok", elapsed=2.0)
+            rig.end_attempt(now + 2, sent, "ok", elapsed=2.0)
         assert passed <= plan.ceiling_rate / 2 * (now / 1000.0) + 1
     assert passed >= plan.ceiling_rate / 2 * 9
 
 
-def test_parallel_cap_bounds_attempts_out() -> None:
+def test_parallel_limit_bounds_outstanding_attempts() -> None:
     rig = Rig(plans=(api.Plan(rate=1000, burst=1000, max_parallel=3),))
     assert sum(len(sends(rig.arrive(1.0 + n))) for n in range(9)) == 3
 
 
-def test_a_mostly_silent_fleet_is_a_jam_not_lost_servers() -> None:
+def test_time_outs_at_most_servers_mean_overload_not_lost_servers() -> None:
     """Incident if55596: every server became suspect, so no time-out counted and no cap came."""
     rig = Rig()
     for sent in [sends(rig.arrive(1.0 + n))[0] for n in range(30)]:
-        rig.done(1100.0, sent, "timeout", elapsed=1000.0)
+        rig.end_attempt(1100.0, sent, "timeout", elapsed=1000.0)
     assert not rig.decision_module.pools[0].servers.suspects
     assert len(rig.decision_module.pools[0].timeouts) == 30
 
 
-def test_a_jam_brings_lane_caps_though_every_latency_is_long() -> None:
+def test_overload_sets_lane_caps_although_every_latency_is_long() -> None:
     """Incident if55596: with the tenth percentile grown too, load read low and no cap came."""
     rig = Rig()
     for step in range(700):
@@ -168,7 +168,7 @@
         elapsed = 60.0 + 60.0 * (step % 4) if step < 200 else 900.0
         for sent in sends(rig.arrive(now)):
             rig.decision_module.pools[0].lane_outstanding[0] += 1  # as if it stayed out for its latency
-            rig.done(now + 1, sent, "ok", elapsed=elapsed)
+            rig.end_attempt(now + 1, sent, "ok", elapsed=elapsed)
             rig.decision_module.pools[0].lane_outstanding[0] -= 1
         if step % 5 == 0:
             rig.decision_module.pools[0].mean_outstanding = 9.0
@@ -176,61 +176,61 @@
     assert rig.decision_module.pools[0].caps[0] < float("inf")
 
 
-def test_a_silent_server_is_left_alone_and_tried_again_now_and_then() -> None:
+def test_a_silent_server_is_avoided_and_retested() -> None:
     """big-1 of cca-main-later: servers vanish; with an attempt a minute only its time-out tells."""
     rig = Rig([server(n) for n in range(1, 5)])
     (lost,) = sends(rig.arrive(1.0))
-    rig.done(1001.0, lost, "timeout", elapsed=1000.0)
+    rig.end_attempt(1001.0, lost, "timeout", elapsed=1000.0)
     for now in range(1010, 1900, 10):
         (sent,) = sends(rig.arrive(float(now)))
         assert sent.server != lost.server
-        rig.done(now + 5.0, sent, "ok", elapsed=5.0)
+        rig.end_attempt(now + 5.0, sent, "ok", elapsed=5.0)
     tried = set()
     for now in range(2100, 3000, 10):
         (sent,) = sends(rig.arrive(float(now)))
         tried.add(sent.server)
-        rig.done(now + 5.0, sent, "ok", elapsed=5.0)
+        rig.end_attempt(now + 5.0, sent, "ok", elapsed=5.0)
     assert lost.server in tried
 
 
-def lossy_rig(slow: float) -> Rig:
+def rig_with_lost_responses(slow: float) -> Rig:
     """A quarter of the answers never comes; the others take `slow` ms."""
     rig = Rig([server(n) for n in range(1, 9)])
     for step in range(80):
         now = 1.0 + 100.0 * step
         for sent in sends(rig.arrive(now)):
             status, elapsed = ("timeout", 1000.0) if step % 4 == 0 else ("ok", slow)
-            rig.done(now + 50.0, sent, status, elapsed=elapsed, closed=True)
+            rig.end_attempt(now + 50.0, sent, status, elapsed=elapsed, closed=True)
     return rig
 
 
-def test_lost_answers_are_told_from_a_jam_and_given_up_early() -> None:
+def test_lost_responses_are_distinguished_from_overload_and_time_out_early() -> None:
     """overload of cca-main-later: servers work and answer, but a quarter of the answers is lost."""
-    rig = lossy_rig(100.0)
+    rig = rig_with_lost_responses(100.0)
     (sent,) = sends(rig.arrive(8100.0, SAFE))
     assert sent.until_ms < 8100.0 + 600.0
     (once,) = sends(rig.arrive(8110.0, UNSAFE))
     assert once.until_ms > 8110.0 + 1400.0
-    (jam,) = sends(lossy_rig(800.0).arrive(8100.0, SAFE)) or [None]
+    (jam,) = sends(rig_with_lost_responses(800.0).arrive(8100.0, SAFE)) or [None]
     assert jam is None or jam.until_ms > 8100.0 + 900.0
 
 
-def test_an_idle_gateway_sets_no_timer() -> None:
+def test_an_idle_limiter_sets_no_timer() -> None:
     """Incident i724dc8: hundreds of gateways ticking over all servers were cut off for CPU."""
     rig = Rig([server(n) for n in range(1, 50)])
     (sent,) = sends(actions := rig.arrive(2.0))
-    actions += rig.listed(3.0, server(1)) + rig.done(30.0, sent, "ok")
-    assert "SetTimer" not in kinds(actions)
+    actions += rig.apply_list(3.0, server(1)) + rig.end_attempt(30.0, sent, "ok")
+    assert "SetTimer" not in action_names(actions)
 
 
-def test_hundreds_of_gateways_add_up_to_a_cold_servers_part() -> None:
+def test_many_limiters_together_give_a_cold_server_its_share() -> None:
     """big-1 of cca-main-later: each earns less than one send while a hall warms, and so it got none."""
     rigs = [Rig([server(n) for n in range(1, 41)], limiter_count=60, limiter_index=n) for n in range(60)]
     for seed, rig in enumerate(rigs):
         rig.decision_module.rng.seed(seed)
         for now in range(0, 5000, 500):
-            rig.done(now + 9.0, sends(rig.arrive(float(now + 1)))[0], "ok", elapsed=8.0)
-        rig.listed(5000.0, server(1, started=5000.0))
+            rig.end_attempt(now + 9.0, sends(rig.arrive(float(now + 1)))[0], "ok", elapsed=8.0)
+        rig.apply_list(5000.0, server(1, started=5000.0))
     sent = sum(
         s.server == 1
         for rig in rigs
@@ -241,28 +241,28 @@
     assert 0.2 * fair < sent < fair
 
 
-def test_a_fleet_that_is_wholly_cold_is_used_a_little() -> None:
+def test_servers_that_are_all_cold_get_few_requests() -> None:
     rig = Rig([server(n, started=100.0) for n in range(1, 11)])
     answers = [sends(rig.arrive(100.0 + 50.0 * n)) for n in range(100)]
     assert 5 < sum(1 for sent in answers if sent) < 80
 
 
-def test_a_zone_that_only_fails_is_left_alone_but_for_trials() -> None:
+def test_a_failing_zone_gets_only_trial_requests() -> None:
     """rough-1 of spokane-north-later: nobody can find out each server of a lost hall by itself."""
     rig = Rig([server(n, zone=n % 2) for n in range(1, 21)])
     for now in range(10, 400, 10):
         for sent in sends(rig.arrive(float(now))):
             status = "connect_failed" if sent.server % 2 else "ok"
-            for again in sends(rig.done(now + 2.0, sent, status)):
-                rig.done(now + 4.0, again, "connect_failed" if again.server % 2 else "ok", attempt=1)
+            for again in sends(rig.end_attempt(now + 2.0, sent, status)):
+                rig.end_attempt(now + 4.0, again, "connect_failed" if again.server % 2 else "ok", attempt=1)
     first = [sends(rig.arrive(500.0 + n))[0] for n in range(20)]
     assert not any(sent.server % 2 for sent in first)
     for sent in first:
-        rig.done(600.0, sent, "ok", elapsed=90.0)
+        rig.end_attempt(600.0, sent, "ok", elapsed=90.0)
     assert any(sends(rig.arrive(2500.0 + n))[0].server % 2 for n in range(30))
 
 
-def test_a_missing_report_is_not_idleness() -> None:
+def test_a_server_without_a_load_report_is_not_taken_for_idle() -> None:
     """big-1 of tacoma-east-later: servers not heard of lately were taken for idle ones."""
     rig = Rig([server(n) for n in range(1, 4)], report_fields=("inflight",), limiter_count=300)
     fleet = rig.decision_module.pools[0].servers
@@ -274,7 +274,7 @@
     assert fleet.cost(fleet.records[1], 60000.0) == fleet.cost(fleet.records[3], 60000.0)
 
 
-def test_a_server_that_fails_at_once_draws_no_traffic() -> None:
+def test_a_server_that_fails_fast_attracts_no_traffic() -> None:
     """It always looks least busy; single errors, as spoilt answers are, keep none out; it returns."""
     rig = Rig([server(n) for n in range(1, 5)])
     failed, broken = 0, True
@@ -284,13 +284,13 @@
         for sent in sends(rig.arrive(now, UNSAFE)):
             bad = broken and sent.server == 1
             failed += bad
-            rig.done(now + 1.0, sent, "error" if bad or step % 50 == 0 else "ok", elapsed=1.0)
+            rig.end_attempt(now + 1.0, sent, "error" if bad or step % 50 == 0 else "ok", elapsed=1.0)
     assert failed < 20
     assert not rig.decision_module.pools[0].servers.suspects
 
 
 @pytest.mark.parametrize(("strays", "late"), [(0, 0), (4, 0), (4, 8)])
-def test_lost_answers_on_a_light_day_are_tried_again(strays: int, late: int) -> None:
+def test_lost_responses_under_light_load_are_retried(strays: int, late: int) -> None:
     """Where answers get lost repeatable work is given up in time for one more try; under load never."""
     rig = Rig([server(n) for n in range(1, 5)])
     for step in range(100):
@@ -298,7 +298,7 @@
         [sent] = sends(rig.arrive(now, UNSAFE))
         elapsed = 900.0 if step < late else 20.0
         status = "timeout" if step >= 100 - strays else "ok"
-        rig.done(now + 5.0, sent, status, elapsed=elapsed)
+        rig.end_attempt(now + 5.0, sent, status, elapsed=elapsed)
     now = 2000.0
     rig.tick(now)
     left = {cls: sends(rig.arrive(now, cls))[0].until_ms - now for cls in (SAFE, UNSAFE)}
@@ -306,19 +306,19 @@
     assert (left[SAFE] < CLASSES[SAFE].aim_ms) is (strays > 0 and late == 0)
 
 
-def test_one_reset_is_the_connections_own_and_two_are_the_servers() -> None:
+def test_two_resets_but_not_one_make_a_server_suspect() -> None:
     rig = Rig([server(1)])
     fleet = rig.decision_module.pools[0].servers
     for now, suspects in ((10.0, 0), (20.0, 1)):
         [sent] = sends(rig.arrive(now, UNSAFE))
-        rig.done(now + 1.0, sent, "reset", elapsed=1.0)
+        rig.end_attempt(now + 1.0, sent, "reset", elapsed=1.0)
         assert len(fleet.suspects) == suspects
     [trial] = sends(rig.arrive(2000.0, UNSAFE))
-    rig.done(2001.0, trial, "ok", elapsed=1.0)
+    rig.end_attempt(2001.0, trial, "ok", elapsed=1.0)
     assert not fleet.suspects
 
 
-def test_many_gateways_cover_all_servers_evenly_with_few_servers_each() -> None:
+def test_many_limiters_cover_all_servers_evenly_with_few_servers_each() -> None:
     """zone+vast: a limiter that meets each of 60 servers seldom opens a connection for each request."""
     met: Counter[int] = Counter()
     for me in range(40):
@@ -326,14 +326,14 @@
         own = set()
         for now in range(0, 10000, 100):
             (sent,) = sends(rig.arrive(float(now)))
-            rig.done(now + 50.0, sent, "ok")
+            rig.end_attempt(now + 50.0, sent, "ok")
             own.add(sent.server)
         assert len(own) <= 13
         met.update(own)
     assert set(met.values()) <= {7, 8, 9} and len(met) == 60
 
 
-def test_a_gateway_whose_own_servers_are_lost_goes_on_with_the_others() -> None:
+def test_a_limiter_whose_subset_is_lost_uses_the_other_servers() -> None:
     own = set(range(1, 13))  # the first gateway's; they stand in one zone, which is lost
     rig = Rig([server(n, zone=n in own) for n in range(1, 61)], limiter_count=40, limiter_index=0)
     assert {peer.entry.id for peer in rig.decision_module.pools[0].servers.subset} == own
@@ -343,6 +343,6 @@
         while due:
             lost = due[0].server in own
             served += not lost
-            due = sends(rig.done(now + 10.0, due[0], "connect_failed" if lost else "ok", attempt))
+            due = sends(rig.end_attempt(now + 10.0, due[0], "connect_failed" if lost else "ok", attempt))
             attempt += 1
     assert served > 70
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -5,21 +5,21 @@
 import pytest
 from sockets import Request, backend, host, limiter, message, run
 
-SETTLED = {
+POST_PAID = {
     "contracts": [{"name": "basic", "rate": 10.0, "mostAtOnce": 50.0}],
     "specifics": {"mostUnits": 4, "meteringMs": 1000.0, "postPaid": True},
 }
-GUESS = 2.0
+ESTIMATED_UNITS = 2.0
 
 
-async def drawn(told: list[str], status: str = "200 OK") -> float:
+async def units_drawn(response_headers: list[str], status: str = "200 OK") -> float:
     """What one request of two units has drawn, once it is answered with these headers."""
 
     async def script(request: Request) -> None:
-        request.reply(status, b"x", *told)
+        request.reply(status, b"x", *response_headers)
 
     async with backend(script) as server:
-        async with limiter(host("a", server.address), settings=SETTLED) as rig:
+        async with limiter(host("a", server.address), settings=POST_PAID) as rig:
             client = await rig.connect()
             terms = {"X_Api_Key": f"{7:016x}", "X_Call_Terms": "units=2,spread=1,first=0"}
             await client.ask(
@@ -29,34 +29,34 @@
 
 
 @pytest.mark.parametrize(("value", "units"), [("1", 1.0), ("4", 4.0), ("2", 2.0), ("3.5", 3.5)])
-def test_the_units_an_answer_tells_take_the_place_of_the_guess(value: str, units: float) -> None:
+def test_units_stated_in_the_response_replace_the_estimate(value: str, units: float) -> None:
     """They were not read at all: quotas went by the guess for good."""
 
     async def test() -> None:
-        assert await drawn([f"X-Cost-Units: {value}"]) == units
+        assert await units_drawn([f"X-Cost-Units: {value}"]) == units
 
     run(test())
 
 
 @pytest.mark.parametrize("value", ["", "0", "-1", "nan", "1e3", "four", "4.01", "99999", "1" * 500])
-def test_units_that_cannot_be_leave_the_guess(value: str) -> None:
+def test_invalid_units_leave_the_estimate(value: str) -> None:
     """A figure that is none, or more than a request can take, would bind the customer or free it."""
 
     async def test() -> None:
-        assert await drawn([f"X-Cost-Units: {value}"]) == GUESS
+        assert await units_drawn([f"X-Cost-Units: {value}"]) == ESTIMATED_UNITS
 
     run(test())
 
 
-def test_no_units_told_leave_the_guess() -> None:
+def test_missing_units_leave_the_estimate() -> None:
     async def test() -> None:
-        assert await drawn([]) == GUESS
+        assert await units_drawn([]) == ESTIMATED_UNITS
 
     run(test())
 
 
-def test_units_of_a_failed_answer_say_nothing() -> None:
+def test_units_of_a_failed_response_are_ignored() -> None:
     async def test() -> None:
-        assert await drawn(["X-Cost-Units: 4"], "500 Internal Server Error") == GUESS
+        assert await units_drawn(["X-Cost-Units: 4"], "500 Internal Server Error") == ESTIMATED_UNITS
 
     run(test())
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -44,7 +44,7 @@
             parse(line)
 
 
-def test_bad_lines_are_counted_and_told_and_the_rest_is_kept() -> None:
+def test_bad_lines_are_counted_and_reported_and_the_rest_is_kept() -> None:
     lines = [NGINX.format(n, n) for n in range(5)]
     lines[2:2] = ["rubbish", "x" * 1_000_000, ""]
     done = Import()
@@ -54,7 +54,7 @@
     assert done.shown == ["line 3: not of this format", f"line 4: longer than {traces.LONGEST_LINE} bytes"]
 
 
-def test_times_out_of_order_are_put_right_within_the_window(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_times_out_of_order_are_sorted_within_the_window(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(traces, "WINDOW", 10)
     times = [0, 1, 3, 2, 4, 5, 7, 6, *range(8, 40), 9.5]
     source = "\n".join(json.dumps({"t": t, "method": "GET", "path": "/"}) for t in times)
@@ -78,7 +78,7 @@
     assert len(again.getvalue().splitlines()) == 2
 
 
-class Endless(io.RawIOBase):
+class GeneratedLog(io.RawIOBase):
     """A log that is made as it is read."""
 
     def __init__(self, lines: int) -> None:
@@ -97,7 +97,7 @@
         return size
 
 
-def test_memory_stays_flat_however_long_the_log(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_memory_does_not_grow_with_the_log(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(traces, "WINDOW", 500)
 
     class Null(io.BytesIO):
@@ -106,7 +106,7 @@
 
     def peak(lines: int) -> int:
         tracemalloc.start()
-        traces.convert(io.BufferedReader(Endless(lines)), Null(), "nginx", b"s")
+        traces.convert(io.BufferedReader(GeneratedLog(lines)), Null(), "nginx", b"s")
         most = tracemalloc.get_traced_memory()[1]
         tracemalloc.stop()
         return most
@@ -166,7 +166,7 @@
 ASKED = [Asked("a", 1), Asked("b", 1), Asked("c", 1), Asked("d", 0, hung_up=True)]
 
 
-def test_nothing_is_found_where_all_is_well() -> None:
+def test_a_valid_ledger_has_no_findings() -> None:
     assert audit(ASKED, CLEAN, {"s3": 5.0}) == []
 
 
@@ -187,7 +187,7 @@
         ("late drain", [], [attempt("x", 5.26, 5.3, "s3")]),
     ],
 )
-def test_each_planted_fault_is_found(kind: str, asked: list[Asked], attempts: list[Attempt]) -> None:
+def test_each_injected_fault_is_found(kind: str, asked: list[Asked], attempts: list[Attempt]) -> None:
     (found,) = audit([*ASKED, *asked], [*CLEAN, *attempts], {"s3": 5.0})
     assert found.kind == kind and found.ident == "x"
     assert ledger.GRACE_S == 0.25
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -31,17 +31,17 @@
     },
     "ceilings": {"maxAttempts": 3, "unheardOf": 1},
 }
-ENTRY = bytes.fromhex("03124a07 0000 00 0000 01 3f800000 0000000000000000".replace(" ", ""))
+SERVER_ENTRY = bytes.fromhex("03124a07 0000 00 0000 01 3f800000 0000000000000000".replace(" ", ""))
 TARGET = bytes.fromhex("0b00000003")
 
 
-def spawn() -> bytes:
+def start_instance() -> bytes:
     text = json.dumps(SETTINGS).encode()
     return bytes([0]) + struct.pack(">QI", 7, len(text)) + text
 
 
-def view() -> bytes:
-    return bytes([1]) + struct.pack(">BQI", 3, 41, 1) + ENTRY
+def server_list() -> bytes:
+    return bytes([1]) + struct.pack(">BQI", 3, 41, 1) + SERVER_ENTRY
 
 
 def frame(*records: bytes) -> bytes:
@@ -118,7 +118,7 @@
         (2, TARGET + bytes([7]) + struct.pack(">dHIB", 1.0, 999, 1, 0), "outcome code 999"),
     ],
 )
-def test_bad_frames_are_named(count: int, body: bytes, words: str) -> None:
+def test_faults_of_frames_are_named(count: int, body: bytes, words: str) -> None:
     with pytest.raises(wire.WireError, match=words):
         wire.decode_batch(count, body)
 
@@ -134,35 +134,39 @@
         parse_settings(b"{")
 
 
-def test_a_repeated_start_begins_anew_and_an_empty_batch_is_answered() -> None:
+def test_a_repeated_start_resets_the_instance_and_an_empty_batch_is_answered() -> None:
     host = SimulatorAdapter()
-    for records in ([TARGET, spawn(), view()], [], [TARGET, b"\x09", spawn(), view()]):
+    for records in (
+        [TARGET, start_instance(), server_list()],
+        [],
+        [TARGET, b"\x09", start_instance(), server_list()],
+    ):
         read = read_frame(io.BytesIO(frame(*records)))
         assert read is not None
         reply = host.reply(*read)
         assert struct.unpack(">I", reply[:4])[0] == len(reply) - 4
 
 
-def run(data: bytes) -> subprocess.CompletedProcess[bytes]:
+def run_adapter(data: bytes) -> subprocess.CompletedProcess[bytes]:
     return subprocess.run(
         [sys.executable, "-m", "basaltpoint.sim"], input=data, capture_output=True, check=False
     )
 
 
 def test_the_loop_ends_cleanly_with_its_input() -> None:
-    done = run(frame() + frame(TARGET, spawn(), view()))
+    done = run_adapter(frame() + frame(TARGET, start_instance(), server_list()))
     assert done.returncode == 0 and done.stdout.startswith(b"\0\0\0\0") and not done.stderr
 
 
-@pytest.mark.parametrize("data", [b"\0\0", frame(TARGET, spawn())[:-3], frame(TARGET, b"\x63")])
+@pytest.mark.parametrize("data", [b"\0\0", frame(TARGET, start_instance())[:-3], frame(TARGET, b"\x63")])
 def test_the_loop_names_a_bad_frame_on_standard_error(data: bytes) -> None:
-    done = run(data)
+    done = run_adapter(data)
     assert done.returncode != 0 and done.stdout == b""
     assert done.stderr.count(b"\n") == 1 and b"frame 0" in done.stderr
 
 
 def test_an_exception_becomes_an_internal_error(monkeypatch: pytest.MonkeyPatch) -> None:
     host = SimulatorAdapter()
-    host.reply(0.0, 3, TARGET + spawn() + view())
+    host.reply(0.0, 3, TARGET + start_instance() + server_list())
     monkeypatch.setattr(host._modules[3], "handle", lambda now, event: 1 / 0)
     assert b"ZeroDivisionError" in host.reply(1.0, 2, TARGET + b"\x06\x00\x00\x00\x01")
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -7,12 +7,12 @@
 READ, UPLOAD, FIX = SETTINGS["services"]
 
 
-def scarce(read_points: float) -> dict[str, object]:
+def scarce_quota(read_points: float) -> dict[str, object]:
     services = [{**READ, "points": read_points}, {**UPLOAD, "points": 3.0}, {**FIX, "points": 5.0}]
     return {"services": services, "contracts": [{"name": "basic", "rate": 0.01, "mostAtOnce": 10.0}]}
 
 
-async def ask_for_all(read_points: float) -> list[int]:
+async def send_requests(read_points: float) -> list[int]:
     """Seven fixes, a read and a fix, from one customer that is far beyond its rate; its store holds ten.
 
     Three are left when the read comes, and of its own part a limiter keeps 2.4 for what is worth more.
@@ -22,7 +22,7 @@
         request.reply(body=b"x")
 
     async with backend(serve) as server:
-        async with limiter(host("a", server.address), settings=scarce(read_points)) as rig:
+        async with limiter(host("a", server.address), settings=scarce_quota(read_points)) as rig:
             client, codes = await rig.connect(), []
             for n, cls in enumerate(["fix"] * 7 + ["read", "fix"]):
                 raw = message(cls, f"id-{n}", X_Call_Terms="units=1,spread=1,first=0")
@@ -30,15 +30,15 @@
             return codes
 
 
-def test_what_is_scarce_is_kept_for_the_dearest() -> None:
+def test_scarce_units_are_kept_for_the_class_of_highest_worth() -> None:
     async def test() -> None:
-        assert await ask_for_all(3.0) == [200] * 7 + [429, 200]
+        assert await send_requests(3.0) == [200] * 7 + [429, 200]
 
     run(test())
 
 
-def test_nothing_is_kept_among_equals() -> None:
+def test_nothing_is_kept_among_classes_of_equal_worth() -> None:
     async def test() -> None:
-        assert await ask_for_all(5.0) == [200] * 9
+        assert await send_requests(5.0) == [200] * 9
 
     run(test())
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -17,11 +17,11 @@
 STATUSES = (("ok", 80), ("error", 5), ("full", 5), ("timeout", 4), ("connect_failed", 3), ("reset", 3))
 
 
-class Module(Protocol):
+class EventHandler(Protocol):
     def handle(self, now: float, event: Any) -> list[Any]: ...
 
 
-def settings(api: ModuleType, rng: random.Random) -> Any:
+def random_settings(api: ModuleType, rng: random.Random) -> Any:
     """Settings that differ from seed to seed: effects, plans, meter, limits on attempts."""
     effects = (api.Effect.SAFE, api.Effect.KEYED, api.Effect.UNSAFE)
     classes = tuple(
@@ -73,53 +73,59 @@
     )
 
 
-class Player:
+class EventStreamDriver:
     """Drives one gateway: what it sends is answered by chance, later."""
 
-    def __init__(self, api: ModuleType, gateway: Module, told: Any, rng: random.Random) -> None:
-        self.api, self.gateway, self.told, self.rng = api, gateway, told, rng
+    def __init__(
+        self, api: ModuleType, decision_module: EventHandler, settings: Any, rng: random.Random
+    ) -> None:
+        self.api, self.decision_module, self.settings, self.rng = api, decision_module, settings, rng
         self.due: list[tuple[float, int, Any]] = []
         self.sent: dict[tuple[int, int], Any] = {}
-        self.numbers: dict[int, int] = {}
+        self.attempt_counts: dict[int, int] = {}
         self.lines: list[str] = []
-        self.order = 0
-        self.born = dict.fromkeys(range(SERVERS), 0.0)
+        self.last_order = 0
+        self.started_ms = dict.fromkeys(range(SERVERS), 0.0)
 
     def play(self, steps: int) -> list[str]:
         now = 1e6
-        self.listed(now, self.api.ListKind.FULL, range(SERVERS))
+        self.send_list(now, self.api.ListKind.FULL, range(SERVERS))
         for request in range(1, steps + 1):
             now += self.rng.expovariate(1 / STEP_MS)
             while self.due and self.due[0][0] <= now:
                 when, _, event = heapq.heappop(self.due)
-                self.post(when, event)
+                self.handle_event(when, event)
             if self.rng.random() < 0.003:
-                self.churn(now)
+                self.change_servers(now)
             cls = self.rng.randrange(4)
-            wait = self.told.classes[cls].deadline_ms * self.rng.choice((1.0, 1.0, 0.5, 0.2))
+            wait = self.settings.classes[cls].deadline_ms * self.rng.choice((1.0, 1.0, 0.5, 0.2))
             customer = min(self.rng.randrange(CUSTOMERS), self.rng.randrange(CUSTOMERS))
             units = self.rng.choice((1.0, 1.0, 3.0))
             doors = 1 + customer % 3
-            self.post(now, self.api.Arrival(request, cls, customer % 4, customer, units, doors, now + wait))
+            self.handle_event(
+                now, self.api.Arrival(request, cls, customer % 4, customer, units, doors, now + wait)
+            )
             if self.rng.random() < 0.01:
-                self.plan(now + self.rng.uniform(0, 300), self.api.Abandoned(request))
+                self.schedule(now + self.rng.uniform(0, 300), self.api.Abandoned(request))
             if self.rng.random() < 0.01:
-                self.post(now, self.api.TimerFired(7))
+                self.handle_event(now, self.api.TimerFired(7))
         return self.lines
 
-    def plan(self, when: float, event: Any) -> None:
-        self.order += 1
-        heapq.heappush(self.due, (when, self.order, event))
+    def schedule(self, when: float, event: Any) -> None:
+        self.last_order += 1
+        heapq.heappush(self.due, (when, self.last_order, event))
 
-    def churn(self, now: float) -> None:
+    def change_servers(self, now: float) -> None:
         number = self.rng.randrange(SERVERS)
         if self.rng.random() < 0.3:
-            self.born[number] = now
+            self.started_ms[number] = now
         kind = self.rng.choice((self.api.ListKind.DELTA, self.api.ListKind.DELTA, self.api.ListKind.CACHED))
-        named = [number] if kind is self.api.ListKind.DELTA else sorted(self.rng.sample(range(SERVERS), 9))
-        self.listed(now, kind, named)
+        server_numbers = (
+            [number] if kind is self.api.ListKind.DELTA else sorted(self.rng.sample(range(SERVERS), 9))
+        )
+        self.send_list(now, kind, server_numbers)
 
-    def listed(self, now: float, kind: Any, named: Any) -> None:
+    def send_list(self, now: float, kind: Any, server_numbers: Any) -> None:
         ready, states = self.api.ServerState.READY, list(self.api.ServerState)
         servers = tuple(
             self.api.Server(
@@ -128,21 +134,21 @@
                 n % 5,
                 ready if self.rng.random() < 0.8 else self.rng.choice(states),
                 1.0,
-                self.born[n],
+                self.started_ms[n],
             )
-            for n in named
+            for n in server_numbers
         )
-        self.post(now, self.api.ServerList(kind, servers))
+        self.handle_event(now, self.api.ServerList(kind, servers))
 
-    def post(self, now: float, event: Any) -> None:
-        for action in self.gateway.handle(now, event):
-            self.act(now, action)
+    def handle_event(self, now: float, event: Any) -> None:
+        for action in self.decision_module.handle(now, event):
+            self.record_action(now, action)
 
-    def act(self, now: float, action: Any) -> None:
+    def record_action(self, now: float, action: Any) -> None:
         name = type(action).__name__
         if name == "Send":
             self.lines.append(f"{now:.2f} Send {action.request} {action.server} {action.until_ms:.3f}")
-            self.answer(now, action)
+            self.schedule_outcome(now, action)
         elif name == "Refuse":
             self.lines.append(f"{now:.2f} Refuse {action.request} {action.retry_in_ms:.3f}")
         elif name in ("Fail", "Cancel"):
@@ -150,9 +156,9 @@
         else:
             self.lines.append(f"{now:.2f} {name}")
 
-    def answer(self, now: float, sent: Any) -> None:
-        number = self.numbers.get(sent.request, 0)
-        self.numbers[sent.request] = number + 1
+    def schedule_outcome(self, now: float, sent: Any) -> None:
+        number = self.attempt_counts.get(sent.request, 0)
+        self.attempt_counts[sent.request] = number + 1
         names, weights = zip(*STATUSES, strict=True)
         status = self.api.Status(self.rng.choices(names, weights)[0])
         slow = 4.0 if 1e6 + 8000 < now < 1e6 + 12000 else 1.0
@@ -163,18 +169,18 @@
         usage = self.rng.randrange(250) if self.rng.random() < 0.5 else None
         closed = status is self.api.Status.OK
         if self.rng.random() < 0.02:
-            self.plan(now + elapsed / 2, self.api.StreamBegun(sent.request, number, sent.server))
-        self.plan(
+            self.schedule(now + elapsed / 2, self.api.StreamBegun(sent.request, number, sent.server))
+        self.schedule(
             now + elapsed,
             self.api.Outcome(sent.request, number, sent.server, status, elapsed, closed, usage, 0, report),
         )
 
 
-def trace(api: ModuleType, make: Any, seed: int, steps: int) -> list[str]:
+def trace(api: ModuleType, make_module: Any, seed: int, steps: int) -> list[str]:
     """What a gateway made by `make(settings, seed)` does on the stream of this seed."""
     rng = random.Random(seed)
-    told = settings(api, rng)
-    return Player(api, make(told, seed), told, rng).play(steps)
+    settings = random_settings(api, rng)
+    return EventStreamDriver(api, make_module(settings, seed), settings, rng).play(steps)
 
 
 def digest(lines: list[str]) -> str:
