--- a/basaltpoint/sim/wire.py
+++ b/basaltpoint/sim/wire.py
@@ -122,8 +122,8 @@
 
 
 def _read_arrival(reader: _RecordReader) -> api.Arrival:
-    request, cls, _, plan, _, units, deadline, doors, customer = reader.read_struct(_ARRIVAL)
-    return api.Arrival(request, cls, plan, customer, units, int(doors), deadline)
+    request, cls, _, plan, _, units, deadline, customer_limiters, customer = reader.read_struct(_ARRIVAL)
+    return api.Arrival(request, cls, plan, customer, units, int(customer_limiters), deadline)
 
 
 def _read_probe_result(reader: _RecordReader) -> api.ProbeResult:
--- a/basaltpoint/store/raft.py
+++ b/basaltpoint/store/raft.py
@@ -868,9 +868,7 @@
             return
         term = max(self.hard_state.term, *(each.term for each in responses))
         goal = max((each.last_term, each.last_index) for each in responses)
-        self.hard_state = HardState(
-            term, UNKNOWN_VOTE, goal != (0, 0), goal
-        )
+        self.hard_state = HardState(term, UNKNOWN_VOTE, goal != (0, 0), goal)
         self._finish_recovery()
 
     def _finish_recovery(self) -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Builders for events, so that a test states only what it is about."""
+"""Builders for events, so that a test states only the values that it checks."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class Rig:
-    """A gateway with servers and a running request number."""
+    """A decision module with servers; arrivals are numbered in order."""
 
     def __init__(self, servers: list[api.Server] | None = None, **changes: Any) -> None:
         self.decision_module = DecisionModule(replace(BASE, **changes), seed=1)
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,4 +1,4 @@
-"""Repeats that come too late: what a client's remaining wait tells of its request's age."""
+"""Late client retries: the client's remaining wait shows the age of its request."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 SERVICE = {**SETTINGS["services"][0], "aimMs": 60_000.0, "hardLimitMs": 100_000.0}
 SCARCE_QUOTA = {"services": [SERVICE], "contracts": [{"name": "basic", "rate": 0.01, "mostAtOnce": 4.0}]}
-USUAL_WAIT_S = "90"  # seconds that a client waits for its first try
-LATE_WAIT_S = "35"  # 65 s of the request's 100 have passed: its aim, too
+USUAL_WAIT_S = "90"  # of a client's first request
+LATE_WAIT_S = "35"  # 65 s of the request's 100 s have passed, and its aim of 60 s with them
 WAIT_IN_TIME_S = "75"
 SINGLE_LIMITER_TERMS = "units=1,spread=1,first=0"
 
@@ -27,13 +27,13 @@
 
 
 def test_a_late_client_retry_takes_no_scarce_units() -> None:
-    """Answered late it would earn nothing, and a new try would lack its units."""
+    """A late response has no worth, and its units would be missing for a new request."""
 
     async def test() -> None:
         async with backend(serve) as server:
             async with limiter(host("a", server.address), settings=SCARCE_QUOTA) as rig:
                 client = await rig.connect()
-                for n in range(12):  # few wait for longer than most
+                for n in range(12):  # a few clients wait for longer than most
                     assert (
                         await send_request(
                             client, f"other-{n}", 100 + n, "99" if n % 6 == 0 else USUAL_WAIT_S
@@ -47,13 +47,13 @@
                 assert await send_request(client, "late", 1, LATE_WAIT_S) == 429
                 assert await send_request(client, "in-time", 1, WAIT_IN_TIME_S) == 200
                 assert "late" not in [request.headers["req-id"] for request in server.requests]
-                assert await send_request(client, "plenty", 2, LATE_WAIT_S) == 200  # its store is full
+                assert await send_request(client, "plenty", 2, LATE_WAIT_S) == 200  # its quota is full
 
     run(test())
 
 
 def test_short_waits_mark_no_retry_where_they_are_usual() -> None:
-    """Also where as many wait for longer: last tries do, as nothing comes after them."""
+    """This also holds if as many clients wait for longer, as they do with their last retry."""
 
     async def test() -> None:
         async with backend(serve) as server:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules, at their edges, without the bench."""
+"""The five rules at their limits, without the bench."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 def test_unsafe_is_retried_elsewhere_after_proof_that_it_never_ran() -> None:
     rig = Rig()
     (sent,) = sends(rig.arrive(1.0, UNSAFE))
-    (again,) = sends(rig.end_attempt(20.0, sent, "full"))
-    assert again.server != sent.server
-    (last,) = sends(rig.end_attempt(40.0, again, "connect_failed", attempt=1))
+    (retry,) = sends(rig.end_attempt(20.0, sent, "full"))
+    assert retry.server != sent.server
+    (last,) = sends(rig.end_attempt(40.0, retry, "connect_failed", attempt=1))
     assert action_names(rig.end_attempt(60.0, last, "full", attempt=2)) == ["Refuse"]
 
 
 def test_safe_is_retried_after_an_error() -> None:
     rig = Rig()
     (sent,) = sends(rig.arrive(1.0, SAFE))
-    (again,) = sends(rig.end_attempt(20.0, sent, "error"))
-    assert again.server != sent.server
+    (retry,) = sends(rig.end_attempt(20.0, sent, "error"))
+    assert retry.server != sent.server
 
 
 def test_keyed_retry_stays_in_its_zone() -> None:
@@ -46,7 +46,7 @@
     (sent,) = sends(rig.arrive(1.0, KEYED_ZONE))
     zone = {1: 0, 2: 1, 3: 0}
     actions = rig.end_attempt(20.0, sent, "reset")
-    assert all(zone[again.server] == zone[sent.server] for again in sends(actions))
+    assert all(zone[retry.server] == zone[sent.server] for retry in sends(actions))
     assert "Refuse" not in action_names(actions)
 
 
@@ -67,8 +67,8 @@
 def test_hedged_attempt_goes_to_another_server() -> None:
     rig = Rig(may_hedge=True)
     (sent,) = sends(rig.arrive(1.0, KEYED_ALL))
-    copies = [copy for now in range(50, 2000, 50) for copy in sends(rig.tick(float(now)))]
-    assert len(copies) <= 1 and all(copy.server != sent.server for copy in copies)
+    hedges = [hedge for now in range(50, 2000, 50) for hedge in sends(rig.tick(float(now)))]
+    assert len(hedges) <= 1 and all(hedge.server != sent.server for hedge in hedges)
 
 
 def test_one_final_answer_when_deadline_and_outcome_race() -> None:
@@ -129,7 +129,7 @@
     assert cold <= total / 8 * BASE.cold_start_fraction * BASE.overload_crash_ratio
 
 
-def rig_with_ceiling(doors: int, **changes: object) -> tuple[Rig, api.Plan]:
+def rig_with_ceiling(customer_limiters: int, **changes: object) -> tuple[Rig, api.Plan]:
     plan = api.Plan(rate=50, burst=100, ceiling_rate=8, ceiling_depth=12, ceiling_slack=1)
     return Rig(plans=(plan,), **changes), plan
 
@@ -152,7 +152,7 @@
 
 
 def test_time_outs_at_most_servers_mean_overload_not_lost_servers() -> None:
-    """Incident if55596: every server became suspect, so no time-out counted and no cap came."""
+    """Incident if55596: every server became suspect, so no time-out counted and no lane cap was set."""
     rig = Rig()
     for sent in [sends(rig.arrive(1.0 + n))[0] for n in range(30)]:
         rig.end_attempt(1100.0, sent, "timeout", elapsed=1000.0)
@@ -161,13 +161,14 @@
 
 
 def test_overload_sets_lane_caps_although_every_latency_is_long() -> None:
-    """Incident if55596: with the tenth percentile grown too, load read low and no cap came."""
+    """Incident if55596: the 10th percentile had grown too, so load was estimated low and no cap was set."""
     rig = Rig()
     for step in range(700):
         now = 10.0 * step + 1
         elapsed = 60.0 + 60.0 * (step % 4) if step < 200 else 900.0
         for sent in sends(rig.arrive(now)):
-            rig.decision_module.pools[0].lane_outstanding[0] += 1  # as if it stayed out for its latency
+            # As if the attempt stayed outstanding for its latency.
+            rig.decision_module.pools[0].lane_outstanding[0] += 1
             rig.end_attempt(now + 1, sent, "ok", elapsed=elapsed)
             rig.decision_module.pools[0].lane_outstanding[0] -= 1
         if step % 5 == 0:
@@ -177,7 +178,7 @@
 
 
 def test_a_silent_server_is_avoided_and_retested() -> None:
-    """big-1 of cca-main-later: servers vanish; with an attempt a minute only its time-out tells."""
+    """Case big-1 of cca-main-later: servers vanish; at one attempt a minute only its time-out shows it."""
     rig = Rig([server(n) for n in range(1, 5)])
     (lost,) = sends(rig.arrive(1.0))
     rig.end_attempt(1001.0, lost, "timeout", elapsed=1000.0)
@@ -193,30 +194,30 @@
     assert lost.server in tried
 
 
-def rig_with_lost_responses(slow: float) -> Rig:
-    """A quarter of the answers never comes; the others take `slow` ms."""
+def rig_with_lost_responses(latency_ms: float) -> Rig:
+    """Returns a rig in which a quarter of the responses is lost and the others take `latency_ms`."""
     rig = Rig([server(n) for n in range(1, 9)])
     for step in range(80):
         now = 1.0 + 100.0 * step
         for sent in sends(rig.arrive(now)):
-            status, elapsed = ("timeout", 1000.0) if step % 4 == 0 else ("ok", slow)
+            status, elapsed = ("timeout", 1000.0) if step % 4 == 0 else ("ok", latency_ms)
             rig.end_attempt(now + 50.0, sent, status, elapsed=elapsed, closed=True)
     return rig
 
 
 def test_lost_responses_are_distinguished_from_overload_and_time_out_early() -> None:
-    """overload of cca-main-later: servers work and answer, but a quarter of the answers is lost."""
+    """Case overload of cca-main-later: servers execute requests, but a quarter of the responses is lost."""
     rig = rig_with_lost_responses(100.0)
     (sent,) = sends(rig.arrive(8100.0, SAFE))
     assert sent.until_ms < 8100.0 + 600.0
-    (once,) = sends(rig.arrive(8110.0, UNSAFE))
-    assert once.until_ms > 8110.0 + 1400.0
-    (jam,) = sends(rig_with_lost_responses(800.0).arrive(8100.0, SAFE)) or [None]
-    assert jam is None or jam.until_ms > 8100.0 + 900.0
+    (unsafe,) = sends(rig.arrive(8110.0, UNSAFE))
+    assert unsafe.until_ms > 8110.0 + 1400.0
+    (overloaded,) = sends(rig_with_lost_responses(800.0).arrive(8100.0, SAFE)) or [None]
+    assert overloaded is None or overloaded.until_ms > 8100.0 + 900.0
 
 
 def test_an_idle_limiter_sets_no_timer() -> None:
-    """Incident i724dc8: hundreds of gateways ticking over all servers were cut off for CPU."""
+    """Incident i724dc8: hundreds of limiters with timers over all servers were stopped for their CPU use."""
     rig = Rig([server(n) for n in range(1, 50)])
     (sent,) = sends(actions := rig.arrive(2.0))
     actions += rig.apply_list(3.0, server(1)) + rig.end_attempt(30.0, sent, "ok")
@@ -224,7 +225,7 @@
 
 
 def test_many_limiters_together_give_a_cold_server_its_share() -> None:
-    """big-1 of cca-main-later: each earns less than one send while a hall warms, and so it got none."""
+    """Case big-1 of cca-main-later: the share of each limiter was below one attempt, so cold servers got none."""
     rigs = [Rig([server(n) for n in range(1, 41)], limiter_count=60, limiter_index=n) for n in range(60)]
     for seed, rig in enumerate(rigs):
         rig.decision_module.rng.seed(seed)
@@ -237,7 +238,7 @@
         for now in range(5010, 15000, 500)
         for s in sends(rig.arrive(float(now)))
     )
-    fair = 60 * 20 / 40  # what a warm server would have got
+    fair = 60 * 20 / 40  # attempts that a warm server would have got
     assert 0.2 * fair < sent < fair
 
 
@@ -248,13 +249,13 @@
 
 
 def test_a_failing_zone_gets_only_trial_requests() -> None:
-    """rough-1 of spokane-north-later: nobody can find out each server of a lost hall by itself."""
+    """Case rough-1 of spokane-north-later: no limiter can test each server of a failed zone by itself."""
     rig = Rig([server(n, zone=n % 2) for n in range(1, 21)])
     for now in range(10, 400, 10):
         for sent in sends(rig.arrive(float(now))):
             status = "connect_failed" if sent.server % 2 else "ok"
-            for again in sends(rig.end_attempt(now + 2.0, sent, status)):
-                rig.end_attempt(now + 4.0, again, "connect_failed" if again.server % 2 else "ok", attempt=1)
+            for retry in sends(rig.end_attempt(now + 2.0, sent, status)):
+                rig.end_attempt(now + 4.0, retry, "connect_failed" if retry.server % 2 else "ok", attempt=1)
     first = [sends(rig.arrive(500.0 + n))[0] for n in range(20)]
     assert not any(sent.server % 2 for sent in first)
     for sent in first:
@@ -263,19 +264,19 @@
 
 
 def test_a_server_without_a_load_report_is_not_taken_for_idle() -> None:
-    """big-1 of tacoma-east-later: servers not heard of lately were taken for idle ones."""
+    """Case big-1 of tacoma-east-later: servers without a recent load report were taken for idle ones."""
     rig = Rig([server(n) for n in range(1, 4)], report_fields=("inflight",), limiter_count=300)
     fleet = rig.decision_module.pools[0].servers
     for now in range(1, 40):
         fleet.record_report(float(now), 1, (9.0,))
         fleet.record_report(float(now), 2, (2.0,))
-    idle, busy, unheard = (fleet.cost(fleet.records[n], 50.0) for n in (2, 1, 3))
-    assert idle < unheard < busy
+    idle, busy, unreported = (fleet.cost(fleet.records[n], 50.0) for n in (2, 1, 3))
+    assert idle < unreported < busy
     assert fleet.cost(fleet.records[1], 60000.0) == fleet.cost(fleet.records[3], 60000.0)
 
 
 def test_a_server_that_fails_fast_attracts_no_traffic() -> None:
-    """It always looks least busy; single errors, as spoilt answers are, keep none out; it returns."""
+    """Such a server always looks least busy. Single errors, such as spoilt responses, exclude no server."""
     rig = Rig([server(n) for n in range(1, 5)])
     failed, broken = 0, True
     for step in range(2000):
@@ -289,21 +290,21 @@
     assert not rig.decision_module.pools[0].servers.suspects
 
 
-@pytest.mark.parametrize(("strays", "late"), [(0, 0), (4, 0), (4, 8)])
-def test_lost_responses_under_light_load_are_retried(strays: int, late: int) -> None:
-    """Where answers get lost repeatable work is given up in time for one more try; under load never."""
+@pytest.mark.parametrize(("lost_count", "late_count"), [(0, 0), (4, 0), (4, 8)])
+def test_lost_responses_under_light_load_are_retried(lost_count: int, late_count: int) -> None:
+    """If responses get lost, repeatable attempts time out in time for a retry; under load they do not."""
     rig = Rig([server(n) for n in range(1, 5)])
     for step in range(100):
         now = 10.0 * step + 1
         [sent] = sends(rig.arrive(now, UNSAFE))
-        elapsed = 900.0 if step < late else 20.0
-        status = "timeout" if step >= 100 - strays else "ok"
+        elapsed = 900.0 if step < late_count else 20.0
+        status = "timeout" if step >= 100 - lost_count else "ok"
         rig.end_attempt(now + 5.0, sent, status, elapsed=elapsed)
     now = 2000.0
     rig.tick(now)
     left = {cls: sends(rig.arrive(now, cls))[0].until_ms - now for cls in (SAFE, UNSAFE)}
     assert left[UNSAFE] == CLASSES[UNSAFE].aim_ms
-    assert (left[SAFE] < CLASSES[SAFE].aim_ms) is (strays > 0 and late == 0)
+    assert (left[SAFE] < CLASSES[SAFE].aim_ms) is (lost_count > 0 and late_count == 0)
 
 
 def test_two_resets_but_not_one_make_a_server_suspect() -> None:
@@ -319,30 +320,32 @@
 
 
 def test_many_limiters_cover_all_servers_evenly_with_few_servers_each() -> None:
-    """zone+vast: a limiter that meets each of 60 servers seldom opens a connection for each request."""
-    met: Counter[int] = Counter()
+    """Case zone+vast: a limiter that spreads over all of 60 servers opens a connection for each request."""
+    coverage: Counter[int] = Counter()
     for me in range(40):
         rig = Rig([server(n) for n in range(1, 61)], limiter_count=40, limiter_index=me)
-        own = set()
+        subset = set()
         for now in range(0, 10000, 100):
             (sent,) = sends(rig.arrive(float(now)))
             rig.end_attempt(now + 50.0, sent, "ok")
-            own.add(sent.server)
-        assert len(own) <= 13
-        met.update(own)
-    assert set(met.values()) <= {7, 8, 9} and len(met) == 60
+            subset.add(sent.server)
+        assert len(subset) <= 13
+        coverage.update(subset)
+    assert set(coverage.values()) <= {7, 8, 9} and len(coverage) == 60
 
 
 def test_a_limiter_whose_subset_is_lost_uses_the_other_servers() -> None:
-    own = set(range(1, 13))  # the first gateway's; they stand in one zone, which is lost
-    rig = Rig([server(n, zone=n in own) for n in range(1, 61)], limiter_count=40, limiter_index=0)
-    assert {peer.entry.id for peer in rig.decision_module.pools[0].servers.subset} == own
+    subset = set(range(1, 13))  # the first limiter's subset, all in one zone, which fails
+    rig = Rig([server(n, zone=n in subset) for n in range(1, 61)], limiter_count=40, limiter_index=0)
+    assert {record.entry.id for record in rig.decision_module.pools[0].servers.subset} == subset
     served = 0
     for now in range(0, 4000, 50):
-        attempt, due = 0, sends(rig.arrive(float(now)))
-        while due:
-            lost = due[0].server in own
+        attempt, pending = 0, sends(rig.arrive(float(now)))
+        while pending:
+            lost = pending[0].server in subset
             served += not lost
-            due = sends(rig.end_attempt(now + 10.0, due[0], "connect_failed" if lost else "ok", attempt))
+            pending = sends(
+                rig.end_attempt(now + 10.0, pending[0], "connect_failed" if lost else "ok", attempt)
+            )
             attempt += 1
     assert served > 70
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -1,4 +1,4 @@
-"""Units that are known only after the answer: what the platform's front makes of what tells them."""
+"""Units that are known only after the response: how the platform front reads the header that states them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 async def units_drawn(response_headers: list[str], status: str = "200 OK") -> float:
-    """What one request of two units has drawn, once it is answered with these headers."""
+    """Returns the units drawn by a request of two estimated units after a response with these headers."""
 
     async def script(request: Request) -> None:
         request.reply(status, b"x", *response_headers)
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize(("value", "units"), [("1", 1.0), ("4", 4.0), ("2", 2.0), ("3.5", 3.5)])
 def test_units_stated_in_the_response_replace_the_estimate(value: str, units: float) -> None:
-    """They were not read at all: quotas went by the guess for good."""
+    """The header was once not read, so quotas always used the estimate."""
 
     async def test() -> None:
         assert await units_drawn([f"X-Cost-Units: {value}"]) == units
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("value", ["", "0", "-1", "nan", "1e3", "four", "4.01", "99999", "1" * 500])
 def test_invalid_units_leave_the_estimate(value: str) -> None:
-    """A figure that is none, or more than a request can take, would bind the customer or free it."""
+    """A value that is no number or above the maximum of a request would block or free the customer."""
 
     async def test() -> None:
         assert await units_drawn([f"X-Cost-Units: {value}"]) == ESTIMATED_UNITS
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,4 +1,4 @@
-"""Access logs to traces, traces to arrivals, and the ledger that finds what must not have happened."""
+"""Conversion of access logs to traces, replay of traces, and the ledger that finds violations."""
 
 from __future__ import annotations
 
@@ -47,51 +47,55 @@
 def test_bad_lines_are_counted_and_reported_and_the_rest_is_kept() -> None:
     lines = [NGINX.format(n, n) for n in range(5)]
     lines[2:2] = ["rubbish", "x" * 1_000_000, ""]
-    done = Import()
-    rows = list(traces.read(io.BytesIO("\n".join(lines).encode()), "nginx", done))
+    counts = Import()
+    rows = list(traces.read(io.BytesIO("\n".join(lines).encode()), "nginx", counts))
     assert [row.path for row in rows] == [f"/series/{n}" for n in range(5)]
-    assert (done.lines, done.kept) == (8, 5) and sum(done.bad.values()) == 2
-    assert done.shown == ["line 3: not of this format", f"line 4: longer than {traces.LONGEST_LINE} bytes"]
+    assert (counts.lines, counts.kept) == (8, 5) and sum(counts.bad.values()) == 2
+    assert counts.shown == ["line 3: not of this format", f"line 4: longer than {traces.LONGEST_LINE} bytes"]
 
 
 def test_times_out_of_order_are_sorted_within_the_window(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(traces, "WINDOW", 10)
     times = [0, 1, 3, 2, 4, 5, 7, 6, *range(8, 40), 9.5]
     source = "\n".join(json.dumps({"t": t, "method": "GET", "path": "/"}) for t in times)
-    done = Import()
-    rows = list(traces.read(io.BytesIO(source.encode()), "own", done))
+    counts = Import()
+    rows = list(traces.read(io.BytesIO(source.encode()), "own", counts))
     assert [row.t for row in rows] == sorted(row.t for row in rows) and len(rows) == len(times)
-    assert (done.moved, done.clamped) == (3, 1)
+    assert (counts.moved, counts.clamped) == (3, 1)
 
 
 def test_accounts_are_hashed_with_the_salt() -> None:
     source = (NGINX.format(1, 1) + "\n" + NGINX.format(2, 2)).encode()
-    made = []
+    account_lists = []
     for salt in (b"one", b"one", b"two"):
         sink = io.BytesIO()
         traces.convert(io.BytesIO(source), sink, "nginx", salt)
-        made.append([json.loads(line)["account"] for line in sink.getvalue().splitlines()])
+        account_lists.append([json.loads(line)["account"] for line in sink.getvalue().splitlines()])
         assert b"ann" not in sink.getvalue()
-    assert made[0] == made[1] and made[0] != made[2] and len(set(made[0])) == 1
-    again = io.BytesIO()
-    traces.convert(io.BytesIO(sink.getvalue()), again, "own", b"x")
-    assert len(again.getvalue().splitlines()) == 2
+    assert (
+        account_lists[0] == account_lists[1]
+        and account_lists[0] != account_lists[2]
+        and len(set(account_lists[0])) == 1
+    )
+    converted_twice = io.BytesIO()
+    traces.convert(io.BytesIO(sink.getvalue()), converted_twice, "own", b"x")
+    assert len(converted_twice.getvalue().splitlines()) == 2
 
 
 class GeneratedLog(io.RawIOBase):
-    """A log that is made as it is read."""
+    """A log that is generated as it is read."""
 
     def __init__(self, lines: int) -> None:
-        self.left = lines
+        self.lines_left = lines
         self.buffer = b""
 
     def readable(self) -> bool:
         return True
 
     def readinto(self, into: bytearray) -> int:  # type: ignore[override]
-        while len(self.buffer) < len(into) and self.left:
-            self.left -= 1
-            self.buffer += NGINX.format(self.left % 60, self.left).encode() + b"\n"
+        while len(self.buffer) < len(into) and self.lines_left:
+            self.lines_left -= 1
+            self.buffer += NGINX.format(self.lines_left % 60, self.lines_left).encode() + b"\n"
         size = min(len(into), len(self.buffer))
         into[:size], self.buffer = self.buffer[:size], self.buffer[size:]
         return size
@@ -107,9 +111,9 @@
     def peak(lines: int) -> int:
         tracemalloc.start()
         traces.convert(io.BufferedReader(GeneratedLog(lines)), Null(), "nginx", b"s")
-        most = tracemalloc.get_traced_memory()[1]
+        peak_bytes = tracemalloc.get_traced_memory()[1]
         tracemalloc.stop()
-        return most
+        return peak_bytes
 
     assert peak(20_000) < 1.5 * peak(5_000)
 
@@ -124,50 +128,52 @@
         Row(110.0, "PUT", "/b", "acc", "", 7),
         Row(160.0, "POST", "/c", "", "fix"),
     ]
-    asked = list(traces.replay(rows, 10.0, classes))
-    assert [(p.at_s, p.cls, p.account) for p in asked] == [
+    planned = list(traces.replay(rows, 10.0, classes))
+    assert [(p.at_s, p.cls, p.account) for p in planned] == [
         (0.0, "read", "anonymous"),
         (1.0, "put", "acc"),
         (6.0, "fix", "anonymous"),
     ]
-    assert asked[1].body_bytes == 7 and [p.number for p in asked] == [0, 1, 2]
+    assert planned[1].body_bytes == 7 and [p.number for p in planned] == [0, 1, 2]
 
 
 def test_a_hundred_thousand_requests_at_ten_times_their_speed() -> None:
-    """Every one is asked, at its time, by the driver on simulated time."""
+    """The driver sends every request at its time, on a simulated clock."""
     from test_load import Server, drive, told
 
     def rows() -> Iterator[Row]:
         for n in range(100_000):
             yield Row(n / 1000 + (n % 7) / 10_000, "GET", f"/{n}")
 
-    one = told(duration_s=1000.0)
-    classes = {cls.name: cls for cls in one.class_}
-    kept, driver = drive(one, Server(lambda: 0.002), requests=traces.replay(rows(), 10.0, classes))
-    assert driver.asked == len(kept.records) == 100_000
-    last = max(record.planned.at_s for record in kept.records)
-    assert abs(last - 10.0) < 0.01 and not kept.spells
+    scenario = told(duration_s=1000.0)
+    classes = {cls.name: cls for cls in scenario.class_}
+    results, driver = drive(scenario, Server(lambda: 0.002), requests=traces.replay(rows(), 10.0, classes))
+    assert driver.asked == len(results.records) == 100_000
+    last_s = max(record.planned.at_s for record in results.records)
+    assert abs(last_s - 10.0) < 0.01 and not results.spells
 
 
 # --- The ledger ------------------------------------------------------------------------------------------
-def attempt(ident: str, came: float, ended: float | None, server: str = "s1", **rest: object) -> Attempt:
-    return Attempt(ident, server, came, ended, ran=bool(rest.pop("ran", True)), **rest)  # type: ignore[arg-type]
+def attempt(
+    ident: str, received_s: float, ended_s: float | None, server: str = "s1", **rest: object
+) -> Attempt:
+    return Attempt(ident, server, received_s, ended_s, ran=bool(rest.pop("ran", True)), **rest)  # type: ignore[arg-type]
 
 
-CLEAN = [
+VALID_ATTEMPTS = [
     attempt("a", 0.0, 1.0),
-    attempt("a", 1.0, 2.0, "s2"),  # a repeat, after the first was over
-    attempt("b", 0.0, 0.5, once=True, ran=False),  # declined, so it could go elsewhere
+    attempt("a", 1.0, 2.0, "s2"),  # a retry, after the first attempt had ended
+    attempt("b", 0.0, 0.5, once=True, ran=False),  # declined, so the request could go to another server
     attempt("b", 0.6, 0.9, "s2", once=True),
     attempt("c", 0.0, 0.2, key="k"),
-    attempt("c", 0.3, 0.4, key="k", repeat=True),  # dropped by its key
+    attempt("c", 0.3, 0.4, key="k", repeat=True),  # discarded by its key
     attempt("d", 5.2, 5.3, "s3"),
 ]
-ASKED = [Asked("a", 1), Asked("b", 1), Asked("c", 1), Asked("d", 0, hung_up=True)]
+REQUESTS = [Asked("a", 1), Asked("b", 1), Asked("c", 1), Asked("d", 0, hung_up=True)]
 
 
 def test_a_valid_ledger_has_no_findings() -> None:
-    assert audit(ASKED, CLEAN, {"s3": 5.0}) == []
+    assert audit(REQUESTS, VALID_ATTEMPTS, {"s3": 5.0}) == []
 
 
 @pytest.mark.parametrize(
@@ -188,6 +194,6 @@
     ],
 )
 def test_each_injected_fault_is_found(kind: str, asked: list[Asked], attempts: list[Attempt]) -> None:
-    (found,) = audit([*ASKED, *asked], [*CLEAN, *attempts], {"s3": 5.0})
+    (found,) = audit([*REQUESTS, *asked], [*VALID_ATTEMPTS, *attempts], {"s3": 5.0})
     assert found.kind == kind and found.ident == "x"
     assert ledger.GRACE_S == 0.25
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec and the loop: what is legal is decoded, what is not is named."""
+"""The simulator's protocol and adapter: legal frames are decoded, errors name the fault of the others."""
 
 from __future__ import annotations
 
@@ -67,26 +67,26 @@
     raw = bytes.fromhex(
         "0b00000003 040007e3055d3a91c40003124a0700c84032800000000000010056000300".replace(" ", "")
     )
-    ((_, done),) = wire.decode_batch(2, raw)
-    assert isinstance(done, api.Outcome)
-    assert done.status is api.Status.OK and done.usage == 85 and done.units == 3 and done.closed
+    ((_, outcome),) = wire.decode_batch(2, raw)
+    assert isinstance(outcome, api.Outcome)
+    assert outcome.status is api.Status.OK and outcome.usage == 85 and outcome.units == 3 and outcome.closed
 
 
 def test_the_documented_actions() -> None:
-    got = wire.encode_reply(
+    frame_bytes = wire.encode_reply(
         [
             (3, [api.Send(0x7E3055D3A91C4, 0x03124A07, 8492.0), api.SetTimer(500.0, 0x4D)]),
             (4, []),
             (5, [api.Log("two servers known")]),
         ]
     )
-    want = (
+    expected_hex = (
         "00000040 0900000003 010007e3055d3a91c403124a0740c0960000000000 00407f4000000000000000004d"
         "0900000005 0a001174776f2073657276657273206b6e6f776e"
     )
-    assert got[:5] == bytes.fromhex(want.replace(" ", ""))[:5]
-    assert struct.unpack(">I", got[:4])[0] == len(got) - 4
-    assert b"two servers known" in got
+    assert frame_bytes[:5] == bytes.fromhex(expected_hex.replace(" ", ""))[:5]
+    assert struct.unpack(">I", frame_bytes[:4])[0] == len(frame_bytes) - 4
+    assert b"two servers known" in frame_bytes
 
 
 ACTIONS = [
@@ -104,8 +104,8 @@
 
 @pytest.mark.parametrize("action", ACTIONS, ids=lambda a: type(a).__name__)
 def test_every_action_is_framed(action: api.Action) -> None:
-    got = wire.encode_reply([(0, [action])])
-    assert struct.unpack(">I", got[:4])[0] == len(got) - 4 > 5
+    frame_bytes = wire.encode_reply([(0, [action])])
+    assert struct.unpack(">I", frame_bytes[:4])[0] == len(frame_bytes) - 4 > 5
 
 
 @pytest.mark.parametrize(
@@ -154,15 +154,15 @@
 
 
 def test_the_loop_ends_cleanly_with_its_input() -> None:
-    done = run_adapter(frame() + frame(TARGET, start_instance(), server_list()))
-    assert done.returncode == 0 and done.stdout.startswith(b"\0\0\0\0") and not done.stderr
+    result = run_adapter(frame() + frame(TARGET, start_instance(), server_list()))
+    assert result.returncode == 0 and result.stdout.startswith(b"\0\0\0\0") and not result.stderr
 
 
 @pytest.mark.parametrize("data", [b"\0\0", frame(TARGET, start_instance())[:-3], frame(TARGET, b"\x63")])
 def test_the_loop_names_a_bad_frame_on_standard_error(data: bytes) -> None:
-    done = run_adapter(data)
-    assert done.returncode != 0 and done.stdout == b""
-    assert done.stderr.count(b"\n") == 1 and b"frame 0" in done.stderr
+    result = run_adapter(data)
+    assert result.returncode != 0 and result.stdout == b""
+    assert result.stderr.count(b"\n") == 1 and b"frame 0" in result.stderr
 
 
 def test_an_exception_becomes_an_internal_error(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -1,4 +1,4 @@
-"""What a customer's store keeps for the requests that are worth most."""
+"""The part of a customer's quota that is kept for the requests of highest worth."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 async def send_requests(read_points: float) -> list[int]:
-    """Seven fixes, a read and a fix, from one customer that is far beyond its rate; its store holds ten.
+    """Sends 7 `fix`, a `read` and a `fix` request of one customer with a burst of 10 and next to no rate.
 
-    Three are left when the read comes, and of its own part a limiter keeps 2.4 for what is worth more.
+    Three units are left for the `read`; the limiter keeps 2.4 units of its part for classes of higher worth.
     """
 
     async def serve(request: Request) -> None:
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -1,6 +1,6 @@
-"""Seeded event streams for the decision module, and what it does on them as text to compare.
+"""Seeded event streams for the decision module; its actions are recorded as text to compare.
 
-The stream answers the module's own sends, so one changed decision changes all that follows it.
+The stream contains the outcomes of the module's own attempts, so a changed decision changes all later events.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from types import ModuleType
 from typing import Any, Protocol
 
-STEP_MS = 4.0  # mean time between arrivals: some 250 a second
+STEP_MS = 4.0  # mean time between arrivals: about 250 a second
 SERVERS = 12
 CUSTOMERS = 40
 STATUSES = (("ok", 80), ("error", 5), ("full", 5), ("timeout", 4), ("connect_failed", 3), ("reset", 3))
@@ -22,7 +22,7 @@
 
 
 def random_settings(api: ModuleType, rng: random.Random) -> Any:
-    """Settings that differ from seed to seed: effects, plans, meter, limits on attempts."""
+    """Returns settings that depend on the seed: effects, plans, meter, limits on attempts."""
     effects = (api.Effect.SAFE, api.Effect.KEYED, api.Effect.UNSAFE)
     classes = tuple(
         api.RequestClass(
@@ -74,7 +74,7 @@
 
 
 class EventStreamDriver:
-    """Drives one gateway: what it sends is answered by chance, later."""
+    """Sends events to one decision module; each attempt gets a random outcome later."""
 
     def __init__(
         self, api: ModuleType, decision_module: EventHandler, settings: Any, rng: random.Random
@@ -101,9 +101,10 @@
             wait = self.settings.classes[cls].deadline_ms * self.rng.choice((1.0, 1.0, 0.5, 0.2))
             customer = min(self.rng.randrange(CUSTOMERS), self.rng.randrange(CUSTOMERS))
             units = self.rng.choice((1.0, 1.0, 3.0))
-            doors = 1 + customer % 3
+            customer_limiters = 1 + customer % 3
             self.handle_event(
-                now, self.api.Arrival(request, cls, customer % 4, customer, units, doors, now + wait)
+                now,
+                self.api.Arrival(request, cls, customer % 4, customer, units, customer_limiters, now + wait),
             )
             if self.rng.random() < 0.01:
                 self.schedule(now + self.rng.uniform(0, 300), self.api.Abandoned(request))
@@ -177,7 +178,7 @@
 
 
 def trace(api: ModuleType, make_module: Any, seed: int, steps: int) -> list[str]:
-    """What a gateway made by `make(settings, seed)` does on the stream of this seed."""
+    """Returns the actions of `make_module(settings, seed)` on the event stream of this seed, one a line."""
     rng = random.Random(seed)
     settings = random_settings(api, rng)
     return EventStreamDriver(api, make_module(settings, seed), settings, rng).play(steps)
