--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -225,7 +225,7 @@
 
 
 def test_many_limiters_together_give_a_cold_server_its_share() -> None:
-    """Case big-1 of cca-main-later: the share of each limiter was below one attempt, so cold servers got none."""
+    """Case big-1 of cca-main-later: no limiter earned a whole attempt for a cold server, so it got none."""
     rigs = [Rig([server(n) for n in range(1, 41)], limiter_count=60, limiter_index=n) for n in range(60)]
     for seed, rig in enumerate(rigs):
         rig.decision_module.rng.seed(seed)
