--- a/basaltpoint/interface.py
+++ b/basaltpoint/interface.py
@@ -127,10 +127,9 @@
     must_subscribe: bool
     report_fields: tuple[str, ...]  # names of the values in load reports, in order
     max_request_units: float = 0.0  # units; 0 if unknown
-    handshake_cost: float = 0.0  # of one new connection for each first request, as a fraction of all worth
-    is_only_limiter: bool = (
-        False  # no other limiter draws from these quotas; an arrival's plan always applies
-    )
+    handshake_cost: float = 0.0  # fraction of all worth if each first request opens a connection
+    # No other limiter draws from these quotas, and an arrival's plan always applies.
+    is_only_limiter: bool = False
     pool_classes: Mapping[int, tuple[int, ...]] = field(default_factory=dict)  # class numbers by pool
 
 
--- a/basaltpoint/policy/decision_module.py
+++ b/basaltpoint/policy/decision_module.py
@@ -29,9 +29,8 @@
 from basaltpoint.policy.thresholds import INF
 
 # --- Constants ---------------------------------------------------------------------------------
-MAX_LOW_LATE_WORTH = (
-    0.3  # classes whose late responses are worth no more than this end their attempts at the aim
-)
+# Attempts end at the aim, not at the deadline, in classes whose late responses are worth no more than this.
+MAX_LATE_WORTH_TO_END_AT_AIM = 0.3
 CLEANUP_INTERVAL_MS = 1000.0  # between searches for idle customers and unused pools
 # A customer takes about 2 KB. Beyond this number the longest idle are removed once their ceiling is full.
 MAX_CUSTOMERS = 5000
@@ -181,7 +180,9 @@
         )
         customer, relative_worth = self._customer_of(now, event), cls.worth / self.max_worth
         # Where a late response is worth little, an attempt past the aim is wasted work and adds to overload.
-        ends_at_aim = cls.late_worth <= MAX_LOW_LATE_WORTH and cls.aim_stretch <= 0 and not cls.stream
+        ends_at_aim = (
+            cls.late_worth <= MAX_LATE_WORTH_TO_END_AT_AIM and cls.aim_stretch <= 0 and not cls.stream
+        )
         useful_until = min(event.deadline_ms, now + cls.aim_ms) if ends_at_aim else event.deadline_ms
         request = Request(event, cls, pool, pool.lanes[event.cls], useful_until, customer)
         self.requests[event.request] = request
--- a/basaltpoint/policy/send_rules.py
+++ b/basaltpoint/policy/send_rules.py
@@ -68,14 +68,14 @@
         return Denial.UNSAFE
     if now > dedup_window_end_ms(request):
         return Denial.WINDOW
-    scope = request.request_class.dedup_scope
-    if scope is DedupScope.ALL:
+    dedup_scope = request.request_class.dedup_scope
+    if dedup_scope is DedupScope.ALL:
         return None
-    if scope is DedupScope.ZONE:
-        known = all(earlier.zone == server.entry.zone for earlier in earlier_servers)
+    if dedup_scope is DedupScope.ZONE:
+        is_deduplicated = all(earlier.zone == server.entry.zone for earlier in earlier_servers)
     else:
-        known = all(earlier.cell == server.entry.cell for earlier in earlier_servers)
-    return None if known else Denial.SCOPE
+        is_deduplicated = all(earlier.cell == server.entry.cell for earlier in earlier_servers)
+    return None if is_deduplicated else Denial.SCOPE
 
 
 def may_retry_at(now: float, request: Request, server: ServerRecord) -> bool:
@@ -87,10 +87,8 @@
     """Returns until when (ms) a keyed retry may be written; written later it could be executed twice."""
     if request.request_class.effect is not Effect.KEYED:
         return INF
-    first_executed_ms = next(
-        (attempt.decided_ms for attempt in request.attempts if attempt.may_have_run), INF
-    )
-    return first_executed_ms + request.request_class.dedup_window_ms
+    first_decided_ms = next((attempt.decided_ms for attempt in request.attempts if attempt.may_have_run), INF)
+    return first_decided_ms + request.request_class.dedup_window_ms
 
 
 def may_be_refused(now: float, request: Request) -> bool:
--- a/basaltpoint/sim/adapter.py
+++ b/basaltpoint/sim/adapter.py
@@ -18,7 +18,7 @@
         self._modules: dict[int, DecisionModule] = {}
 
     def reply(self, now: float, record_count: int, body: bytes) -> bytes:
-        """Handles a batch of `count` records at `now` (ms); returns the reply or fault frame.
+        """Handles a batch of `record_count` records at `now` (ms); returns the reply or fault frame.
 
         Raises WireError for a batch that the protocol does not allow.
         """
@@ -68,14 +68,14 @@
 
 
 def main() -> int:
-    host, source, sink = SimulatorAdapter(), sys.stdin.buffer, sys.stdout.buffer
-    number = 0
+    adapter, source, sink = SimulatorAdapter(), sys.stdin.buffer, sys.stdout.buffer
+    frame_number = 0
     try:
         while (frame := read_frame(source)) is not None:
-            sink.write(host.reply(*frame))
+            sink.write(adapter.reply(*frame))
             sink.flush()
-            number += 1
+            frame_number += 1
     except wire.WireError as error:
-        print(f"basaltpoint.sim: frame {number}: {error}", file=sys.stderr)
+        print(f"basaltpoint.sim: frame {frame_number}: {error}", file=sys.stderr)
         return 2
     return 0
--- a/basaltpoint/sim/wire.py
+++ b/basaltpoint/sim/wire.py
@@ -171,7 +171,7 @@
 
 
 def decode_batch(record_count: int, body: bytes) -> list[tuple[int, Record]]:
-    """Returns the (instance, record) pairs of a batch of `count` records.
+    """Returns the (instance, record) pairs of a batch of `record_count` records.
 
     Raises WireError for a body that the protocol does not allow.
     """
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -135,7 +135,7 @@
 
 
 def test_a_repeated_start_resets_the_instance_and_an_empty_batch_is_answered() -> None:
-    host = SimulatorAdapter()
+    adapter = SimulatorAdapter()
     for records in (
         [TARGET, start_instance(), server_list()],
         [],
@@ -143,7 +143,7 @@
     ):
         read = read_frame(io.BytesIO(frame(*records)))
         assert read is not None
-        reply = host.reply(*read)
+        reply = adapter.reply(*read)
         assert struct.unpack(">I", reply[:4])[0] == len(reply) - 4
 
 
@@ -166,7 +166,7 @@
 
 
 def test_an_exception_becomes_an_internal_error(monkeypatch: pytest.MonkeyPatch) -> None:
-    host = SimulatorAdapter()
-    host.reply(0.0, 3, TARGET + start_instance() + server_list())
-    monkeypatch.setattr(host._modules[3], "handle", lambda now, event: 1 / 0)
-    assert b"ZeroDivisionError" in host.reply(1.0, 2, TARGET + b"\x06\x00\x00\x00\x01")
+    adapter = SimulatorAdapter()
+    adapter.reply(0.0, 3, TARGET + start_instance() + server_list())
+    monkeypatch.setattr(adapter._modules[3], "handle", lambda now, event: 1 / 0)
+    assert b"ZeroDivisionError" in adapter.reply(1.0, 2, TARGET + b"\x06\x00\x00\x00\x01")
