--- a/basaltpoint/sim/adapter.py
+++ b/basaltpoint/sim/adapter.py
@@ -17,12 +17,12 @@
     def __init__(self) -> None:
         self._modules: dict[int, DecisionModule] = {}
 
-    def reply(self, now: float, count: int, body: bytes) -> bytes:
-        """Handles a batch of `count` records at `now` (ms); returns the reply or fault frame.
+    def reply(self, now: float, record_count: int, body: bytes) -> bytes:
+        """Handles a batch of `record_count` records at `now` (ms); returns the reply or fault frame.
 
         Raises WireError for a batch that the protocol does not allow.
         """
-        records = wire.decode_batch(count, body)
+        records = wire.decode_batch(record_count, body)
         groups: list[tuple[int, list[api.Action]]] = []
         for instance, record in records:
             if not groups or groups[-1][0] != instance:
@@ -68,14 +68,14 @@
 
 
 def main() -> int:
-    host, source, sink = SimulatorAdapter(), sys.stdin.buffer, sys.stdout.buffer
-    number = 0
+    adapter, source, sink = SimulatorAdapter(), sys.stdin.buffer, sys.stdout.buffer
+    frame_number = 0
     try:
         while (frame := read_frame(source)) is not None:
-            sink.write(host.reply(*frame))
+            sink.write(adapter.reply(*frame))
             sink.flush()
-            number += 1
+            frame_number += 1
     except wire.WireError as error:
-        print(f"basaltpoint.sim: frame {number}: {error}", file=sys.stderr)
+        print(f"basaltpoint.sim: frame {frame_number}: {error}", file=sys.stderr)
         return 2
     return 0
