--- a/basaltpoint/core/table.py
+++ b/basaltpoint/core/table.py
@@ -44,7 +44,7 @@
 
 
 class NewRequest(NamedTuple):
-    """A request as a front submits it.
+    """A request that a front submits.
 
     `client_wait_ms`: how long the client waits from now on. `key`: unique among the open requests unless
     empty. `limiter_count`: limiters that share the customer's ceiling.
@@ -146,24 +146,22 @@
     sent_ms: float = 0.0  # start of the last attempt, or the end of its upload
     attempt_end_by_ms: float = 0.0  # when the last attempt times out
     response_started_ms: float = 0.0  # when forwarding the response started; 0: not yet
-    is_open: bool = True  # not replied to yet
+    is_open: bool = True  # not replied to, and the client is connected
     client_wait_ms: float = 0.0
     body_consumed: bool = False  # part of the body was streamed and not kept: no further attempt is possible
     is_uploading: bool = False  # the body is still being streamed: the deadline is suspended
-    deadline_postponed: bool = (
-        False  # the deadline passed, and the overdue end of an attempt is handled first
-    )
+    deadline_postponed: bool = False  # the deadline passed; the due end of an attempt is handled first
 
     def describe(self, now: float) -> str:
         """The state of the request, for the log; times are in ms relative to `now`."""
-        out = (
-            f"attempt {self.active_attempt} out since {self.sent_ms - now:.1f}, "
+        active = (
+            f"attempt {self.active_attempt} active since {self.sent_ms - now:.1f}, "
             f"until {self.attempt_end_by_ms - now:.1f}"
         )
         return (
-            f"{self.attempts_sent} attempts, {'none out' if self.active_attempt is None else out}, "
-            f"waits {self.client_wait_ms:.1f}, "
-            f"due {self.deadline_ms - now:.1f}{', spent' if self.body_consumed else ''}"
+            f"{self.attempts_sent} attempts, {'none active' if self.active_attempt is None else active}, "
+            f"client waits {self.client_wait_ms:.1f}, "
+            f"due {self.deadline_ms - now:.1f}{', body consumed' if self.body_consumed else ''}"
             f"{', postponed' if self.deadline_postponed else ''}"
         )
 
@@ -201,7 +199,8 @@
     def admit(self, now: float, request: NewRequest) -> tuple[int, list[Effect]]:
         """Admits a request, which then gets one reply before its client's deadline; returns its number.
 
-        The reply is immediate if too many requests are open or one with the same key is open.
+        The reply is immediate if too many requests are open, if one with the same key is open, or if the final
+        deadline has passed.
         """
         self._last_request += 1
         class_number, plan, customer, units, limiter_count, client_wait_ms, reply_margin_ms, pool, key = (
@@ -345,10 +344,8 @@
 
     def _deadline_applies(self, entry: OpenRequest, deadline_ms: float) -> bool:
         """Whether the timer that was set for this time is still the request's deadline."""
-        was_postponed = entry.body_consumed and deadline_ms < entry.deadline_ms
-        return (
-            entry.is_open and not entry.response_started_ms and not entry.is_uploading and not was_postponed
-        )
+        was_moved = entry.body_consumed and deadline_ms < entry.deadline_ms
+        return entry.is_open and not entry.response_started_ms and not entry.is_uploading and not was_moved
 
     def tick(self, now: float) -> list[Effect]:
         """Fires the module's timers that are due and replies to requests whose deadline has passed."""
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -286,7 +286,7 @@
     run(test())
 
 
-async def outcome(
+async def run_attempt(
     servers: ServerConnections, number: int, raw: bytes, seconds: float = 20.0
 ) -> AttemptResult:
     loop = asyncio.get_running_loop()
@@ -319,7 +319,7 @@
         listener, servers = Listener(), ServerConnections(10, 1.0, REUSE_S, platform_connection)
         servers.update_server(1, listener.address, True)
         large = b"POST /fix HTTP/1.1\r\nContent-Length: 64000000\r\n\r\n" + b"x" * 64_000_000
-        task = asyncio.create_task(outcome(servers, 1, large, 0.3 if timed_out else 20.0))
+        task = asyncio.create_task(run_attempt(servers, 1, large, 0.3 if timed_out else 20.0))
         peer = await listener.accept()
         await asyncio.get_running_loop().sock_recv(peer, 100)
         if not timed_out:
@@ -339,7 +339,7 @@
             ServerConnections(10, 1.0, REUSE_S, platform_connection),
         )
         servers.update_server(1, listener.address, True)
-        first = asyncio.create_task(outcome(servers, 1, REQUEST))
+        first = asyncio.create_task(run_attempt(servers, 1, REQUEST))
         peer = await listener.accept()
         await loop.sock_recv(peer, 100)
         peer.send(OK)
@@ -418,9 +418,9 @@
     async def test() -> None:
         async with backend() as server:
             servers = ServerConnections(10, 1.0, REUSE_S, platform_connection)
-            dial, port = server.address.split(":")
-            servers.update_server(1, (dial, int(port)), True)
-            tasks = [asyncio.create_task(outcome(servers, 1, REQUEST)) for _ in range(2)]
+            name, port = server.address.split(":")
+            servers.update_server(1, (name, int(port)), True)
+            tasks = [asyncio.create_task(run_attempt(servers, 1, REQUEST)) for _ in range(2)]
             held = [await server.arrived.get() for _ in tasks]
             held[0].reply()
             held[1].reply()
@@ -447,11 +447,11 @@
             for number, server in enumerate((one, two)):
                 name, port = server.address.split(":")
                 servers.update_server(number, (name, int(port)), True)
-            assert (await outcome(servers, 0, REQUEST)).status is Status.OK
-            task = asyncio.create_task(outcome(servers, 1, REQUEST))
+            assert (await run_attempt(servers, 0, REQUEST)).status is Status.OK
+            task = asyncio.create_task(run_attempt(servers, 1, REQUEST))
             await one.requests[0].closed()
             held = await two.arrived.get()
-            assert (await outcome(servers, 0, REQUEST)).status is Status.CONNECT_FAILED
+            assert (await run_attempt(servers, 0, REQUEST)).status is Status.CONNECT_FAILED
             held.reply()
             assert (await task).status is Status.OK
 
@@ -473,9 +473,9 @@
             servers = ServerConnections(10, 1.0, REUSE_S, platform_connection)
             name, port = server.address.split(":")
             servers.update_server(1, (name, int(port)), True)
-            reply = await outcome(servers, 1, REQUEST)
+            reply = await run_attempt(servers, 1, REQUEST)
             assert (reply.usage, reply.load) == (85, b'{"inflight":7,"qps":3}')
-            reply = await outcome(servers, 1, REQUEST)
+            reply = await run_attempt(servers, 1, REQUEST)
             assert (reply.usage, reply.load) == (None, b"")
             await until(lambda: server.connections == 1)
 
