--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -47,15 +47,15 @@
         self._heartbeat_at_ms = now + self.options.probe_ms
         names = dict.fromkeys([*self.view.other_members(), *(name for name, _ in self.seeds)])
         # Members are discovered from all records, sent only in the first 10 s; there is no list of members.
-        rows = self.view.records if now - self.started_ms < 10_000.0 else (self._own_record,)
+        records = self.view.records if now - self.started_ms < 10_000.0 else (self._own_record,)
         for name in names:
-            self._actions.append(act.Send(name, name, m.Gossip(rows)))
-        bound = self.options.silent_ms * max(1.0, math.log10(len(self.view.ring)))
+            self._actions.append(act.Send(name, name, m.Gossip(records)))
+        timeout_ms = self.options.silent_ms * max(1.0, math.log10(len(self.view.ring)))
         for name, known in list(self.view.members.items()):
             if (
                 name != self.name
                 and known.record.is_live
-                and now - max(known.last_heard_ms, known.state_since_ms) > bound
+                and now - max(known.last_heard_ms, known.state_since_ms) > timeout_ms
             ):
                 self._set_state(now, known.record, MemberState.DEAD)
 
@@ -66,12 +66,12 @@
 
     def message_received(self, now: float, sender: str, address: str, message: m.Message) -> None:
         self._now_ms = now
-        for row in message.records:
-            held = self.view.get(row.name)
-            if held is None or not held.is_live or held.incarnation < row.incarnation:
-                self._set_state(now, row, row.state)
-            if row.name == sender or held is None:
-                self.view.members[row.name].last_heard_ms = now
+        for record in message.records:
+            current = self.view.get(record.name)
+            if current is None or not current.is_live or current.incarnation < record.incarnation:
+                self._set_state(now, record, record.state)
+            if record.name == sender or current is None:
+                self.view.members[record.name].last_heard_ms = now
 
     def connection_lost(self, now: float, name: str) -> None:
         self._now_ms = now
@@ -88,9 +88,9 @@
 
 
 def model(kind: str, size: int, faults: Sequence[Fault], seed: int) -> Model:
-    make, options = VARIANTS[kind]
+    state_machine, options = VARIANTS[kind]
     names = [f"l{at + 1}" for at in range(size)]
-    return Model(names, MembershipOptions(**options), faults, seed, make=make)
+    return Model(names, MembershipOptions(**options), faults, seed, make=state_machine)
 
 
 def quantile(values: Sequence[float], fraction: float) -> float:
@@ -98,10 +98,10 @@
     return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else math.nan
 
 
-def kills(kind: str, size: int, plays: int) -> dict[str, Any]:
+def kills(kind: str, size: int, runs: int) -> dict[str, Any]:
     """One kill per run: when the first and last member detected it; idle bytes and messages per second."""
     first, last, sent, messages, missing = [], [], [], [], 0
-    for seed in range(plays):
+    for seed in range(runs):
         victim = f"l{size}"
         made = model(kind, size, [Fault(Kind.KILL, WARM_UP_S, math.inf, on=(victim,))], seed)
         made.run(WARM_UP_S - 5)
@@ -117,7 +117,7 @@
             first.append(min(kill.detected_s.values()))
             last.append(max(kill.detected_s.values()))
     return {
-        "kind": kind, "size": size, "plays": plays, "missing": missing,
+        "kind": kind, "size": size, "plays": runs, "missing": missing,
         "first_p50": quantile(first, 0.5), "first_p99": quantile(first, 0.99),
         "last_p50": quantile(last, 0.5), "last_p99": quantile(last, 0.99),
         "most_bytes_s": statistics.mean(sent), "messages_s": statistics.mean(messages),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -85,7 +85,7 @@
             cut = Fault(Kind.CUT, 0, math.inf, sources=("l2",), targets=("l1",))
             await made.begin(cut)
 
-            async def told() -> bool:
+            async def is_reported() -> bool:
                 looked = await look(fleets.load(made.members["l4"].file), "l4", made.members["l4"].advertise)
                 return any(
                     name.strip(">") == "l2"
@@ -95,13 +95,13 @@
                 )
 
             async with asyncio.timeout(PATIENCE_S):
-                while not await told():
+                while not await is_reported():
                     await asyncio.sleep(0.1)
             saws, _ = made.journal()
             assert not [saw for saw in saws if saw.state == "dead"]
             await made.over(cut)
             async with asyncio.timeout(PATIENCE_S):
-                while await told():
+                while await is_reported():
                     await asyncio.sleep(0.1)
 
     run(test())
@@ -112,16 +112,18 @@
         async with running_fleet(tmp_path, 3) as made:
             other = Processes(tmp_path / "other", ["l2"], LIMITER_TABLES, SHORT_TIMEOUTS)
             await other.prepare()
-            late = other.members["l2"]
-            text = made.text(made.members["l2"]).replace(made.members["l2"].own, late.own)
-            text = text.replace(made.members["l2"].listen, late.listen)
+            later_process = other.members["l2"]
+            text = made.text(made.members["l2"]).replace(made.members["l2"].own, later_process.own)
+            text = text.replace(made.members["l2"].listen, later_process.listen)
             text = text.replace(made._sockets, other._sockets)  # in the same folder it would start a handover
             text = text.replace(
-                f'advertise = "{made.members["l2"].advertise}"', f'advertise = "{late.advertise}"'
+                f'advertise = "{made.members["l2"].advertise}"', f'advertise = "{later_process.advertise}"'
             )
-            late.file.write_text(text)
+            later_process.file.write_text(text)
             other.start()
-            assert late.process and await asyncio.to_thread(late.process.wait, PATIENCE_S) == 1
+            assert (
+                later_process.process and await asyncio.to_thread(later_process.process.wait, PATIENCE_S) == 1
+            )
             assert "the name l2 is in use at" in other.log("l2")
             await wait_until_agreed(made, "l1", "l2", "l3")
             await other.close()
@@ -134,10 +136,10 @@
     async def test() -> None:
         async with running_fleet(tmp_path, 4, LONG_TIMEOUTS) as made:
             names = ("l1", "l2", "l3", "l4")
-            where = ("l1",), ("l2",)
+            link_ends = ("l1",), ("l2",)
             if kind is Kind.DROP:
-                where = names, names
-            fault = Fault(kind, 0, math.inf, sources=where[0], targets=where[1], part=0.2)
+                link_ends = names, names
+            fault = Fault(kind, 0, math.inf, sources=link_ends[0], targets=link_ends[1], part=0.2)
             before = made.links.passed.total()
             await made.begin(fault)
             await until(lambda: made.links.passed.total() >= before + 300)
@@ -263,17 +265,17 @@
 def test_limiter_state_is_wiped_or_restored_by_the_fault(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 3) as made:
-            kept = made.members["l2"].folder / "state" / "kept"
-            kept.parent.mkdir()
-            kept.write_text("older")
+            state_file = made.members["l2"].folder / "state" / "kept"
+            state_file.parent.mkdir()
+            state_file.write_text("older")
             made.keep_copies()
-            kept.write_text("newer")
-            for kind, found in ((Kind.PUTBACK, "older"), (Kind.WIPE, "")):
+            state_file.write_text("newer")
+            for kind, expected in ((Kind.PUTBACK, "older"), (Kind.WIPE, "")):
                 before = made.journal()[1]["l2"][-1][1]
                 fault = Fault(kind, 0, 1, on=("l2",))
                 await made.begin(fault)
                 await made.over(fault)
-                assert (kept.read_text() if kept.exists() else "") == found
+                assert (state_file.read_text() if state_file.exists() else "") == expected
                 await until(lambda: made.journal()[1]["l2"][-1][1] > before)  # noqa: B023 - waited for here
                 await wait_until_agreed(made, "l1", "l2", "l3")
             assert_no_resurrection(made)
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -20,22 +20,22 @@
     async def test() -> None:
         async with running_fleet(tmp_path, 6, SHORT_TIMEOUTS) as made:
             pauses = {"l4": 3, "l5": 10, "l6": 60}
-            stood = list(pauses)
-            for name in stood:
+            paused = list(pauses)
+            for name in paused:
                 made.pause(name)
-            there = ["l1", "l2", "l3"]
-            began = asyncio.get_running_loop().time()
+            running = ["l1", "l2", "l3"]
+            started_s = asyncio.get_running_loop().time()
             for name, seconds in pauses.items():
-                await asyncio.sleep(began + seconds - asyncio.get_running_loop().time())
+                await asyncio.sleep(started_s + seconds - asyncio.get_running_loop().time())
                 made.resume(name)
-                there.append(name)
-                await wait_until_agreed(made, *there)
-            for name in stood:
+                running.append(name)
+                await wait_until_agreed(made, *running)
+            for name in paused:
                 assert "stood still" in made.log(name)
                 # It may declare dead only members that were still paused when it resumed.
-                later = set(stood[stood.index(name) + 1 :])
+                paused_longer = set(paused[paused.index(name) + 1 :])
                 dead = {saw.name for saw in made.journal()[0] if saw.by == name and saw.state == "dead"}
-                assert dead <= later
+                assert dead <= paused_longer
             assert_no_resurrection(made)
 
     run(test())
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -56,8 +56,8 @@
         self.copies[name] = self._copy(name, self.copies[name].owner.epoch + 1)
         self._run_actions(name)
 
-    def schedule(self, when: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self._queue, (when, next(self._count), what))
+    def schedule(self, when: float, event: Callable[[], None]) -> None:
+        heapq.heappush(self._queue, (when, next(self._count), event))
 
     def run(self, ms: float) -> None:
         end = self.now + ms
@@ -66,8 +66,8 @@
             what()
         self.now = end
 
-    def call(self, name: str, what: Callable[[ReplicationStateMachine], object]) -> None:
-        what(self.copies[name])
+    def call(self, name: str, action: Callable[[ReplicationStateMachine], object]) -> None:
+        action(self.copies[name])
         self._run_actions(name)
 
     def _run_actions(self, name: str) -> None:
@@ -102,12 +102,12 @@
 
     def has_converged(self) -> bool:
         """Whether all copies hold the same rows and have the same digest."""
-        held = {
+        distinct_rows = {
             tuple(sorted((owner, tuple(sorted(map(msgspec.structs.astuple, owned)))) for owner, owned in
                          copy.table.owners.items() if len(owned)))
             for copy in self.copies.values()
         }  # fmt: skip
-        return len(held) == 1 and len({copy.table.digest() for copy in self.copies.values()}) == 1
+        return len(distinct_rows) == 1 and len({copy.table.digest() for copy in self.copies.values()}) == 1
 
 
 # --- Merging -----------------------------------------------------------------------------------------------
@@ -119,15 +119,17 @@
     changes: list[tuple[str, bool]], rng: random.Random
 ) -> None:
     entries = [Entry(1, key, at + 1, b"%d" % flag) for at, (key, flag) in enumerate(changes)]
-    want, got = OwnerRows(), OwnerRows()
+    expected, actual = OwnerRows(), OwnerRows()
     for entry in entries:
-        want.put(entry)
+        expected.put(entry)
     shuffled = entries + rng.choices(entries, k=5)
     rng.shuffle(shuffled)
     for entry in shuffled:
-        got.put(entry)
+        actual.put(entry)
     assert (
-        sorted(want, key=lambda e: e.count) == sorted(got, key=lambda e: e.count) == want.changes_after(0)[0]
+        sorted(expected, key=lambda e: e.count)
+        == sorted(actual, key=lambda e: e.count)
+        == expected.changes_after(0)[0]
     )
 
 
@@ -136,12 +138,12 @@
     st.randoms(use_true_random=False),
 )
 def test_merged_drain_is_independent_of_order(drains: list[Drain], rng: random.Random) -> None:
-    entries = [Entry(1, "s", at + 1, msgspec.msgpack.encode(word)) for at, word in enumerate(drains)]
-    want = kinds.merge_drains(entries)
+    entries = [Entry(1, "s", at + 1, msgspec.msgpack.encode(drain)) for at, drain in enumerate(drains)]
+    expected = kinds.merge_drains(entries)
     rng.shuffle(entries)
-    assert kinds.merge_drains(entries + entries[:2]) == want
-    assert not drains or (want.generation == max(w.generation for w in drains) and want in drains)
-    assert want.draining == any(w.draining for w in drains if w.generation == want.generation)
+    assert kinds.merge_drains(entries + entries[:2]) == expected
+    assert not drains or (expected.generation == max(w.generation for w in drains) and expected in drains)
+    assert expected.draining == any(w.draining for w in drains if w.generation == expected.generation)
 
 
 def test_copy_advances_only_after_the_whole_series_of_deltas(
@@ -155,21 +157,21 @@
     )
     for key in ("x", "y", "z", "x"):
         source.put_own_row(0.0, Kind.DRAIN, key, b"1")
-    one, two = source._deltas_after(A, 0)
-    assert [entry.key for entry in one.entries] == ["y", "z"] and (one.up_to, one.final_up_to) == (3, 4)
-    receiver.message_received(0.0, "a", one)
+    first, second = source._deltas_after(A, 0)
+    assert [entry.key for entry in first.entries] == ["y", "z"] and (first.up_to, first.final_up_to) == (3, 4)
+    receiver.message_received(0.0, "a", first)
     assert receiver.table.owner_rows(A).up_to == 0
     receiver.take_actions()
-    receiver.message_received(0.0, "a", two)
+    receiver.message_received(0.0, "a", second)
     assert receiver.table.owner_rows(A).up_to == 4 and not [
         a for a in receiver.take_actions() if isinstance(a, Send)
     ]
-    late = ReplicationStateMachine(
+    other = ReplicationStateMachine(
         Owner("c", 1), ReplicationOptions(), random.Random(1), 0.0, lambda: (), lambda: ()
     )
-    late.message_received(0.0, "a", two)  # the first delta was lost and is requested
-    assert late.table.owner_rows(A).up_to == 0
-    assert Send("a", VersionVector((), 0, ((A, 0, 0),), True)) in late.take_actions()
+    other.message_received(0.0, "a", second)  # the first delta was lost and is requested
+    assert other.table.owner_rows(A).up_to == 0
+    assert Send("a", VersionVector((), 0, ((A, 0, 0),), True)) in other.take_actions()
 
 
 # --- Copies over links -----------------------------------------------------------------------------------
