--- a/basaltpoint/store/disk.py
+++ b/basaltpoint/store/disk.py
@@ -149,9 +149,9 @@
 
     def _next_batch(self, raw: bytes, at: int) -> memoryview | None:
         """Returns the records of the batch at `at` if it is complete and next in number, else None."""
-        if (found := _read_batch(raw, at)) is None or (self._last_batch and found[0] != self._last_batch + 1):
+        if (batch := _read_batch(raw, at)) is None or (self._last_batch and batch[0] != self._last_batch + 1):
             return None
-        self._last_batch, payload = found
+        self._last_batch, payload = batch
         return payload
 
     def _has_later_batch(self, raw: bytes, at: int) -> bool:
@@ -235,9 +235,9 @@
 
     def _remove_unfinished(self) -> None:
         """Removes snapshots and segments that were unfinished when a call failed, which also frees space."""
-        held = {segment.name for segment in self._segments}
+        known_names = {segment.name for segment in self._segments}
         for name in self._files.list_names():
-            if name.endswith(".tmp") or (SEGMENT_NAME.fullmatch(name) and name not in held):
+            if name.endswith(".tmp") or (SEGMENT_NAME.fullmatch(name) and name not in known_names):
                 self._files.remove(name)
 
     def write_snapshot(self, snapshot: Snapshot, base_index: int) -> Iterator[None]:
--- a/basaltpoint/store/folder.py
+++ b/basaltpoint/store/folder.py
@@ -69,19 +69,23 @@
             stored = msgspec.json.decode(file.read_bytes(), type=Identity)
         except msgspec.DecodeError as error:
             raise FolderError(f"{file}: {error}; remove the folder and add the replica anew") from None
-        for what, found, wanted in (("cluster", stored.cluster, cluster), ("name", stored.name, name)):
-            if found != wanted:
+        for field, stored_value, configured_value in (
+            ("cluster", stored.cluster, cluster),
+            ("name", stored.name, name),
+        ):
+            if stored_value != configured_value:
                 raise FolderError(
-                    f"{self.path}: found the {what} {found!r}; allowed: {wanted!r}, as configured"
+                    f"{self.path}: found the {field} {stored_value!r}; "
+                    f"allowed: {configured_value!r}, as configured"
                 )
         self.may_be_stale = stored.stamp != self._read_stamp()
 
     def _read_stamp(self) -> tuple[int, int, int]:
         try:
-            found = os.stat(self.path / STAMP_FILE)
+            status = os.stat(self.path / STAMP_FILE)
         except FileNotFoundError:
             return 0, 0, 0
-        return found.st_dev, found.st_ino, found.st_ctime_ns
+        return status.st_dev, status.st_ino, status.st_ctime_ns
 
     def write_stamp(self) -> None:
         """Makes this copy the replica's folder. To be called once the recovery state is on disk."""
--- a/basaltpoint/store/log.py
+++ b/basaltpoint/store/log.py
@@ -75,10 +75,10 @@
 
     def compact(self, snapshot: Snapshot) -> None:
         """Adopts a newer snapshot of this log and drops the entries up to the preceding snapshot."""
-        old, self.snapshot = self.snapshot, snapshot
-        assert old.index <= snapshot.index <= self.last_index
-        del self.entries[: old.index - self.base_index]
-        self.base_index, self.base_term = old.index, old.term
+        previous, self.snapshot = self.snapshot, snapshot
+        assert previous.index <= snapshot.index <= self.last_index
+        del self.entries[: previous.index - self.base_index]
+        self.base_index, self.base_term = previous.index, previous.term
 
     def restore(self, snapshot: Snapshot) -> None:
         """Replaces the whole log by a snapshot from the leader."""
--- a/basaltpoint/store/node.py
+++ b/basaltpoint/store/node.py
@@ -28,10 +28,13 @@
 
 @dataclass(frozen=True, slots=True)
 class StorageLimits:
-    """Sizes that trigger a snapshot, and the maximum size of the state."""
+    """Sizes of the log that trigger a snapshot, and the maximum size of the state.
+
+    At most twice as many entries and bytes are in memory, as entries from the preceding snapshot on are kept.
+    """
 
     snapshot_entries: int = 20_000  # since the last snapshot
-    snapshot_bytes: int = 32 << 20  # bytes of entries; in memory at most twice
+    snapshot_bytes: int = 32 << 20  # of these entries
     max_state_bytes: int = kv.MAX_STATE_BYTES
 
 
@@ -244,12 +247,12 @@
 
     def _apply_missed_entries(self) -> None:
         """Applies committed entries from the output that the disk failure left unprocessed."""
-        log = self.raft.log
-        if self.state_machine.state.applied_index < log.snapshot.index:
-            self.state_machine.restore(log.snapshot.data)
+        raft_log = self.raft.log
+        if self.state_machine.state.applied_index < raft_log.snapshot.index:
+            self.state_machine.restore(raft_log.snapshot.data)
             self._bytes_since_snapshot = 0
-        for entry in log.entries_after(
-            max(self.state_machine.state.applied_index, log.snapshot.index), last=self.raft.applied_index
+        for entry in raft_log.entries_after(
+            max(self.state_machine.state.applied_index, raft_log.snapshot.index), last=self.raft.applied_index
         ):
             self._apply(entry)
         self.on_state_changed()
@@ -283,11 +286,11 @@
 
         Once it is written, entries before the preceding snapshot are dropped.
         """
-        core = self.raft
-        index = core.applied_index
-        term = core.log.term_at(index)
+        raft = self.raft
+        index = raft.applied_index
+        term = raft.log.term_at(index)
         assert term is not None and self.state_machine.state.applied_index in (index, 0)
-        members, _ = core.log.membership(last=index)
-        self._snapshot = Snapshot(index, term, members, self.state_machine.serialize())
+        membership, _ = raft.log.membership(last=index)
+        self._snapshot = Snapshot(index, term, membership, self.state_machine.serialize())
         self._bytes_since_snapshot = 0
-        self._snapshot_writer = self.disk.write_snapshot(self._snapshot, core.log.snapshot.index)
+        self._snapshot_writer = self.disk.write_snapshot(self._snapshot, raft.log.snapshot.index)
--- a/basaltpoint/store/raft.py
+++ b/basaltpoint/store/raft.py
@@ -59,9 +59,8 @@
     1. Send `early_messages`.
     2. Write and sync `install_snapshot`, `entries` (the first one replaces all entries from its index on) and
        `hard_state`, then call `Raft.mark_synced`.
-    3. Send `messages`, restore `restore_snapshot`, apply `committed_entries`, complete `confirmed_reads` once
-    their
-       index is applied, and fail `failed_reads`.
+    3. Send `messages`, restore `restore_snapshot`, apply `committed_entries`, complete each of
+       `confirmed_reads` once its index is applied, and fail `failed_reads`.
     """
 
     early_messages: list[tuple[str, Message]] = field(default_factory=list)
@@ -135,7 +134,7 @@
         self._forwarded_reads: dict[int, str] = {}  # token -> leader that received the read
         # Index up to which each member has acknowledged committed entries.
         self._acknowledged_indexes: dict[str, int] = {}
-        self._transfer: tuple[str, float] | None = None
+        self._transfer: tuple[str, float] | None = None  # target, deadline in ms
         # Term, index and received bytes of a snapshot.
         self._partial_snapshot: tuple[int, int, bytearray] | None = None
         self._recovery_responses: dict[str, m.RecoveryResponse] = {}
@@ -531,29 +530,31 @@
             if progress.snapshot or progress.next_index <= self.log.base_index:
                 self._send_snapshot_chunk(name, progress)
                 return
-            prev = progress.next_index - 1
-            term = self.log.term_at(prev)
+            prev_index = progress.next_index - 1
+            term = self.log.term_at(prev_index)
             assert term is not None
             # While the match index is unknown or too much is unacknowledged, entries would be sent in vain.
             withholds_entries = (
                 progress.probing or progress.next_index - progress.match_index > MAX_UNACKNOWLEDGED_ENTRIES
             )
-            entries = () if withholds_entries else self.log.entries_after(prev, MAX_APPEND_BYTES)
+            entries = () if withholds_entries else self.log.entries_after(prev_index, MAX_APPEND_BYTES)
             progress.awaits_response = progress.probing
             progress.next_index += len(entries)
-            marks = tuple((each, self._acknowledged_index(each)) for each in (self.name, *self.progress))
+            acknowledged_indexes = tuple(
+                (each, self._acknowledged_index(each)) for each in (self.name, *self.progress)
+            )
             self._output.early_messages.append(
                 (
                     name,
                     m.AppendEntries(
                         self.hard_state.term,
-                        prev,
+                        prev_index,
                         term,
                         entries,
                         self.commit_index,
                         self._heartbeat_round,
                         progress.match_index,
-                        marks,
+                        acknowledged_indexes,
                     ),
                 )
             )
@@ -687,9 +688,10 @@
             self._request_recovery()  # repeated at each heartbeat: earlier requests may be lost
             return
         index = message.prev_index
-        if index < self.commit_index and (held := self._committed_match(message)) is not None:
+        if index < self.commit_index and (matched_index := self._committed_match(message)) is not None:
             self._send_after_sync(
-                sender, m.AppendEntriesResponse(self.hard_state.term, True, held, message.heartbeat_round)
+                sender,
+                m.AppendEntriesResponse(self.hard_state.term, True, matched_index, message.heartbeat_round),
             )
             return
         if self.log.term_at(index) != message.prev_term:
--- a/basaltpoint/store/state_machine.py
+++ b/basaltpoint/store/state_machine.py
@@ -302,8 +302,8 @@
             )
         if operation.lease:
             self._require_lease(operation.lease)
-        old = self.state.values.get(operation.key)
-        return len(operation.value) - len(old.value) if old else key_bytes + len(operation.value)
+        previous = self.state.values.get(operation.key)
+        return len(operation.value) - len(previous.value) if previous else key_bytes + len(operation.value)
 
     def _expand_prefix(self, operation: Operation) -> list[Operation]:
         if isinstance(operation, Delete) and operation.prefix:
@@ -314,35 +314,38 @@
         """Applies operations under one new revision; removing a missing key changes nothing."""
         state, revision, events = self.state, self.state.revision + 1, []
         for operation in operations:
-            old = state.values.get(operation.key)
+            previous = state.values.get(operation.key)
             if isinstance(operation, Put):
                 new = Value(
-                    operation.value, old.created_revision if old else revision, revision, operation.lease
+                    operation.value,
+                    previous.created_revision if previous else revision,
+                    revision,
+                    operation.lease,
                 )
-            elif old is None:
+            elif previous is None:
                 continue
             else:
                 new = None
-            self._replace_value(operation.key, old, new)
+            self._replace_value(operation.key, previous, new)
             events.append(Event(revision, operation.key, new))
         if events:
             state.revision = revision
             self._record_events(events)
 
-    def _replace_value(self, key: str, old: Value | None, new: Value | None) -> None:
+    def _replace_value(self, key: str, previous: Value | None, new: Value | None) -> None:
         state = self.state
-        if old:
-            state.size_bytes -= len(key.encode()) + len(old.value)
-            if old.lease and (lease := state.leases.get(old.lease)):
+        if previous:
+            state.size_bytes -= len(key.encode()) + len(previous.value)
+            if previous.lease and (lease := state.leases.get(previous.lease)):
                 lease.keys.discard(key)
         if new:
             state.size_bytes += len(key.encode()) + len(new.value)
             state.values[key] = new
             if new.lease:
                 state.leases[new.lease].keys.add(key)
-            if not old:
+            if not previous:
                 bisect.insort(self._keys, key)
-        elif old:
+        elif previous:
             del state.values[key]
             del self._keys[bisect.bisect_left(self._keys, key)]
 
--- a/tests/storesim.py
+++ b/tests/storesim.py
@@ -233,13 +233,13 @@
             if is_completed:
                 return
             self.attempt_number += 1
-            turn = self.attempt_number
+            this_attempt = self.attempt_number
             self.sim.call_any_replica(
-                lambda node, now, back: node.propose(now, command, back), lambda r: receive(r, turn)
+                lambda node, now, back: node.propose(now, command, back), lambda r: receive(r, this_attempt)
             )
             self.sim.schedule(
                 CLIENT_TIMEOUT_MS,
-                lambda: attempt() if not is_completed and turn == self.attempt_number else None,
+                lambda: attempt() if not is_completed and this_attempt == self.attempt_number else None,
             )
 
         attempt()
@@ -259,16 +259,16 @@
                 self.sim.history.append(Operation(key, "read", found, start, self.sim.now_ms))
             self.schedule_next()
 
-        def ask(node: Node, now: float, back: Callable[[Any], None]) -> None:
-            def done(good: bool) -> None:
+        def start_read(node: Node, now: float, respond: Callable[[Any], None]) -> None:
+            def complete(is_current: bool) -> None:
                 value = node.state_machine.state.values.get(key)
-                back(
+                respond(
                     (value.value.decode(), value.modified_revision) if value else (None, 0)
-                ) if good else back(None)
+                ) if is_current else respond(None)
 
-            node.read(now, done)
+            node.read(now, complete)
 
-        self.sim.call_any_replica(ask, completed)
+        self.sim.call_any_replica(start_read, completed)
         self.sim.schedule(CLIENT_TIMEOUT_MS, lambda: completed(None))
 
 
@@ -578,8 +578,8 @@
     def run_until(self, condition: Callable[[], bool], max_ms: float = math.inf) -> None:
         end, last_check_ms = self.now_ms + max_ms, 0.0
         while self._queue and not condition() and self.now_ms < end:
-            self.now_ms, _, act = heapq.heappop(self._queue)
-            act()
+            self.now_ms, _, action = heapq.heappop(self._queue)
+            action()
             if self.now_ms - last_check_ms > 100:
                 last_check_ms = self.now_ms
                 self._check_log_matching()
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -52,10 +52,10 @@
 def test_a_torn_tail_is_truncated_and_writing_continues(tmp_path: Path, left: int) -> None:
     disk = Disk(OsFiles(tmp_path))
     disk.write((entry(1),), HardState(1, "a"))
-    name = tmp_path / "log-00000000000000000001.seg"
-    whole = name.stat().st_size
+    segment = tmp_path / "log-00000000000000000001.seg"
+    valid_bytes = segment.stat().st_size
     disk.write((entry(2),), None)
-    name.write_bytes(name.read_bytes()[: whole + left])
+    segment.write_bytes(segment.read_bytes()[: valid_bytes + left])
     again = Disk(OsFiles(tmp_path))
     assert (
         indexes_and_terms(again.log) == [(1, 1)]
@@ -232,38 +232,38 @@
             reached.add(scenario.reached_points[-1])
             scenario.files.lose_power(random.Random(loss_seed))
             again = Disk(scenario.files)
-            where = f"{scenario.reached_points[-1]}, point {count}, loss seed {loss_seed}"
-            assert again.hard_state in (scenario.hard_state, scenario.started_hard_state), where
+            context = f"{scenario.reached_points[-1]}, point {count}, loss seed {loss_seed}"
+            assert again.hard_state in (scenario.hard_state, scenario.started_hard_state), context
             log = again.log
-            assert log.snapshot.index >= scenario.snapshot_index, where
+            assert log.snapshot.index >= scenario.snapshot_index, context
             if scenario.installed or log.snapshot.index == 20:
-                assert log.snapshot.data == b"leader's", where
-                assert log.last_index >= 20 + (21 in [e.index for e in scenario.acknowledged]), where
+                assert log.snapshot.data == b"leader's", context
+                assert log.last_index >= 20 + (21 in [e.index for e in scenario.acknowledged]), context
                 continue
             entries = {each.index: each for each in log.entries}
             acknowledged = [each for each in scenario.acknowledged if each.index > log.base_index]
             keeps_acknowledged = all(entries.get(each.index) == each for each in acknowledged)
             replaced = [each for each in scenario.started if each.index > log.base_index]
-            assert keeps_acknowledged or [entries.get(each.index) for each in replaced] == replaced, where
+            assert keeps_acknowledged or [entries.get(each.index) for each in replaced] == replaced, context
             # The disk also accepts a write that is read back.
             last = log.last_index + 1
             again.write((entry(last, 9),), HardState(9, "z"))
             final = Disk(scenario.files)
-            assert final.log.last_index == last and final.hard_state == HardState(9, "z"), where
+            assert final.log.last_index == last and final.hard_state == HardState(9, "z"), context
         count += 1
 
 
 def test_a_crash_between_an_installed_snapshot_and_its_segment_is_recovered() -> None:
     files = SimFiles()
-    left = 0
+    is_armed = 0
 
     def point(name: str) -> None:
-        if left and name == "install.named":
+        if is_armed and name == "install.named":
             raise SimulatedCrash
 
     disk = Disk(files, point)
     disk.write((entry(1),), HardState(1, "a"))
-    left = 1
+    is_armed = 1
     with pytest.raises(SimulatedCrash):
         disk.install_snapshot(Snapshot(20, 3, MEMBERS, b"x"))
     again = Disk(files)
@@ -310,13 +310,13 @@
 
 def crash_during_rewrite(at: int) -> tuple[SimFiles, str]:
     """Crashes at a point of a rewrite after a disk failure; returns the files and the point's name."""
-    files, passed = SimFiles(), list[str]()
+    files, passed_points = SimFiles(), list[str]()
     rewriting = False
 
     def point(name: str) -> None:
         if rewriting:
-            passed.append(name)
-            if len(passed) > at:
+            passed_points.append(name)
+            if len(passed_points) > at:
                 raise SimulatedCrash
 
     disk = Disk(files, point)
@@ -330,7 +330,7 @@
     try:
         disk.rewrite(disk.log, HardState(1, "a"))
     except SimulatedCrash:
-        return files, passed[-1]
+        return files, passed_points[-1]
     return files, ""
 
 
--- a/tests/test_store_faulty_disk.py
+++ b/tests/test_store_faulty_disk.py
@@ -31,12 +31,12 @@
 
 
 @pytest.mark.parametrize(
-    "fault", [DISK_FULL, SYNC_FAILS, SYNC_FAILS_SOMETIMES], ids=["full", "sync", "now and then"]
+    "fault", [DISK_FULL, SYNC_FAILS, SYNC_FAILS_SOMETIMES], ids=["full", "sync", "sync sometimes"]
 )
 def test_three_failing_disks_lose_no_acknowledged_write_without_a_restart(
     tmp_path: Path, fault: CallFault
 ) -> None:
-    async def story(made: Cluster, tables: dict[str, FaultTable]) -> None:
+    async def scenario(made: Cluster, tables: dict[str, FaultTable]) -> None:
         await made.leader()
         writers = [Writer(made.client(), f"w{at}") for at in range(3)]
         tasks = [asyncio.create_task(writer.run()) for writer in writers]
@@ -65,4 +65,4 @@
     with cluster(tmp_path, more=SMALL, start=False) as made:
         tables = preload(made, tmp_path)
         made.start()
-        asyncio.run(story(made, tables))
+        asyncio.run(scenario(made, tables))
--- a/tests/test_store_raft.py
+++ b/tests/test_store_raft.py
@@ -63,17 +63,17 @@
         """Returns a list that receives the value of a linearizable read, or "refused"."""
         seen: list[str | None] = []
 
-        def done(good: bool) -> None:
+        def done(is_current: bool) -> None:
             value = self.node(host).state_machine.state.values.get(key)
-            seen.append((value.value.decode() if value else None) if good else "refused")
+            seen.append((value.value.decode() if value else None) if is_current else "refused")
 
-        def ask(node: Node, now: float) -> None:
+        def start_read(node: Node, now: float) -> None:
             try:
                 node.read(now, done)
             except RefusedError:
                 seen.append("refused")
 
-        self.run_on(host, ask)
+        self.run_on(host, start_read)
         return seen
 
     def isolate(self, host: Host, receives: bool = False, sends: bool = False) -> None:
@@ -92,14 +92,14 @@
 
     def add_member(self, name: str, voter: bool = False) -> Host:
         host = self.add_host(name)
-        held = list(self.node(self.leading_host).raft.membership.members)
-        results = self.change_membership([*held, Member(name, f"{name}:1", voter)])
+        members = list(self.node(self.leading_host).raft.membership.members)
+        results = self.change_membership([*members, Member(name, f"{name}:1", voter)])
         self.wait_until(lambda: bool(results))
         return host
 
     def remove_member(self, removed: Host) -> None:
-        held = self.node(self.leading_host).raft.membership.members
-        results = self.change_membership([member for member in held if member.name != removed.name])
+        members = self.node(self.leading_host).raft.membership.members
+        results = self.change_membership([member for member in members if member.name != removed.name])
         self.wait_until(lambda: bool(results))
 
     def write_entries(self, count: int) -> None:
@@ -111,16 +111,16 @@
     return Command(Transaction((), (Put(key, value.encode(), lease),)), session, number)
 
 
-def refusal_text(act: Callable[[], object]) -> str:
+def refusal_text(action: Callable[[], object]) -> str:
     with pytest.raises(RefusedError) as error:
-        act()
+        action()
     return str(error.value)
 
 
-def busy_text(act: Callable[[], object]) -> str:
+def busy_text(action: Callable[[], object]) -> str:
     """Returns the text of a refusal after which a retry may succeed."""
     with pytest.raises(BusyError) as error:
-        act()
+        action()
     return str(error.value)
 
 
@@ -305,16 +305,16 @@
     index = sim.node(s1).raft.log.last_index
     assert sim.node(s1).raft.commit_index < index or sim.node(s1).raft.log.term_at(index) == term
     # As the leader of a later term it finds the entry on a majority, which holds none of its own entries yet.
-    core = sim.node(s1).raft
-    core._become_follower(term + 5, "")
-    core.role = type(core.role).LEADER
-    core._term_start_index = index + 1
-    core._update_progress()
-    core.commit_index = index - 1
+    raft = sim.node(s1).raft
+    raft._become_follower(term + 5, "")
+    raft.role = type(raft.role).LEADER
+    raft._term_start_index = index + 1
+    raft._update_progress()
+    raft.commit_index = index - 1
     for name in (s2.name, s3.name):
-        core.progress[name].match_index = index
-    core._advance_commit_index()
-    assert core.commit_index == index - 1
+        raft.progress[name].match_index = index
+    raft._advance_commit_index()
+    assert raft.commit_index == index - 1
 
 
 # --- Members ------------------------------------------------------------------------------------------
@@ -358,17 +358,21 @@
 
 def test_one_membership_change_at_a_time() -> None:
     sim = FaultFreeCluster()
-    held = list(sim.node(sim.leading_host).raft.membership.members)
-    two = Membership(tuple(held[:1]))
+    members = list(sim.node(sim.leading_host).raft.membership.members)
+    removes_two = Membership(tuple(members[:1]))
     assert "one voter" in refusal_text(
-        lambda: sim.node(sim.leading_host).change_membership(sim.local_time(sim.leading_host), two, print)
+        lambda: sim.node(sim.leading_host).change_membership(
+            sim.local_time(sim.leading_host), removes_two, print
+        )
     )
     for host in sim.followers():
         sim.isolate(host)
-    sim.change_membership([*held, Member("x", "x:1", voter=False)])
-    more = Membership((*held, Member("y", "y:1", voter=False)))
+    sim.change_membership([*members, Member("x", "x:1", voter=False)])
+    adds_another = Membership((*members, Member("y", "y:1", voter=False)))
     assert "not committed" in busy_text(
-        lambda: sim.node(sim.leading_host).change_membership(sim.local_time(sim.leading_host), more, print)
+        lambda: sim.node(sim.leading_host).change_membership(
+            sim.local_time(sim.leading_host), adds_another, print
+        )
     )
 
 
