--- a/basaltpoint/store/raft.py
+++ b/basaltpoint/store/raft.py
@@ -23,7 +23,8 @@
 MAX_UNACKNOWLEDGED_ENTRIES = 4096
 # Entries that a learner may lack when it becomes a voter; with more, commits would wait for it.
 MAX_LEARNER_LAG_ENTRIES = 1000
-# Stands in `HardState.voted_for` during a recovery: a vote may have been granted to an unknown candidate.
+# Stands in `HardState.voted_for` after a recovery until the next term: a vote may have been granted in this
+# term, and its candidate is not known.
 UNKNOWN_VOTE = "-"
 
 
