--- a/basaltpoint/core/table.py
+++ b/basaltpoint/core/table.py
@@ -199,7 +199,7 @@
     def admit(self, now: float, request: NewRequest) -> tuple[int, list[Effect]]:
         """Admits a request, which then gets one reply before its client's deadline; returns its number.
 
-        The reply is immediate if too many requests are open, if one with the same key is open, or if the final
+        It replies at once if too many requests are open, if one with the same key is open, or if the final
         deadline has passed.
         """
         self._last_request += 1
