--- a/basaltpoint/cli.py
+++ b/basaltpoint/cli.py
@@ -15,12 +15,12 @@
 
 def _check(args: argparse.Namespace) -> int:
     from basaltpoint.config.build import load
-    from basaltpoint.config.decode import FileError, read_sound
+    from basaltpoint.config.decode import FileError, load_toml
     from basaltpoint.config.shared import shared_tables
     from basaltpoint.daemon.shared_state import check_local
 
     try:
-        raw = read_sound(args.config)
+        raw = load_toml(args.config)
         if "store" in raw and not shared_tables(raw):
             check_local(args.config)
             print(f"{args.config}: good; the store holds the rest: basaltpoint config show")
--- a/basaltpoint/config/address.py
+++ b/basaltpoint/config/address.py
@@ -31,7 +31,7 @@
         return False  # a name: it may be anybody's
 
 
-def inherited(descriptor: int) -> socket.socket:
+def inherited_listening_socket(descriptor: int) -> socket.socket:
     """The listening socket that this process was started with; ConfigError where there is none."""
     try:
         made = socket.socket(fileno=descriptor)
--- a/basaltpoint/config/build.py
+++ b/basaltpoint/config/build.py
@@ -17,8 +17,15 @@
 from basaltpoint import interface as api
 from basaltpoint.config import fleets, storage
 from basaltpoint.config.address import Address, ConfigError, parse_address
-from basaltpoint.config.decode import Collector, FileError, decode, read_sound, shown
-from basaltpoint.config.schema import AccountTable, ClassTable, File, KeyMissing, RouteTable, ServerTable
+from basaltpoint.config.decode import FileError, ProblemCollector, decode, format_value, load_toml
+from basaltpoint.config.schema import (
+    AccountTable,
+    ClassTable,
+    ConfigFile,
+    KeyMissing,
+    RouteTable,
+    ServerTable,
+)
 from basaltpoint.interface import Effect
 from basaltpoint.routing import regex
 from basaltpoint.routing.accounts import Account, Accounts, IdentitySettings, KeyPolicy, Networks
@@ -45,8 +52,8 @@
     weight: float
     zone: int
     drain: bool
-    connections: int
-    probe: api.ProbeRule | None
+    max_connections: int
+    probe_rule: api.ProbeRule | None
     pools: tuple[int, ...]
 
 
@@ -54,22 +61,22 @@
 class Setup:
     """All that a file says, ready for use. It never changes; a reload makes another."""
 
-    file: File
+    file: ConfigFile
     listen: Address
     settings: api.Settings
     routes: Routes
     accounts: Accounts
     servers: tuple[ServerSpec, ...]
     pools: dict[str, int]
-    trusted: Networks
+    trusted_networks: Networks
 
-    def drained(self, names: Collection[str]) -> Setup:
+    def with_drains(self, names: Collection[str]) -> Setup:
         """The same with other drains: those of the file, and of these servers."""
         rows = {row.name: row.drain for row in self.file.server}
         servers = (replace(spec, drain=rows[spec.name] or spec.name in names) for spec in self.servers)
         return replace(self, servers=tuple(servers))
 
-    def among(self, limiters: int, most: int) -> Setup:
+    def for_fleet(self, limiters: int, most: int) -> Setup:
         """The same for one of several limiters before the same quotas.
 
         Each quota is dealt out evenly among those that are there, each ceiling among the most that may be:
@@ -93,47 +100,49 @@
 
 
 @dataclass(slots=True)
-class Numbers:
+class NumberRegistry:
     """Numbers of named things, the same over reloads: requests that are out go by them."""
 
     given: dict[tuple[str, str], int] = field(default_factory=dict)
     counts: dict[str, int] = field(default_factory=dict)
 
-    def of(self, kind: str, name: str) -> int:
+    def number_for(self, kind: str, name: str) -> int:
         key = kind, name
         if key not in self.given:
             self.given[key] = self.counts[kind] = self.counts.get(kind, 0) + 1
         return self.given[key]
 
-    def copy(self) -> Numbers:
-        return Numbers(dict(self.given), dict(self.counts))
+    def copy(self) -> NumberRegistry:
+        return NumberRegistry(dict(self.given), dict(self.counts))
 
 
-def load(path: Path, numbers: Numbers | None = None) -> Setup:
+def load(path: Path, numbers: NumberRegistry | None = None) -> Setup:
     """Read, check and build; FileError with every problem found.
 
     `numbers` is changed only where all is right.
     """
-    return assemble(read_sound(path), path, Collector(str(path)), numbers)
+    return build_setup(load_toml(path), path, ProblemCollector(str(path)), numbers)
 
 
-def assemble(raw: dict[str, Any], path: Path, out: Collector, numbers: Numbers | None = None) -> Setup:
+def build_setup(
+    raw: dict[str, Any], path: Path, out: ProblemCollector, numbers: NumberRegistry | None = None
+) -> Setup:
     """Check and build what was read; FileError with every problem found."""
-    file = decode(File, raw, out)
+    file = decode(ConfigFile, raw, out)
     if file is None:
         raise FileError(out.problems)
-    trial = numbers.copy() if numbers else Numbers()
-    setup = Builder(file, path, out, trial).build()
-    out.check()
+    trial = numbers.copy() if numbers else NumberRegistry()
+    setup = SetupBuilder(file, path, out, trial).build()
+    out.raise_problems()
     if numbers:
         numbers.given, numbers.counts = trial.given, trial.counts
     return setup
 
 
-class Builder:
+class SetupBuilder:
     """One file's way to a Setup."""
 
-    def __init__(self, file: File, path: Path, out: Collector, numbers: Numbers) -> None:
+    def __init__(self, file: ConfigFile, path: Path, out: ProblemCollector, numbers: NumberRegistry) -> None:
         self.file, self.path, self.out, self.numbers = file, path, out, numbers
         self.plans = self._names("plan", file.plan)
         self.classes = self._names("class", file.class_)
@@ -161,7 +170,7 @@
             Routes(routes, regex.ExpressionSet),
             accounts,
             servers,
-            {pool.name: self.numbers.of("pool", pool.name) for pool in self.file.pool},
+            {pool.name: self.numbers.number_for("pool", pool.name) for pool in self.file.pool},
             trusted,
         )
 
@@ -172,7 +181,9 @@
             if row.name in found:
                 first = f"{table}[{found[row.name]}]"
                 self.out.add(
-                    f"{table}[{at}].name", f"found {shown(row.name)} again", f"a name that {first} has not"
+                    f"{table}[{at}].name",
+                    f"found {format_value(row.name)} again",
+                    f"a name that {first} has not",
                 )
             found.setdefault(row.name, at)
         if not rows:
@@ -184,8 +195,12 @@
             return True
         names = sorted(known)
         near = difflib.get_close_matches(name, names, 1, 0.5)
-        hint = f"did you mean {shown(near[0])}?" if near else "one of " + ", ".join(map(shown, names[:10]))
-        self.out.add(path, f"found {shown(name)}, which is no {table}", hint)
+        hint = (
+            f"did you mean {format_value(near[0])}?"
+            if near
+            else "one of " + ", ".join(map(format_value, names[:10]))
+        )
+        self.out.add(path, f"found {format_value(name)}, which is no {table}", hint)
         return False
 
     def _address(self, path: str, text: str) -> Address:
@@ -193,7 +208,7 @@
             address = parse_address(text)
             ipaddress.ip_address(address[0])
         except (ConfigError, ValueError):
-            self.out.add(path, f"found {shown(text)}", "IP:PORT, as 127.0.0.1:8080 or [::1]:8080")
+            self.out.add(path, f"found {format_value(text)}", "IP:PORT, as 127.0.0.1:8080 or [::1]:8080")
             return "", 0
         return address
 
@@ -283,13 +298,13 @@
     def _servers(self) -> tuple[ServerSpec, ...]:
         homes: dict[str, list[int]] = {}
         for at, pool in enumerate(self.file.pool):
-            number = self.numbers.of("pool", pool.name)
+            number = self.numbers.number_for("pool", pool.name)
             if not pool.servers:
                 self.out.add(f"pool[{at}].servers", "none", "one server at least")
             for index, name in enumerate(pool.servers):
                 path = f"pool[{at}].servers[{index}]"
                 if name in pool.servers[:index]:
-                    self.out.add(path, f"found {shown(name)} again", "each server once")
+                    self.out.add(path, f"found {format_value(name)} again", "each server once")
                 elif self._known(path, name, "server", self.servers):
                     homes.setdefault(name, []).append(number)
         made, addresses = [], dict[Address, int]()
@@ -299,7 +314,7 @@
                 path = f"server[{at}].address"
                 self.out.add(
                     path,
-                    f"found {shown(row.address)} again",
+                    f"found {format_value(row.address)} again",
                     f"an address that server[{addresses[address]}] has not",
                 )
             made.append(self._server(row, address, tuple(homes.get(row.name, ()))))
@@ -308,8 +323,8 @@
     def _server(self, row: ServerTable, address: Address, pools: tuple[int, ...]) -> ServerSpec:
         health = self.file.health if row.health else None
         rule = api.ProbeRule(health.every_ms, health.rise, health.fall) if health else None
-        number = self.numbers.of("server", f"{row.name} {row.address}")
-        zone = self.numbers.of("zone", row.zone or f"server {row.name}")
+        number = self.numbers.number_for("server", f"{row.name} {row.address}")
+        zone = self.numbers.number_for("zone", row.zone or f"server {row.name}")
         return ServerSpec(
             number, row.name, address, row.weight, zone, row.drain, row.connections, rule, pools
         )
@@ -318,7 +333,9 @@
     def _routes(self, handlings: list[ClassRules]) -> tuple[list[Route], dict[int, tuple[int, ...]]]:
         most = max((plan.burst for plan in self.file.plan), default=0.0)
         routes: list[Route] = []
-        members: dict[int, set[int]] = {self.numbers.of("pool", pool.name): set() for pool in self.file.pool}
+        members: dict[int, set[int]] = {
+            self.numbers.number_for("pool", pool.name): set() for pool in self.file.pool
+        }
         seen: dict[tuple[Any, ...], int] = {}
         for at, row in enumerate(self.file.route):
             path = f"route[{at}]"
@@ -353,7 +370,7 @@
         rewrite = Rewrite(row.prefix, row.rewrite) if row.rewrite else None
         return Route(
             name=row.name,
-            pool=self.numbers.of("pool", row.pool),
+            pool=self.numbers.number_for("pool", row.pool),
             class_rules=handlings[self.classes[row.class_]],
             path_form=form,
             path=text,
@@ -375,14 +392,16 @@
         if len(given) > 1:
             self.out.add(path, "found " + " and ".join(given), "one of path, prefix and regex")
         if row.rewrite and not row.prefix:
-            self.out.add(f"{path}.rewrite", f"found {shown(row.rewrite)}", "only together with prefix")
+            self.out.add(f"{path}.rewrite", f"found {format_value(row.rewrite)}", "only together with prefix")
         for key in ("path", "prefix", "rewrite"):
             self._normal(getattr(row, key), f"{path}.{key}")
         if row.regex:
             try:
                 regex.check_expression(row.regex)
             except regex.RegexError as error:
-                self.out.add(f"{path}.regex", f"found {shown(row.regex)}: {error}", "an RE2 expression")
+                self.out.add(
+                    f"{path}.regex", f"found {format_value(row.regex)}: {error}", "an RE2 expression"
+                )
             return PathForm.REGEX, row.regex
         if row.path:
             return PathForm.EXACT, row.path
@@ -394,16 +413,20 @@
         try:
             normal = normal_path(text)
         except PathError as error:
-            self.out.add(path, f"found {shown(text)}: {error}", "a path in normal form")
+            self.out.add(path, f"found {format_value(text)}: {error}", "a path in normal form")
             return
         if "?" in text or "#" in text or normal != text:
-            self.out.add(path, f"found {shown(text)}", f"the normal form, {shown(normal.partition('?')[0])}")
+            self.out.add(
+                path,
+                f"found {format_value(text)}",
+                f"the normal form, {format_value(normal.partition('?')[0])}",
+            )
 
     def _patterns(self, row: RouteTable, path: str) -> None:
         def each(key: str, values: Iterable[str], fits: Callable[[str], Any], wanted: str) -> None:
             for value in values:
                 if not fits(value):
-                    self.out.add(f"{path}.{key}", f"found {shown(value)}", wanted)
+                    self.out.add(f"{path}.{key}", f"found {format_value(value)}", wanted)
 
         each("hosts", row.hosts, HOST.fullmatch, "a host in lower case without its port, or *.HOST")
         each(
@@ -430,7 +453,9 @@
                 found.append(ipaddress.ip_network(text))
             except ValueError:
                 self.out.add(
-                    f"identity.trusted_proxies[{at}]", f"found {shown(text)}", "a network, as 127.0.0.0/8"
+                    f"identity.trusted_proxies[{at}]",
+                    f"found {format_value(text)}",
+                    "a network, as 127.0.0.0/8",
                 )
         return tuple(found)
 
@@ -441,11 +466,13 @@
         for path, row in self._account_rows():
             if names.setdefault(row.name, path) != path:
                 self.out.add(
-                    f"{path}.name", f"found {shown(row.name)} again", f"a name that {names[row.name]} has not"
+                    f"{path}.name",
+                    f"found {format_value(row.name)} again",
+                    f"a name that {names[row.name]} has not",
                 )
             if not self._known(f"{path}.plan", row.plan, "plan", self.plans):
                 continue
-            account = Account(self.numbers.of("account", row.name), self.plans[row.plan], row.name)
+            account = Account(self.numbers.number_for("account", row.name), self.plans[row.plan], row.name)
             if not row.keys:
                 self.out.add(f"{path}.keys", "none", "one digest at least")
             for at, text in enumerate(row.keys):
@@ -461,7 +488,9 @@
             return
         digest = bytes.fromhex(match[1])
         if (other := found.get(digest)) is not None:
-            self.out.add(path, f"the key of account {shown(other.name)}", "a key that no other account has")
+            self.out.add(
+                path, f"the key of account {format_value(other.name)}", "a key that no other account has"
+            )
             return
         found[digest] = account
 
@@ -482,7 +511,7 @@
         if not self.file.accounts_file:
             return
         path = self.path.parent / self.file.accounts_file
-        out = Collector(str(path))
+        out = ProblemCollector(str(path))
         try:
             with open(path, "rb") as lines:
                 for number, line in enumerate(lines, 1):
@@ -491,12 +520,12 @@
         except OSError as error:
             self.out.add(
                 "accounts_file",
-                f"{shown(self.file.accounts_file)} can't be read: {error.strerror}",
+                f"{format_value(self.file.accounts_file)} can't be read: {error.strerror}",
                 "a readable file",
             )
         self.out.problems += out.problems
 
-    def _account_line(self, line: bytes, number: int, out: Collector) -> AccountTable | None:
+    def _account_line(self, line: bytes, number: int, out: ProblemCollector) -> AccountTable | None:
         if not line.strip():
             return None
         try:
@@ -505,7 +534,7 @@
             out.add(f"line {number}", f"no JSON: {error}", "an object with name, plan and keys")
             return None
         if not isinstance(raw, dict):
-            out.add(f"line {number}", f"found {shown(raw)}", "an object with name, plan and keys")
+            out.add(f"line {number}", f"found {format_value(raw)}", "an object with name, plan and keys")
             return None
         return decode(AccountTable, raw, out, f"line {number}")
 
--- a/basaltpoint/config/decode.py
+++ b/basaltpoint/config/decode.py
@@ -17,7 +17,7 @@
 from msgspec import inspect
 
 T = TypeVar("T", bound=msgspec.Struct)
-LONGEST_SHOWN = 60  # characters of a value that an error shows
+MAX_SHOWN_CHARS = 60  # characters of a value that an error shows
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,17 +41,17 @@
         super().__init__("\n".join(map(str, self.problems)))
 
 
-def shown(value: object) -> str:
+def format_value(value: object) -> str:
     """A value as an error shows it."""
     if isinstance(value, dict):
         return "a table"
     if isinstance(value, bool):
         return "true" if value else "false"
     text = repr(value).replace("'", '"') if isinstance(value, str) else str(value)
-    return text if len(text) <= LONGEST_SHOWN else text[: LONGEST_SHOWN - 3] + "..."
+    return text if len(text) <= MAX_SHOWN_CHARS else text[: MAX_SHOWN_CHARS - 3] + "..."
 
 
-class Collector:
+class ProblemCollector:
     """The problems of one file, as they are found."""
 
     def __init__(self, file: str) -> None:
@@ -61,13 +61,13 @@
     def add(self, path: str, found: str, allowed: str) -> None:
         self.problems.append(Problem(self.file, path, found, allowed))
 
-    def check(self) -> None:
+    def raise_problems(self) -> None:
         """FileError where anything was found."""
         if self.problems:
             raise FileError(self.problems)
 
 
-def read_toml(path: Path, out: Collector) -> dict[str, Any]:
+def read_toml(path: Path, out: ProblemCollector) -> dict[str, Any]:
     """The file's tables; a problem, and none of them, where it is no TOML."""
     try:
         return parse_toml(path.read_bytes(), "file", out)
@@ -76,7 +76,7 @@
         return {}
 
 
-def parse_toml(text: bytes, what: str, out: Collector) -> dict[str, Any]:
+def parse_toml(text: bytes, what: str, out: ProblemCollector) -> dict[str, Any]:
     """The tables of a file or another text, `what` in the problems; none where it is no TOML."""
     try:
         return tomllib.loads(text.decode())
@@ -87,17 +87,17 @@
     return {}
 
 
-def read_sound(path: Path) -> dict[str, Any]:
+def load_toml(path: Path) -> dict[str, Any]:
     """The file's tables; FileError where it can't be read."""
-    out = Collector(str(path))
+    out = ProblemCollector(str(path))
     raw = read_toml(path, out)
-    out.check()
+    out.raise_problems()
     return raw
 
 
-def allowed(kind: inspect.Type) -> str:
+def describe_allowed(kind: inspect.Type) -> str:
     """In words, what a value of this type may be."""
-    match kind := bare(kind):
+    match kind := unwrap_type(kind):
         case inspect.BoolType():
             return "true or false"
         case inspect.IntType() | inspect.FloatType():
@@ -118,24 +118,24 @@
                 return f"a text of the form {kind.pattern}"
             return "a text that is not empty" if kind.min_length else "a text"
         case inspect.EnumType():
-            return "one of " + ", ".join(shown(member.value) for member in kind.cls)
+            return "one of " + ", ".join(format_value(member.value) for member in kind.cls)
         case inspect.ListType() | inspect.VarTupleType():
-            return f"a list, each item {allowed(kind.item_type)}"
+            return f"a list, each item {describe_allowed(kind.item_type)}"
         case inspect.DictType():
-            return f"a table, each value {allowed(kind.value_type)}"
+            return f"a table, each value {describe_allowed(kind.value_type)}"
         case inspect.StructType():
             return "a table"
         case _:
             return str(kind)
 
 
-def bare(kind: inspect.Type) -> inspect.Type:
+def unwrap_type(kind: inspect.Type) -> inspect.Type:
     """A type without its description, and without the None that stands for absence."""
     if isinstance(kind, inspect.Metadata):
-        return bare(kind.type)
+        return unwrap_type(kind.type)
     if isinstance(kind, inspect.UnionType):
         parts = [part for part in kind.types if not isinstance(part, inspect.NoneType)]
-        return bare(parts[0]) if len(parts) == 1 else kind
+        return unwrap_type(parts[0]) if len(parts) == 1 else kind
     return kind
 
 
@@ -143,7 +143,7 @@
     return f"{path}.{key}" if path else key
 
 
-def decode(kind: type[T], raw: dict[str, Any], out: Collector, path: str = "") -> T | None:
+def decode(kind: type[T], raw: dict[str, Any], out: ProblemCollector, path: str = "") -> T | None:
     """The structure, or None where something in it is wrong and told to `out`."""
     info = inspect.type_info(kind)
     assert isinstance(info, inspect.StructType)
@@ -152,7 +152,9 @@
     return kind(**values) if len(out.problems) == before else None
 
 
-def _fields(info: inspect.StructType, raw: dict[str, Any], out: Collector, path: str) -> dict[str, Any]:
+def _fields(
+    info: inspect.StructType, raw: dict[str, Any], out: ProblemCollector, path: str
+) -> dict[str, Any]:
     known = {field.encode_name: field for field in info.fields}
     for key in raw:
         if key not in known:
@@ -164,12 +166,12 @@
         if key in raw:
             values[field.name] = _value(field.type, raw[key], out, _join(path, key))
         elif field.required:
-            out.add(_join(path, key), "missing", allowed(field.type))
+            out.add(_join(path, key), "missing", describe_allowed(field.type))
     return values
 
 
-def _value(kind: inspect.Type, value: Any, out: Collector, path: str) -> Any:
-    kind = bare(kind)
+def _value(kind: inspect.Type, value: Any, out: ProblemCollector, path: str) -> Any:
+    kind = unwrap_type(kind)
     if isinstance(kind, inspect.StructType) and isinstance(value, dict):
         return decode(kind.cls, value, out, path)
     if isinstance(kind, inspect.VarTupleType) and isinstance(value, list):
@@ -179,17 +181,17 @@
     return _leaf(kind, value, out, path)
 
 
-def _leaf(kind: inspect.Type, value: Any, out: Collector, path: str) -> Any:
+def _leaf(kind: inspect.Type, value: Any, out: ProblemCollector, path: str) -> Any:
     try:
         return msgspec.convert(value, _python_type(kind), strict=True)
     except msgspec.ValidationError:
-        out.add(path, f"found {shown(value)}", allowed(kind))
+        out.add(path, f"found {format_value(value)}", describe_allowed(kind))
         return None
 
 
 def _python_type(kind: inspect.Type) -> Any:
     """The type that msgspec converts to, with its bounds."""
-    match kind := bare(kind):
+    match kind := unwrap_type(kind):
         case inspect.BoolType():
             return bool
         case inspect.IntType():
--- a/basaltpoint/config/reference.py
+++ b/basaltpoint/config/reference.py
@@ -9,7 +9,7 @@
 from msgspec import inspect
 
 from basaltpoint.config import schema
-from basaltpoint.config.decode import allowed, bare, shown
+from basaltpoint.config.decode import describe_allowed, format_value, unwrap_type
 
 HEAD = """# Configuration reference
 
@@ -20,13 +20,13 @@
 
 def reference() -> str:
     """The whole page."""
-    info = inspect.type_info(schema.File)
+    info = inspect.type_info(schema.ConfigFile)
     assert isinstance(info, inspect.StructType)
     parts = [HEAD, _table("Top of the file", info)]
     for field in info.fields:
-        kind = bare(field.type)
+        kind = unwrap_type(field.type)
         many = isinstance(kind, inspect.VarTupleType)
-        inner = bare(kind.item_type) if isinstance(kind, inspect.VarTupleType) else kind
+        inner = unwrap_type(kind.item_type) if isinstance(kind, inspect.VarTupleType) else kind
         if isinstance(inner, inspect.StructType):
             name = field.encode_name
             title = f"`[[{name}]]`" if many else f"`[{name}]`"
@@ -41,11 +41,16 @@
         rows += [doc[0].upper() + doc[1:], ""]
     rows += ["| key | allowed | default | meaning |", "| --- | --- | --- | --- |"]
     for field in info.fields:
-        kind = bare(field.type)
-        inner = bare(kind.item_type) if isinstance(kind, inspect.VarTupleType) else kind
+        kind = unwrap_type(field.type)
+        inner = unwrap_type(kind.item_type) if isinstance(kind, inspect.VarTupleType) else kind
         if isinstance(inner, inspect.StructType):
             continue
-        cells = f"`{field.encode_name}`", allowed(field.type), _default(field), _description(field.type)
+        cells = (
+            f"`{field.encode_name}`",
+            describe_allowed(field.type),
+            _default(field),
+            _description(field.type),
+        )
         rows.append("| " + " | ".join(map(_escape, cells)) + " |")
     return "\n".join(rows) + "\n"
 
@@ -66,7 +71,7 @@
         value = value.value
     if value in ("", (), {}):
         return "none"
-    return f"`{shown(value)}`"
+    return f"`{format_value(value)}`"
 
 
 def _escape(text: str) -> str:
--- a/basaltpoint/config/schema.py
+++ b/basaltpoint/config/schema.py
@@ -22,7 +22,7 @@
     UNSAFE = "unsafe"
 
 
-NAME = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$"  # of anything that a file names
+NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$"  # of anything that a file names
 
 
 def described(text: str, **bounds: Any) -> Meta:
@@ -34,7 +34,7 @@
     """Any table of the file."""
 
 
-class Limits(Table, frozen=True, kw_only=True):
+class LimitsTable(Table, frozen=True, kw_only=True):
     """`[limits]`: what the process may use."""
 
     memory_mb: Annotated[
@@ -63,7 +63,7 @@
     ] = 64
 
 
-class Clients(Table, frozen=True, kw_only=True):
+class ClientsTable(Table, frozen=True, kw_only=True):
     """`[clients]`: connections of clients."""
 
     idle_s: Annotated[
@@ -117,7 +117,7 @@
 class PlanTable(Table, frozen=True, kw_only=True):
     """`[[plan]]`: what an account may use."""
 
-    name: Annotated[str, described("Its name.", pattern=NAME)]
+    name: Annotated[str, described("Its name.", pattern=NAME_PATTERN)]
     rate: Annotated[float, described("Units a second that the quota fills with.", gt=0, le=1e9)]
     burst: Annotated[
         float,
@@ -142,7 +142,7 @@
 class AccountTable(Table, frozen=True, kw_only=True):
     """`[[account]]`: who may ask."""
 
-    name: Annotated[str, described("Its name.", pattern=NAME)]
+    name: Annotated[str, described("Its name.", pattern=NAME_PATTERN)]
     plan: Annotated[str, described("Name of its plan.", min_length=1)]
     keys: Annotated[
         tuple[str, ...],
@@ -153,7 +153,7 @@
 class ClassTable(Table, frozen=True, kw_only=True):
     """`[[class]]`: how requests of a kind may be handled."""
 
-    name: Annotated[str, described("Its name.", pattern=NAME)]
+    name: Annotated[str, described("Its name.", pattern=NAME_PATTERN)]
     effect: Annotated[
         Effect,
         described(
@@ -213,7 +213,7 @@
 class ServerTable(Table, frozen=True, kw_only=True):
     """`[[server]]`: a process that answers."""
 
-    name: Annotated[str, described("Its name.", pattern=NAME)]
+    name: Annotated[str, described("Its name.", pattern=NAME_PATTERN)]
     address: Annotated[
         str, described("`HOST:PORT`, with a literal IP address; IPv6 in brackets.", min_length=1)
     ]
@@ -231,7 +231,7 @@
 class PoolTable(Table, frozen=True, kw_only=True):
     """`[[pool]]`: servers that can do the same."""
 
-    name: Annotated[str, described("Its name.", pattern=NAME)]
+    name: Annotated[str, described("Its name.", pattern=NAME_PATTERN)]
     servers: Annotated[
         tuple[str, ...],
         described(
@@ -240,7 +240,7 @@
     ]
 
 
-class Health(Table, frozen=True, kw_only=True):
+class HealthTable(Table, frozen=True, kw_only=True):
     """`[health]`: active checks. Without this table there are none; failing attempts still count."""
 
     path: Annotated[
@@ -252,7 +252,7 @@
     fall: Annotated[int, described("Bad ones in a row that take it out.", ge=1, le=100)] = 3
 
 
-class Upstream(Table, frozen=True, kw_only=True):
+class UpstreamTable(Table, frozen=True, kw_only=True):
     """`[upstream]`: attempts and connections to servers."""
 
     attempts: Annotated[int, described("Attempts for one request, one after the other.", ge=1, le=10)] = 3
@@ -279,7 +279,7 @@
 class RouteTable(Table, frozen=True, kw_only=True):
     """`[[route]]`: what holds for which requests."""
 
-    name: Annotated[str, described("Its name.", pattern=NAME)]
+    name: Annotated[str, described("Its name.", pattern=NAME_PATTERN)]
     pool: Annotated[str, described("Name of its pool.", min_length=1)]
     class_: Annotated[str, described("Name of its class.", min_length=1)] = msgspec.field(name="class")
     hosts: Annotated[tuple[str, ...], described("Hosts, exact or `*.example.org`; none: any.")] = ()
@@ -319,27 +319,27 @@
     body_max_kb: Annotated[int, described("Longer bodies get 413; 0 for no bound.", ge=0, le=1073741824)] = 0
 
 
-class Start(Enum):
+class StartPolicy(Enum):
     """What a start without the store does."""
 
     WAIT = "wait"
     CACHED = "cached"
 
 
-MEMBER = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}@\S+:[0-9]+$"
+MEMBER_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}@\S+:[0-9]+$"
 
 
 class StoreTable(Table, frozen=True, kw_only=True):
     """`[store]`: the replicated store. With it, plans, routes, servers and all else but this limiter's own tables are held there."""
 
     cluster: Annotated[
-        str, described("Name of the cluster; one with another name gets nothing.", pattern=NAME)
+        str, described("Name of the cluster; one with another name gets nothing.", pattern=NAME_PATTERN)
     ] = "local"
     name: Annotated[
         str,
         described(
             "The replica that this process runs; it never comes again after a disk was lost. Empty: none, the members are asked.",
-            pattern=r"^$|" + NAME,
+            pattern=r"^$|" + NAME_PATTERN,
         ),
     ] = "local"
     dir: Annotated[
@@ -358,7 +358,7 @@
         str, described("`HOST:PORT` at which the others reach it, where that is not `listen`.")
     ] = ""
     members: Annotated[
-        tuple[Annotated[str, Meta(pattern=MEMBER)], ...],
+        tuple[Annotated[str, Meta(pattern=MEMBER_PATTERN)], ...],
         described(
             "The replicas, each `NAME@HOST:PORT`. Of a new cluster they are the first ones; later `basaltpoint store members` tells who they are."
         ),
@@ -403,11 +403,11 @@
         ),
     ] = 20000
     start: Annotated[
-        Start,
+        StartPolicy,
         described(
             "A start without the store waits for it, or serves on from the copy of what was held last."
         ),
-    ] = Start.WAIT
+    ] = StartPolicy.WAIT
     start_s: Annotated[
         float,
         described("How long a start tries to reach the store before `cached` takes the copy.", gt=0, le=3600),
@@ -425,18 +425,20 @@
     """`[fleet]`: the other limiters before the same servers. With it, quotas are dealt out among those that are there."""
 
     cluster: Annotated[
-        str, described("Name of the fleet; one with another name gets nothing.", pattern=NAME)
+        str, described("Name of the fleet; one with another name gets nothing.", pattern=NAME_PATTERN)
     ] = "local"
     name: Annotated[
         str,
-        described("This member's name, unlike any other's; empty: the limiter's.", pattern=r"^$|" + NAME),
+        described(
+            "This member's name, unlike any other's; empty: the limiter's.", pattern=r"^$|" + NAME_PATTERN
+        ),
     ] = ""
     listen: Annotated[str, described("`HOST:PORT` for the other members.", min_length=1)]
     advertise: Annotated[
         str, described("`HOST:PORT` at which the others reach it, where that is not `listen`.")
     ] = ""
     seeds: Annotated[
-        tuple[Annotated[str, Meta(pattern=MEMBER)], ...],
+        tuple[Annotated[str, Meta(pattern=MEMBER_PATTERN)], ...],
         described(
             "Members to ask at a start, and again while they are not seen, each `NAME@HOST:PORT`. Two or three that are mostly there are enough; with `[store]`, those that live are known from there and none is needed; without either, and with none that names this one, it stays alone."
         ),
@@ -489,7 +491,7 @@
     ] = ""
 
 
-class File(Table, frozen=True, kw_only=True):
+class ConfigFile(Table, frozen=True, kw_only=True):
     """The whole file."""
 
     listen: Annotated[str, described("`HOST:PORT` where clients connect.", min_length=1)]
@@ -505,17 +507,19 @@
             "Further accounts, one JSON object a line with name, plan and keys; relative to this file."
         ),
     ] = ""
-    name: Annotated[str, described("This limiter's name, in Via and logs.", pattern=NAME)] = "basaltpoint"
+    name: Annotated[str, described("This limiter's name, in Via and logs.", pattern=NAME_PATTERN)] = (
+        "basaltpoint"
+    )
     handover: Annotated[
         str,
         described(
             "Folder in which the next process of this limiter finds this one, relative to this file; its path has 60 bytes at most. Empty: a new process can start only once this one has ended."
         ),
     ] = ""
-    limits: Limits = Limits()
-    clients: Clients = Clients()
+    limits: LimitsTable = LimitsTable()
+    clients: ClientsTable = ClientsTable()
     identity: IdentityTable = IdentityTable()
-    health: Health | None = None
-    upstream: Upstream = Upstream()
+    health: HealthTable | None = None
+    upstream: UpstreamTable = UpstreamTable()
     store: StoreTable | None = None
     fleet: FleetTable | None = None
--- a/basaltpoint/config/shared.py
+++ b/basaltpoint/config/shared.py
@@ -10,23 +10,23 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from basaltpoint.config.decode import Collector, parse_toml
+from basaltpoint.config.decode import ProblemCollector, parse_toml
 
 # The rest of a file is shared. What names a place on one host can't be.
-LOCAL = ("listen", "name", "limits", "clients", "accounts_file", "store", "fleet")
+LOCAL_KEYS = ("listen", "name", "limits", "clients", "accounts_file", "store", "fleet")
 
 
 def shared_tables(raw: dict[str, Any]) -> dict[str, Any]:
     """The tables of a file that all limiters share."""
-    return {key: value for key, value in raw.items() if key not in LOCAL}
+    return {key: value for key, value in raw.items() if key not in LOCAL_KEYS}
 
 
-def parse_document(text: bytes, out: Collector) -> dict[str, Any]:
+def parse_document(text: bytes, out: ProblemCollector) -> dict[str, Any]:
     """The document's tables; problems go to `out`."""
     return shared_tables(parse_toml(text, "document", out))
 
 
-def parse_server(name: str, text: bytes, out: Collector) -> dict[str, Any]:
+def parse_server(name: str, text: bytes, out: ProblemCollector) -> dict[str, Any]:
     """One server entry: the keys of [[server]] but its name, and `pools`; problems go to `out`."""
     path = f"server/{name}"
     try:
@@ -45,15 +45,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shared:
+class SharedTables:
     """The document's tables, and server entries by name."""
 
     tables: dict[str, Any]
     servers: dict[str, dict[str, Any]] = field(default_factory=dict)
 
-    def over(self, local: dict[str, Any]) -> dict[str, Any]:
+    def merge_into(self, local: dict[str, Any]) -> dict[str, Any]:
         """One limiter's whole file."""
-        raw = {key: value for key, value in local.items() if key in LOCAL} | self.tables
+        raw = {key: value for key, value in local.items() if key in LOCAL_KEYS} | self.tables
         if not self.servers or not isinstance(raw.get("server", []), list):
             return raw
         rows = [row for row in raw.get("server", []) if row.get("name") not in self.servers]
--- a/basaltpoint/daemon/document.py
+++ b/basaltpoint/daemon/document.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from basaltpoint.config import storage as storages
-from basaltpoint.config.decode import Collector, FileError
+from basaltpoint.config.decode import FileError, ProblemCollector
 from basaltpoint.config.shared import parse_document
 from basaltpoint.daemon.shared_state import DOCUMENT, DRAIN, PREFIX, SERVER, check_document
 from basaltpoint.store.client import Client
@@ -95,10 +95,10 @@
     found, _ = await client.range(PREFIX, within_s=within_s)
     if (document := found.get(DOCUMENT)) is None:
         return None
-    out = Collector(DOCUMENT)
+    out = ProblemCollector(DOCUMENT)
     tables = parse_document(document.value, out)
     try:
-        out.check()
+        out.raise_problems()
         names = {str(row["name"]) for row in tables.get("server", [])}
     except (FileError, TypeError, KeyError):
         return None  # no limiter can use it; a drain must not wait for its mending
--- a/basaltpoint/daemon/fleet.py
+++ b/basaltpoint/daemon/fleet.py
@@ -14,9 +14,9 @@
 from typing import Any, TextIO
 
 from basaltpoint.config.address import parse_address
-from basaltpoint.config.fleets import FleetSetting
+from basaltpoint.config.fleets import FleetSettings
 from basaltpoint.daemon.fleet_look import ask
-from basaltpoint.handover.upgrade_state import Place
+from basaltpoint.handover.upgrade_state import FleetPlace
 from basaltpoint.links.connection_pool import ConnectionPool
 from basaltpoint.links.frames import PROTOCOL_VERSION, FrameError, Greeting
 from basaltpoint.links.listening import LinkListener
@@ -42,11 +42,11 @@
     process can't go on."""
 
     def __init__(
-        self, setting: FleetSetting, changed: Callable[[int], None], ended: Callable[[str], None]
+        self, setting: FleetSettings, changed: Callable[[int], None], ended: Callable[[str], None]
     ) -> None:
         self.setting = setting
         self._changed, self._ended = changed, ended
-        self._tls = Tls.from_files(setting.files)
+        self._tls = Tls.from_files(setting.tls_files)
         self.address = setting.table.advertise
         self.peers: MembershipStateMachine
         self._pool = ConnectionPool(
@@ -73,7 +73,7 @@
     # --- Start and end ----------------------------------------------------------------------------------
     async def start(
         self,
-        place: Place | None = None,
+        place: FleetPlace | None = None,
         held: socket.socket | None = None,
         present: Sequence[tuple[str, str]] = (),
     ) -> None:
@@ -120,7 +120,7 @@
         """Members to deal a quota among; the most there may be while this one has no place yet."""
         return self._live if self._joined.is_set() else self.setting.table.most
 
-    def pass_on(self, send: Callable[[int], bool]) -> Place | None:
+    def pass_on(self, send: Callable[[int], bool]) -> FleetPlace | None:
         """Pass the listening socket and this member's place on; None where it has none, or can't."""
         if (
             not self._server
@@ -130,7 +130,7 @@
         ):
             return None
         own, *rows = self.peers.hand_over()
-        return Place(own, tuple(rows), self._now() - self.peers.started_ms)
+        return FleetPlace(own, tuple(rows), self._now() - self.peers.started_ms)
 
     async def leave(self) -> None:
         """Tell the others that this one goes."""
@@ -152,7 +152,7 @@
             self._journal.close()
             self._journal = None
 
-    def reseed(self, setting: FleetSetting) -> None:
+    def reseed(self, setting: FleetSettings) -> None:
         """Other seeds from now on."""
         self.setting = setting
         self.peers.set_seeds([*setting.seeds, *self._present])
--- a/basaltpoint/daemon/fleet_command.py
+++ b/basaltpoint/daemon/fleet_command.py
@@ -13,7 +13,7 @@
 
 from basaltpoint.config import fleets
 from basaltpoint.config.decode import FileError
-from basaltpoint.config.fleets import FleetSetting
+from basaltpoint.config.fleets import FleetSettings
 from basaltpoint.daemon.fleet_look import look, remove
 from basaltpoint.peers import messages as m
 
@@ -51,14 +51,14 @@
     return code
 
 
-async def _one(setting: FleetSetting, name: str, address: str) -> m.ViewResponse | str:
+async def _one(setting: FleetSettings, name: str, address: str) -> m.ViewResponse | str:
     try:
         return await look(setting, name, address)
     except (OSError, TimeoutError) as error:
         return str(error) or "no answer"
 
 
-async def views(setting: FleetSetting) -> Views:
+async def views(setting: FleetSettings) -> Views:
     """The view of every member that any asked one holds alive; the file's own member is asked first."""
     known = {setting.name: setting.address}
     known.update({name: address for name, address in setting.seeds if name != setting.name})
@@ -145,7 +145,7 @@
     return f"{seconds:.0f} s"
 
 
-async def _status(setting: FleetSetting, args: argparse.Namespace) -> int:
+async def _status(setting: FleetSettings, args: argparse.Namespace) -> int:
     found = await views(setting)
     answered = [looked for looked in found.values() if isinstance(looked, m.ViewResponse)]
     wrong, cut = differences(found), cuts(found)
@@ -185,7 +185,7 @@
     return {"doubt": looked.health_score, "problems": list(looked.problems), "seen": seen}
 
 
-async def _watch(setting: FleetSetting, args: argparse.Namespace) -> int:
+async def _watch(setting: FleetSettings, args: argparse.Namespace) -> int:
     before: dict[str, dict[str, Any]] = {}
     while True:
         for by, looked in sorted((await views(setting)).items()):
@@ -207,7 +207,7 @@
     before.update(now)
 
 
-async def _remove(setting: FleetSetting, args: argparse.Namespace) -> int:
+async def _remove(setting: FleetSettings, args: argparse.Namespace) -> int:
     try:
         problem = await remove(setting, args.name, args.force)
     except (OSError, TimeoutError) as error:
--- a/basaltpoint/daemon/fleet_look.py
+++ b/basaltpoint/daemon/fleet_look.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any, TypeVar
 
-from basaltpoint.config.fleets import FleetSetting
+from basaltpoint.config.fleets import FleetSettings
 from basaltpoint.links.frames import PROTOCOL_VERSION, Frame, Greeting
 from basaltpoint.links.transport import Link, Tls, connect
 from basaltpoint.peers import messages as m
@@ -57,16 +57,16 @@
         link.close()
 
 
-async def look(setting: FleetSetting, name: str, address: str) -> m.ViewResponse:
+async def look(setting: FleetSettings, name: str, address: str) -> m.ViewResponse:
     """A member's view; OSError, TimeoutError where it does not answer."""
     greeting = Greeting(PROTOCOL_VERSION, setting.cluster)
     return await ask(
-        Tls.from_files(setting.files), greeting, name, address, m.ViewRequest((), 1), m.ViewResponse
+        Tls.from_files(setting.tls_files), greeting, name, address, m.ViewRequest((), 1), m.ViewResponse
     )
 
 
-async def remove(setting: FleetSetting, gone: str, force: bool) -> str:
+async def remove(setting: FleetSettings, gone: str, force: bool) -> str:
     """Have this file's member declare another gone for good; the reason why not, or nothing."""
     greeting, part = Greeting(PROTOCOL_VERSION, setting.cluster), m.RemoveRequest((), 1, gone, force)
-    tls = Tls.from_files(setting.files)
+    tls = Tls.from_files(setting.tls_files)
     return (await ask(tls, greeting, setting.name, setting.address, part, m.RemoveResponse)).problem
--- a/basaltpoint/daemon/platform.py
+++ b/basaltpoint/daemon/platform.py
@@ -14,14 +14,14 @@
 
 import uvloop
 
-from basaltpoint.config.address import Address, ConfigError, inherited
+from basaltpoint.config.address import Address, ConfigError, inherited_listening_socket
 from basaltpoint.daemon import signals
 from basaltpoint.daemon.platform_upgrade import PlatformUpgrade, inherit
 from basaltpoint.fronts.control.console import Console
 from basaltpoint.fronts.platform import config as configuration
 from basaltpoint.fronts.platform.clients import BACKLOG, Clients
 from basaltpoint.fronts.platform.limiter import MARGIN, SERVER_PART, Limiter
-from basaltpoint.handover.link import claim, socket_path
+from basaltpoint.handover.link import connect_to_predecessor, socket_path
 from basaltpoint.membership.backoff import Backoff
 from basaltpoint.membership.discovery import Watch
 from basaltpoint.membership.lease import MembershipLease
@@ -105,7 +105,7 @@
         loop.add_signal_handler(number, stop.set)
     own = None if held else await open_listener_when_free(config.listen, BACKLOG)
     path = socket_path(os.environ.get("TMPDIR"), config.name) if held else None
-    found = claim(path) if path else None
+    found = connect_to_predecessor(path) if path else None
     grace_s = config.settings.drain_grace_ms / 1000
     ask_within_s = config.settings.discovery_confirm_ms / 1000 if config.settings.must_subscribe else None
     lease = MembershipLease(time.monotonic(), grace_s, ask_within_s)
@@ -146,7 +146,7 @@
         trace.enable()
     try:
         config = configuration.load(os.environ)
-        held = inherited(config.socket_fd) if config.socket_fd is not None else None
+        held = inherited_listening_socket(config.socket_fd) if config.socket_fd is not None else None
     except ConfigError as error:
         log.error("%s", error)
         return 2
--- a/basaltpoint/daemon/platform_upgrade.py
+++ b/basaltpoint/daemon/platform_upgrade.py
@@ -10,7 +10,7 @@
 from basaltpoint.fronts.platform.clients import Clients
 from basaltpoint.fronts.platform.limiter import Limiter
 from basaltpoint.handover import platform_state, state
-from basaltpoint.handover.link import Link, SuccessorListener, SuccessorSide
+from basaltpoint.handover.link import HandoverLink, SuccessorHandler, SuccessorListener
 
 log = logging.getLogger(__name__)
 
@@ -20,7 +20,7 @@
 def inherit(text: bytes) -> platform_state.PlatformState | None:
     """What an older process has left; None, and told, where it can't be taken over."""
     try:
-        return platform_state.read(text, time.monotonic())
+        return platform_state.decode(text, time.monotonic())
     except platform_state.PlatformStateError as error:
         log.warning("the older process's state is not taken over: %s", error)
         return None
@@ -34,9 +34,9 @@
         self._clients = clients
         self.began = time.monotonic()  # no connection lay longer on its way from the older process
         self._since = limiter.now()  # from here on own draws are not in what the older one told
-        self._older = Link(older, _Older(self)) if older else None
-        clients.part = state.HALF if older else 1.0
-        self._successor: Link | None = None
+        self._older = HandoverLink(older, _Older(self)) if older else None
+        clients.part = state.SHARED_FRACTION if older else 1.0
+        self._successor: HandoverLink | None = None
         self._joined = False
         self._path = path
         self._listener: SuccessorListener | None = None
@@ -55,32 +55,34 @@
     def join(self, text: bytes) -> None:
         """The older one's last word: it takes nothing new any more."""
         gateway, now = self._limiter.decision_module, self._limiter.now()
-        state.whole(gateway, now)
+        state.restore_full_limits(gateway, now)
         self._joined = True
         if (inherited := inherit(text)) is None:
             return
-        if bad := state.join(gateway, inherited.module.get("customers"), now, self._since):
+        if bad := state.merge_customers(gateway, inherited.module.get("customers"), now, self._since):
             log.warning("%d customers of the older process could not be read", bad)
-        self._limiter.reserve(inherited.names)
-        log.info("took over from the older process, which has %d requests in hand", len(inherited.names))
+        self._limiter.reserve(inherited.open_req_ids)
+        log.info(
+            "took over from the older process, which has %d requests in hand", len(inherited.open_req_ids)
+        )
 
     def alone(self) -> None:
         """The older one has gone."""
         self._older = None
         self._limiter.unreserve()
-        self._clients.part = 1.0 if self._successor is None else state.HALF
+        self._clients.part = 1.0 if self._successor is None else state.SHARED_FRACTION
         self._clients.listen()  # nobody else takes what comes, whether the list is confirmed by now or not
         if not self._joined:
             log.info("the older process ended without a last word")
-            state.whole(self._limiter.decision_module, self._limiter.now())
+            state.restore_full_limits(self._limiter.decision_module, self._limiter.now())
 
     # --- As the older of two --------------------------------------------------------------------
     def _successor_came(self, sock: socket.socket) -> None:
         if self._successor:
             self._successor.close()
-        self._successor = Link(sock, SuccessorSide(self.successor_gone))
-        self._clients.part = state.HALF
-        self._successor.document(platform_state.write(self._limiter.state_for_successor(halved=True)))
+        self._successor = HandoverLink(sock, SuccessorHandler(self.successor_gone))
+        self._clients.part = state.SHARED_FRACTION
+        self._successor.send_document(platform_state.encode(self._limiter.state_for_successor(halved=True)))
 
     def successor_gone(self) -> None:
         """The newer one has ended before this one was told to: all goes on as it was."""
@@ -89,18 +91,18 @@
             log.warning("the newer process ended; this one goes on alone")
             self._listen_for_successor()  # the name was the newer one's
             self._clients.part = 1.0
-            state.whole(self._limiter.decision_module, self._limiter.now())
+            state.restore_full_limits(self._limiter.decision_module, self._limiter.now())
 
     async def hand_over(self) -> None:
         """After SIGTERM: pass state and connections to the newer one, where there is one."""
         if (successor := self._successor) is None:
             return
         self._clients.stop_listening()
-        successor.document(platform_state.write(self._limiter.state_for_successor(halved=False)))
-        self._limiter.on_ended = successor.ended
-        await self._clients.hand_over(successor.connection)
+        successor.send_document(platform_state.encode(self._limiter.state_for_successor(halved=False)))
+        self._limiter.on_ended = successor.send_request_completed
+        await self._clients.hand_over(successor.send_connection)
         end = time.monotonic() + ENOUGH_S
-        while not successor.flushed and time.monotonic() < end:
+        while not successor.is_flushed and time.monotonic() < end:
             await asyncio.sleep(0.005)
 
     def close(self) -> None:
@@ -117,14 +119,14 @@
     def __init__(self, upgrade: PlatformUpgrade) -> None:
         self._upgrade = upgrade
 
-    def told(self, text: bytes) -> None:
+    def document_received(self, text: bytes) -> None:
         self._upgrade.join(text)
 
-    def adopt(self, sock: socket.socket) -> None:
+    def connection_received(self, sock: socket.socket) -> None:
         self._upgrade._clients.adopt(sock, self._upgrade.began)
 
-    def ended(self, name: bytes) -> None:
+    def request_completed(self, name: bytes) -> None:
         self._upgrade._limiter.release_name(name)
 
-    def parted(self) -> None:
+    def link_closed(self) -> None:
         self._upgrade.alone()
--- a/basaltpoint/daemon/shared_state.py
+++ b/basaltpoint/daemon/shared_state.py
@@ -13,10 +13,10 @@
 from typing import Any
 
 from basaltpoint.config import fleets, storage
-from basaltpoint.config.build import Numbers, Setup, assemble
-from basaltpoint.config.decode import Collector, decode, read_sound, read_toml, shown
-from basaltpoint.config.schema import NAME, Clients, FleetTable, Limits, StoreTable
-from basaltpoint.config.shared import Shared, parse_document, parse_server, shared_tables
+from basaltpoint.config.build import NumberRegistry, Setup, build_setup
+from basaltpoint.config.decode import ProblemCollector, decode, format_value, load_toml, read_toml
+from basaltpoint.config.schema import NAME_PATTERN, ClientsTable, FleetTable, LimitsTable, StoreTable
+from basaltpoint.config.shared import SharedTables, parse_document, parse_server, shared_tables
 
 PREFIX = "shared/"
 DOCUMENT = PREFIX + "document"
@@ -78,9 +78,9 @@
     def document(self) -> bytes | None:
         return self.values.get(DOCUMENT)
 
-    def setup(self, path: Path, numbers: Numbers | None) -> Setup:
+    def setup(self, path: Path, numbers: NumberRegistry | None) -> Setup:
         """What a limiter with this file runs on; FileError with every problem found."""
-        out = Collector(f"{path} with {DOCUMENT} of the store")
+        out = ProblemCollector(f"{path} with {DOCUMENT} of the store")
         raw = read_toml(path, out)
         tables = parse_document(self.document, out) if self.document is not None else {}
         servers = {
@@ -88,8 +88,10 @@
             for key, value in self.values.items()
             if key.startswith(SERVER)
         }
-        out.check()
-        return assemble(Shared(tables, servers).over(raw), path, out, numbers).drained(self.drains)
+        out.raise_problems()
+        return build_setup(SharedTables(tables, servers).merge_into(raw), path, out, numbers).with_drains(
+            self.drains
+        )
 
 
 def _kind(key: str) -> Change:
@@ -101,18 +103,23 @@
     """The limiter's name by its file's tables, under which the store holds what is its own."""
     name = raw.get("name", "basaltpoint")
     # It names files, too, before the whole file is checked.
-    return name if isinstance(name, str) and re.fullmatch(NAME, name) else "basaltpoint"
+    return name if isinstance(name, str) and re.fullmatch(NAME_PATTERN, name) else "basaltpoint"
 
 
 def first_document(path: Path) -> bytes | None:
     """The file's own text where it has shared tables: a new store begins with it. FileError."""
-    return path.read_bytes() if shared_tables(read_sound(path)) else None
+    return path.read_bytes() if shared_tables(load_toml(path)) else None
 
 
 def check_local(path: Path) -> None:
     """Check a file whose shared tables the store holds; FileError with every problem found."""
-    out, raw = Collector(str(path)), read_sound(path)
-    for key, kind in (("limits", Limits), ("clients", Clients), ("store", StoreTable), ("fleet", FleetTable)):
+    out, raw = ProblemCollector(str(path)), load_toml(path)
+    for key, kind in (
+        ("limits", LimitsTable),
+        ("clients", ClientsTable),
+        ("store", StoreTable),
+        ("fleet", FleetTable),
+    ):
         if key == "fleet" and key not in raw:
             continue  # its address has no default
         if isinstance(table := raw.get(key, {}), dict):
@@ -122,14 +129,14 @@
             elif isinstance(made, FleetTable):
                 fleets.check(made, limiter_name(raw), path.parent, out)
         else:
-            out.add(key, f"found {shown(table)}", "a table")
+            out.add(key, f"found {format_value(table)}", "a table")
     if not isinstance(raw.get("listen"), str):
         out.add("listen", "missing" if "listen" not in raw else "no text", "HOST:PORT")
-    out.check()
+    out.raise_problems()
 
 
 def check_document(path: Path) -> bytes:
     """A file's text, once all of it is right as a limiter's; FileError with every problem found."""
-    raw = {"listen": "127.0.0.1:0"} | read_sound(path)
-    assemble(raw, path, Collector(str(path)))
+    raw = {"listen": "127.0.0.1:0"} | load_toml(path)
+    build_setup(raw, path, ProblemCollector(str(path)))
     return path.read_bytes()
--- a/basaltpoint/daemon/standalone.py
+++ b/basaltpoint/daemon/standalone.py
@@ -18,8 +18,8 @@
 
 from basaltpoint.config import build, fleets, storage
 from basaltpoint.config.address import parse_address
-from basaltpoint.config.build import Numbers, Setup
-from basaltpoint.config.decode import Collector, FileError, Problem, read_sound, shown
+from basaltpoint.config.build import NumberRegistry, Setup
+from basaltpoint.config.decode import FileError, Problem, ProblemCollector, format_value, load_toml
 from basaltpoint.config.schema import FleetTable
 from basaltpoint.daemon.fleet import Fleet
 from basaltpoint.daemon.shared_state import limiter_name
@@ -29,7 +29,7 @@
 from basaltpoint.fronts.http.relay import Relay
 from basaltpoint.handover import state, upgrade_state
 from basaltpoint.handover.link import socket_path
-from basaltpoint.handover.upgrade_state import HandoverError, Place, UpgradeState
+from basaltpoint.handover.upgrade_state import FleetPlace, HandoverError, UpgradeState
 from basaltpoint.store.client import StoreError
 from basaltpoint.system.accepting import Acceptor
 from basaltpoint.system.listening import open_listener_when_free
@@ -47,17 +47,17 @@
     def __init__(self, path: Path, seed: int | None = None) -> None:
         """FileError with every problem of the file; with [store] the rest is known at the start only."""
         self.path = path
-        self._numbers = Numbers()
+        self._numbers = NumberRegistry()
         self.setup: Setup
         self.keeper: StoreFollower | None = None
-        raw = read_sound(path)
+        raw = load_toml(path)
         if "store" in raw:
             self.keeper, self._kept = (
                 StoreFollower(storage.parse(raw, path), path, limiter_name(raw)),
                 StoreSide(self),
             )
         else:
-            self.setup = build.assemble(raw, path, Collector(str(path)), self._numbers)
+            self.setup = build.build_setup(raw, path, ProblemCollector(str(path)), self._numbers)
         self.name = limiter_name(raw)
         told = raw.get("handover")
         self._handover = str(path.parent / told) if isinstance(told, str) and told else ""
@@ -89,7 +89,7 @@
         if left:
             # One that the older process did not know may have drawn all of its ceiling a moment ago.
             self.relay = Relay(self._own(self.setup), self._seed, 0.0, left.origin_s, left.started_ms)
-            for problem in upgrade_state.put(
+            for problem in upgrade_state.import_module_state(
                 self.relay.decision_module, left, self._names(), self.relay.now()
             ):
                 log.warning("not taken over: %s", problem)
@@ -115,7 +115,7 @@
             self.upgrade.serving(self.relay.adopt)
         log.info("%s listens at %s:%d", self.setup.file.name, *self.address)
 
-    async def _join(self, fleet: Fleet, place: Place | None, sock: socket.socket | None) -> None:
+    async def _join(self, fleet: Fleet, place: FleetPlace | None, sock: socket.socket | None) -> None:
         """Take a place among the members; those that the store tells of are asked as well as the seeds."""
         setting, seeds = fleet.setting, []
         if self.keeper:
@@ -185,8 +185,8 @@
         if member:
             listeners.append(FLEET)
         now = relay.now()
-        module = state.take(relay.decision_module, now)
-        state.spend(relay.decision_module, now, self.setup.file.clients.drain_s * 1000)
+        module = state.export_state(relay.decision_module, now)
+        state.exhaust_ceilings(relay.decision_module, now, self.setup.file.clients.drain_s * 1000)
         names["account"] = {n: i for n, i in names["account"].items() if i in relay.decision_module.customers}
         shared = self.keeper.pass_on() if self.keeper else None
         return UpgradeState(
@@ -238,7 +238,7 @@
 
     def _own(self, setup: Setup) -> Setup:
         """This limiter's part of it."""
-        return setup.among(self.fleet.live, self.fleet.setting.table.most) if self.fleet else setup
+        return setup.for_fleet(self.fleet.live, self.fleet.setting.table.most) if self.fleet else setup
 
     def _members(self, count: int) -> None:
         log.info("fleet: %d members share the quotas", count)
@@ -254,7 +254,7 @@
         old, new = self.setup.file, setup.file
         allowed = "as at the start, or a restart"
         wrong = [
-            Problem(str(self.path), key, f"found {shown(str(getattr(new, key)))}", allowed)
+            Problem(str(self.path), key, f"found {format_value(str(getattr(new, key)))}", allowed)
             for key in ("listen", "limits", "name", "store", "handover")
             if getattr(old, key) != getattr(new, key)
         ]
--- a/basaltpoint/daemon/store_follower.py
+++ b/basaltpoint/daemon/store_follower.py
@@ -21,11 +21,11 @@
 
 import msgspec
 
-from basaltpoint.config.schema import Start
-from basaltpoint.config.storage import Storage
+from basaltpoint.config.schema import StartPolicy
+from basaltpoint.config.storage import StoreSettings
 from basaltpoint.daemon.balances import BUDGET, Balance, Balances, SignOfLife, down
 from basaltpoint.daemon.shared_state import DOCUMENT, PREFIX, Change, SharedState, first_document
-from basaltpoint.handover.upgrade_state import Shared
+from basaltpoint.handover.upgrade_state import StoreSnapshot
 from basaltpoint.store import setting
 from basaltpoint.store.client import StoreError, UnavailableError
 from basaltpoint.store.state_machine import Check, CompactedError, Put
@@ -76,7 +76,7 @@
 class StoreFollower:
     """One limiter's store."""
 
-    def __init__(self, storage: Storage, path: Path, name: str) -> None:
+    def __init__(self, storage: StoreSettings, path: Path, name: str) -> None:
         self.storage, self.path, self.name = storage, path, name
         self.held = SharedState()
         self.client = setting.client(storage)
@@ -114,7 +114,7 @@
                 return
             except UnavailableError as error:
                 waited = time.monotonic() - began
-                if table.start is Start.CACHED and waited >= table.start_s:
+                if table.start is StartPolicy.CACHED and waited >= table.start_s:
                     self._from_copy()
                     return
                 self._tell(f"store: {error}; the start waits for it")
@@ -348,12 +348,12 @@
             await self.client.put(f"learned/{self.name}", value, self._long_lease, STOP_S)
 
     # --- Two processes of one limiter ---------------------------------------------------------------------
-    def pass_on(self) -> Shared:
+    def pass_on(self) -> StoreSnapshot:
         """What is held, for the process that goes on; what the next life needs is that one's to write."""
         self._tells = False
-        return Shared(self.revision, self.held.values)
+        return StoreSnapshot(self.revision, self.held.values)
 
-    def goes_on(self, shared: Shared) -> bool:
+    def goes_on(self, shared: StoreSnapshot) -> bool:
         """Take up what an older process held last, where that is newer; whether it was."""
         if shared.revision <= self.revision:
             return False
--- a/basaltpoint/daemon/store_side.py
+++ b/basaltpoint/daemon/store_side.py
@@ -72,7 +72,7 @@
         """Take up what came. A document that can't be used changes nothing, but its drains hold."""
         limiter, held = self._limiter, self._keeper.held
         if not change.build:
-            limiter.take_up(limiter.setup.drained(held.drains))
+            limiter.take_up(limiter.setup.with_drains(held.drains))
             log.info("store: draining: %s", ", ".join(sorted(held.drains)) or "none")
             return self._problem
         try:
@@ -81,7 +81,7 @@
             for problem in error.problems:
                 log.error("%s", problem)
             log.error("store: the configuration stays as it was")
-            limiter.take_up(limiter.setup.drained(held.drains))
+            limiter.take_up(limiter.setup.with_drains(held.drains))
             self._problem = str(error.problems[0])
             return self._problem
         self._problem = ""
--- a/basaltpoint/daemon/upgrade.py
+++ b/basaltpoint/daemon/upgrade.py
@@ -15,7 +15,12 @@
 from typing import Protocol
 
 from basaltpoint.handover import upgrade_state
-from basaltpoint.handover.link import Link, SuccessorListener, SuccessorSide, claim
+from basaltpoint.handover.link import (
+    HandoverLink,
+    SuccessorHandler,
+    SuccessorListener,
+    connect_to_predecessor,
+)
 from basaltpoint.handover.upgrade_state import HandoverError, Hello, UpgradeState
 
 log = logging.getLogger("basaltpoint")
@@ -36,8 +41,8 @@
 
     def __init__(self, path: str, name: str) -> None:
         self._path, self._name = path, name
-        self._older: Link | None = None
-        self._successor: Link | None = None
+        self._older: HandoverLink | None = None
+        self._successor: HandoverLink | None = None
         self._listener: SuccessorListener | None = None
         self._told: asyncio.Future[UpgradeState | None]
         self.listeners: list[socket.socket] = []
@@ -47,17 +52,17 @@
     # --- As the newer of two ----------------------------------------------------------------------------
     def claim(self) -> bool:
         """Whether an older process is there; HandoverError where it can't be followed."""
-        found = claim(self._path)
+        found = connect_to_predecessor(self._path)
         if found is None:
             return False
         sock, text = found
         try:
-            upgrade_state.hello(text)
+            upgrade_state.decode_hello(text)
         except HandoverError:
             sock.close()
             raise
         self._told = asyncio.get_running_loop().create_future()
-        self._older = Link(sock, _Older(self))
+        self._older = HandoverLink(sock, _Older(self))
         return True
 
     async def wait(self) -> UpgradeState | None:
@@ -69,7 +74,7 @@
         if self._told.done():
             return
         try:
-            self._told.set_result(upgrade_state.read(text, time.monotonic()))
+            self._told.set_result(upgrade_state.decode(text, time.monotonic()))
         except HandoverError as error:
             log.warning("the older process's state is not taken over: %s", error)
             self._told.set_result(None)
@@ -100,8 +105,8 @@
     def _successor_came(self, sock: socket.socket) -> None:
         if self._successor:
             self._successor.close()
-        self._successor = Link(sock, SuccessorSide(self.successor_gone))
-        self._successor.document(upgrade_state.write(Hello(upgrade_state.VERSION, self._name)))
+        self._successor = HandoverLink(sock, SuccessorHandler(self.successor_gone))
+        self._successor.send_document(upgrade_state.encode(Hello(upgrade_state.VERSION, self._name)))
         log.info("a newer process is there; it takes over when this one is told to end")
 
     def successor_gone(self) -> None:
@@ -113,12 +118,12 @@
         """Pass all on to the newer one; how to pass connections on, None where nobody is there."""
         if (successor := self._successor) is None:
             return None
-        told = predecessor.hand_state_over(successor.connection)
-        successor.document(upgrade_state.write(told))
+        told = predecessor.hand_state_over(successor.send_connection)
+        successor.send_document(upgrade_state.encode(told))
         end = time.monotonic() + FLUSH_S
-        while not successor.flushed and time.monotonic() < end:
+        while not successor.is_flushed and time.monotonic() < end:
             await asyncio.sleep(LOOK_S)
-        return successor.connection
+        return successor.send_connection
 
     def close(self) -> None:
         if self._listener:
@@ -138,14 +143,14 @@
     def __init__(self, upgrade: Upgrade) -> None:
         self._upgrade = upgrade
 
-    def told(self, document: bytes) -> None:
+    def document_received(self, document: bytes) -> None:
         self._upgrade.came(document)
 
-    def adopt(self, sock: socket.socket) -> None:
+    def connection_received(self, sock: socket.socket) -> None:
         self._upgrade.passed(sock)
 
-    def ended(self, name: bytes) -> None:
+    def request_completed(self, name: bytes) -> None:
         pass
 
-    def parted(self) -> None:
+    def link_closed(self) -> None:
         self._upgrade.alone()
--- a/basaltpoint/fronts/http/relay.py
+++ b/basaltpoint/fronts/http/relay.py
@@ -112,7 +112,7 @@
         self.servers.update_settings(up.connect_ms / 1000, up.idle_ms / 1000)
         self._placed = {spec.number: spec for spec in setup.servers}
         for spec in setup.servers:
-            self.servers.update_server(spec.number, spec.address, not spec.drain, spec.connections)
+            self.servers.update_server(spec.number, spec.address, not spec.drain, spec.max_connections)
             if spec.number not in before:  # the log's later lines go by number
                 log.info("server %d is %s at %s:%d", spec.number, spec.name, *spec.address)
             self._started.setdefault(spec.number, 0.0 if first else now)
@@ -124,7 +124,7 @@
         for number in before.keys() - self._placed.keys():
             self.servers.remove_server(number)
             del self._started[number]
-        rules = {spec.number: spec.probe for spec in setup.servers if spec.probe and not spec.drain}
+        rules = {spec.number: spec.probe_rule for spec in setup.servers if spec.probe_rule and not spec.drain}
         for number in self._checks.listed(now, rules):
             self.do(self.table.handle_event(now, api.HealthCheckResult(number, True)))
         self._arm_checks()
@@ -146,7 +146,7 @@
                 raise BadRequestError(405, "no route takes this method here", [(b"Allow", allow)])
             raise BadRequestError(404, "no route takes this request")
         forwarded = request.fields.get("x-forwarded-for", "")
-        address = client_address(connection.peer, forwarded, setup.trusted)
+        address = client_address(connection.peer, forwarded, setup.trusted_networks)
         account = setup.accounts.account_of(request.fields, address)
         if isinstance(account, UnknownClient):
             what = "the key is unknown" if account.has_key else "a key is needed"
@@ -177,7 +177,7 @@
             if identity.bearer and identity.header not in request.fields:
                 drops |= {b"authorization"}
         peer = passage.connection.peer
-        trusted = is_trusted(peer, self.setup.trusted)
+        trusted = is_trusted(peer, self.setup.trusted_networks)
         return message.outgoing(
             request, Origin(peer, self.name, trusted), Changes(path, route.set_headers, drops)
         )
--- a/basaltpoint/fronts/platform/limiter.py
+++ b/basaltpoint/fronts/platform/limiter.py
@@ -29,7 +29,7 @@
 from basaltpoint.fronts.platform.passage import Call, Passage
 from basaltpoint.fronts.shell import EARLY_MS, EPOCH_MS, LEAST_WAIT_MS, Shell
 from basaltpoint.handover import state
-from basaltpoint.handover.platform_state import PlatformState, put
+from basaltpoint.handover.platform_state import PlatformState, import_module_state
 from basaltpoint.interface import Status
 from basaltpoint.membership.hosts import HostList, parse_list
 from basaltpoint.membership.lease import MembershipLease
@@ -96,8 +96,8 @@
         )
         self.listed_servers = ListedServers(
             config.zones,
-            inherited.numbers if inherited else {},
-            ServerStarts(inherited.wall_ms if inherited else self.now() - time.time() * 1000),
+            inherited.server_numbers if inherited else {},
+            ServerStarts(inherited.unix_offset_ms if inherited else self.now() - time.time() * 1000),
             self._servers,
             self.now,
             lambda told: self.do(self.table.handle_event(self.now(), told)),
@@ -133,20 +133,20 @@
     # --- Two processes of one limiter ----------------------------------------------------------
     def _inherit(self, inherited: PlatformState) -> None:
         now = self.now()
-        for what in put(self.decision_module, inherited.module, now):
+        for what in import_module_state(self.decision_module, inherited.module, now):
             log.warning("not taken over: %s", what)
         self.decision_module.started_ms = now  # of a customer that is not known nothing may have been left
-        state.halve(self.decision_module, now)  # as the older one did once it had written this
-        self.reserve(inherited.names)
+        state.share_limits(self.decision_module, now)  # as the older one did once it had written this
+        self.reserve(inherited.open_req_ids)
 
     def state_for_successor(self, halved: bool) -> PlatformState:
         """What the next process needs; `halved`: from here on each of the two uses half of it."""
         self.listed_servers.add_all_new()
         now = self.now()
         names = sorted(self.table.open_keys - self._reserved)
-        module = state.take(self.decision_module, now)
+        module = state.export_state(self.decision_module, now)
         if halved:
-            state.halve(self.decision_module, now)
+            state.share_limits(self.decision_module, now)
         return PlatformState(
             self._origin,
             self.listed_servers.starts.offset_ms,
--- a/basaltpoint/handover/link.py
+++ b/basaltpoint/handover/link.py
@@ -19,12 +19,14 @@
 
 log = logging.getLogger(__name__)
 
-PIECE = 48 * 1024  # bytes of a document in one message; the system takes some 200 KB at a time
-LARGEST = 64 << 20  # bytes of a document; a million accounts would not pass, and more is no state of ours
-ANSWER_S = 1.0  # for the older process's document; the start goes on without it
-RETRY_S = 0.01  # where the machine has no room for a message
-LONGEST_PATH = 100  # bytes; what the system takes for a local socket's name
-MORE, DOCUMENT, CONNECTION, ENDED = b"m", b"d", b"c", b"e"
+MAX_MESSAGE_BYTES = 48 * 1024  # bytes of a document in one message; the system takes some 200 KB at a time
+MAX_DOCUMENT_BYTES = (
+    64 << 20
+)  # bytes of a document; a million accounts would not pass, and more is no state of ours
+DOCUMENT_TIMEOUT_S = 1.0  # for the older process's document; the start goes on without it
+RETRY_DELAY_S = 0.01  # where the machine has no room for a message
+MAX_PATH_BYTES = 100  # bytes; what the system takes for a local socket's name
+DOCUMENT_PART, DOCUMENT_END, CONNECTION, REQUEST_COMPLETED = b"m", b"d", b"c", b"e"
 
 
 def socket_path(folder: str | None, name: str) -> str | None:
@@ -33,26 +35,26 @@
         return None
     safe = "".join(c if c.isalnum() or c in "-_." else "_" for c in name)
     path = os.path.join(folder, f"basaltpoint.{safe}.handover")
-    if len(os.fsencode(path)) > LONGEST_PATH:
+    if len(os.fsencode(path)) > MAX_PATH_BYTES:
         log.warning("no handover: the path %s is too long for a local socket", path)
         return None
     return path
 
 
-def claim(path: str) -> tuple[socket.socket, bytes] | None:
+def connect_to_predecessor(path: str) -> tuple[socket.socket, bytes] | None:
     """Ask the older process what it knows: the connection to it and its document; None where none answers."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
-        sock.settimeout(ANSWER_S)
+        sock.settimeout(DOCUMENT_TIMEOUT_S)
         sock.connect(path)
-        parts, size, end = [], 0, time.monotonic() + ANSWER_S
-        while time.monotonic() < end and size <= LARGEST:
-            message = sock.recv(PIECE + 1)
-            if message[:1] not in (MORE, DOCUMENT):
+        parts, size, end = [], 0, time.monotonic() + DOCUMENT_TIMEOUT_S
+        while time.monotonic() < end and size <= MAX_DOCUMENT_BYTES:
+            message = sock.recv(MAX_MESSAGE_BYTES + 1)
+            if message[:1] not in (DOCUMENT_PART, DOCUMENT_END):
                 raise OSError("it ended in the middle" if not message else "it speaks another language")
             parts.append(message[1:])
             size += len(message)
-            if message[:1] == DOCUMENT:
+            if message[:1] == DOCUMENT_END:
                 sock.setblocking(False)
                 return sock, b"".join(parts)
         raise OSError("its document did not come whole in time")
@@ -64,65 +66,65 @@
     return None
 
 
-class Side(Protocol):
+class LinkHandler(Protocol):
     """What a process does with what the other one sends."""
 
-    def told(self, document: bytes) -> None:
+    def document_received(self, document: bytes) -> None:
         """The other one's last document."""
 
-    def adopt(self, sock: socket.socket) -> None:
+    def connection_received(self, sock: socket.socket) -> None:
         """A client's connection, between two requests."""
 
-    def ended(self, name: bytes) -> None:
+    def request_completed(self, name: bytes) -> None:
         """A request that the other one had in hand is answered."""
 
-    def parted(self) -> None:
+    def link_closed(self) -> None:
         """The other one has gone."""
 
 
-class SuccessorSide:
+class SuccessorHandler:
     """What comes from the process after this one: nothing but its end."""
 
     def __init__(self, gone: Callable[[], None]) -> None:
         self._gone = gone
 
-    def told(self, document: bytes) -> None:
+    def document_received(self, document: bytes) -> None:
         pass
 
-    def adopt(self, sock: socket.socket) -> None:
+    def connection_received(self, sock: socket.socket) -> None:
         sock.close()
 
-    def ended(self, name: bytes) -> None:
+    def request_completed(self, name: bytes) -> None:
         pass
 
-    def parted(self) -> None:
+    def link_closed(self) -> None:
         self._gone()
 
 
-class Link:
+class HandoverLink:
     """One end of the connection between two processes."""
 
-    def __init__(self, sock: socket.socket, side: Side) -> None:
+    def __init__(self, sock: socket.socket, side: LinkHandler) -> None:
         self._sock = sock
         self._side = side
         self._parts: list[bytes] = []
         self._queue: deque[bytes] = deque()
-        self.open = True
+        self.is_open = True
         asyncio.get_running_loop().add_reader(sock, self._read)
 
-    def document(self, text: bytes) -> None:
-        pieces = [text[at : at + PIECE] for at in range(0, len(text), PIECE)] or [b""]
-        self._queue += [MORE + piece for piece in pieces[:-1]]
-        self._queue.append(DOCUMENT + pieces[-1])
+    def send_document(self, text: bytes) -> None:
+        pieces = [text[at : at + MAX_MESSAGE_BYTES] for at in range(0, len(text), MAX_MESSAGE_BYTES)] or [b""]
+        self._queue += [DOCUMENT_PART + piece for piece in pieces[:-1]]
+        self._queue.append(DOCUMENT_END + pieces[-1])
         self._flush()
 
-    def ended(self, name: bytes) -> None:
-        self._queue.append(ENDED + name[:PIECE])
+    def send_request_completed(self, name: bytes) -> None:
+        self._queue.append(REQUEST_COMPLETED + name[:MAX_MESSAGE_BYTES])
         self._flush()
 
-    def connection(self, descriptor: int) -> bool:
+    def send_connection(self, descriptor: int) -> bool:
         """Pass a connection on; False where that is not possible now."""
-        if not self.open or self._queue:
+        if not self.is_open or self._queue:
             return False
         try:
             socket.send_fds(self._sock, [CONNECTION], [descriptor])
@@ -131,13 +133,13 @@
         return True
 
     @property
-    def flushed(self) -> bool:
-        return not self._queue or not self.open
+    def is_flushed(self) -> bool:
+        return not self._queue or not self.is_open
 
     def _flush(self) -> None:
         loop = asyncio.get_running_loop()
         try:
-            while self._queue and self.open:
+            while self._queue and self.is_open:
                 self._sock.send(self._queue[0])
                 self._queue.popleft()
         except BlockingIOError:
@@ -145,17 +147,17 @@
             return
         except OSError as error:
             if is_transient(error):
-                loop.call_later(RETRY_S, self._flush)
+                loop.call_later(RETRY_DELAY_S, self._flush)
             else:
                 self.close()
             return
-        if self.open:
+        if self.is_open:
             loop.remove_writer(self._sock)
 
     def _read(self) -> None:
-        while self.open:
+        while self.is_open:
             try:
-                message, descriptors, flags, _ = socket.recv_fds(self._sock, PIECE + 1, 4)
+                message, descriptors, flags, _ = socket.recv_fds(self._sock, MAX_MESSAGE_BYTES + 1, 4)
             except OSError as error:
                 if not is_transient(error):
                     self.close()  # the other one has gone
@@ -171,14 +173,14 @@
             kind, text = message[:1], message[1:]
             if kind == CONNECTION:
                 while socks:
-                    self._side.adopt(socks.pop())
-            elif kind in (MORE, DOCUMENT):
+                    self._side.connection_received(socks.pop())
+            elif kind in (DOCUMENT_PART, DOCUMENT_END):
                 self._parts.append(text)
-                if kind == DOCUMENT:
+                if kind == DOCUMENT_END:
                     whole, self._parts = b"".join(self._parts), []
-                    self._side.told(whole)
-            elif kind == ENDED:
-                self._side.ended(text)
+                    self._side.document_received(whole)
+            elif kind == REQUEST_COMPLETED:
+                self._side.request_completed(text)
             for sock in socks:  # with a message that carries none
                 sock.close()
 
@@ -186,20 +188,20 @@
         """Read on a little later: the machine has no room now, and the other process lives."""
         loop = asyncio.get_running_loop()
         loop.remove_reader(self._sock)
-        loop.call_later(RETRY_S, self._read_on)
+        loop.call_later(RETRY_DELAY_S, self._read_on)
 
     def _read_on(self) -> None:
-        if self.open:
+        if self.is_open:
             asyncio.get_running_loop().add_reader(self._sock, self._read)
 
     def close(self) -> None:
-        if self.open:
-            self.open = False
+        if self.is_open:
+            self.is_open = False
             loop = asyncio.get_running_loop()
             loop.remove_reader(self._sock)
             loop.remove_writer(self._sock)
             self._sock.close()
-            self._side.parted()
+            self._side.link_closed()
 
 
 class SuccessorListener:
--- a/basaltpoint/handover/platform_state.py
+++ b/basaltpoint/handover/platform_state.py
@@ -32,28 +32,28 @@
     """
 
     origin_s: float
-    wall_ms: float
+    unix_offset_ms: float
     servers: dict[str, Any]
-    numbers: dict[str, int]
-    names: list[bytes] = field(default_factory=list)
+    server_numbers: dict[str, int]
+    open_req_ids: list[bytes] = field(default_factory=list)
     module: dict[str, Any] = field(default_factory=dict)
 
 
-def write(held: PlatformState) -> bytes:
+def encode(held: PlatformState) -> bytes:
     return json.dumps(
         {
             "version": VERSION,
             "origin_s": held.origin_s,
-            "wall_ms": held.wall_ms,
+            "wall_ms": held.unix_offset_ms,
             "servers": held.servers,
-            "numbers": held.numbers,
-            "names": [name.decode("latin-1") for name in held.names],
+            "numbers": held.server_numbers,
+            "names": [name.decode("latin-1") for name in held.open_req_ids],
             "module": held.module,
         }
     ).encode()
 
 
-def read(text: bytes, now_s: float) -> PlatformState:
+def decode(text: bytes, now_s: float) -> PlatformState:
     """The document at `now_s` of the monotonic clock; PlatformStateError where it can't be read at all."""
     try:
         raw = json.loads(text)
@@ -91,24 +91,24 @@
     return float(value)
 
 
-def put(gateway: DecisionModule, module: dict[str, Any], now: float) -> Iterator[str]:
+def import_module_state(decision_module: DecisionModule, module: dict[str, Any], now: float) -> Iterator[str]:
     """Take the module's parts over, each for itself; yields what could not be."""
     parts: tuple[tuple[str, Callable[[DecisionModule, Any, float], None]], ...] = (
-        ("clock", state.put_clock),
-        ("waits", state.put_waits),
-        ("pools", state.put_pools),
-        ("servers", state.put_servers),
+        ("clock", state.import_clock),
+        ("waits", state.import_class_waits),
+        ("pools", state.import_pools),
+        ("servers", state.import_servers),
     )
     for name, taker in parts:
         try:
-            taker(gateway, module[name], now)
+            taker(decision_module, module[name], now)
         except (KeyError, TypeError, ValueError, IndexError, OverflowError) as error:
             yield f"{name}: {error!r}"
     bad = 0
     rows = module.get("customers")
     for row in rows if isinstance(rows, list) else ():
         try:
-            state.put_customer(gateway, row, now)
+            state.import_customer(decision_module, row, now)
         except (KeyError, TypeError, ValueError, IndexError, OverflowError):
             bad += 1
     if bad:
--- a/basaltpoint/handover/state.py
+++ b/basaltpoint/handover/state.py
@@ -14,7 +14,7 @@
 from basaltpoint.policy import DecisionModule
 from basaltpoint.policy.quota import LAG_STEPS, MAX_DEBT_FRACTION, Customer, TokenBucket
 
-HALF = 0.5  # of what two processes share
+SHARED_FRACTION = 0.5  # of what two processes share
 
 
 def _number(value: Any, low: float = -math.inf, high: float = math.inf) -> float:
@@ -30,7 +30,7 @@
 
 
 # --- Out ----------------------------------------------------------------------------------------
-def take(gateway: DecisionModule, now: float) -> dict[str, Any]:
+def export_state(gateway: DecisionModule, now: float) -> dict[str, Any]:
     """The module's state at `now`, which its clock tells in ms; JSON's types, with infinities."""
     clock = gateway.meter_clock
     return {
@@ -105,7 +105,7 @@
 
 
 # --- In -----------------------------------------------------------------------------------------
-def put_clock(gateway: DecisionModule, raw: Any, now: float) -> None:
+def import_clock(gateway: DecisionModule, raw: Any, now: float) -> None:
     errors = [_number(each, 0.0) for each in raw["errors"]]
     if len(errors) != LAG_STEPS:
         raise ValueError(f"{len(errors)} steps of lag, where there are {LAG_STEPS}")
@@ -114,12 +114,12 @@
     clock.errors, clock.sine, clock.cosine, clock.first_request_ms = errors, sine, cosine, begun
 
 
-def put_waits(gateway: DecisionModule, raw: Any, now: float) -> None:
+def import_class_waits(gateway: DecisionModule, raw: Any, now: float) -> None:
     for name, waits in gateway.class_waits.items():
         waits.extend(_number(each) for each in raw.get(name, ()))
 
 
-def put_pools(gateway: DecisionModule, raw: Any, now: float) -> None:
+def import_pools(gateway: DecisionModule, raw: Any, now: float) -> None:
     for told in raw:
         pool = gateway.pools.get(told["number"])
         if pool is None:
@@ -146,7 +146,7 @@
         )
 
 
-def put_servers(gateway: DecisionModule, raw: Any, now: float) -> None:
+def import_servers(gateway: DecisionModule, raw: Any, now: float) -> None:
     """Only of processes that run still: a restart is another one."""
     for told in raw:
         for pool in gateway.pools.values():
@@ -164,12 +164,12 @@
             pool.servers.health_changed(peer.entry.id)
 
 
-def put_customer(gateway: DecisionModule, raw: Any, now: float) -> None:
-    customer = read_customer(gateway, raw, now)
+def import_customer(gateway: DecisionModule, raw: Any, now: float) -> None:
+    customer = decode_customer(gateway, raw, now)
     gateway.customers[int(raw["ident"])] = customer
 
 
-def read_customer(gateway: DecisionModule, raw: Any, now: float) -> Customer:
+def decode_customer(gateway: DecisionModule, raw: Any, now: float) -> Customer:
     """A customer as it was left; its plan is the settings' own, whatever it was when it was written."""
     plan = next((each for each in gateway.settings.plans if each.name == raw["plan"]), None)
     if plan is None:
@@ -199,20 +199,20 @@
 
 
 # --- Two processes ------------------------------------------------------------------------------
-def halve(gateway: DecisionModule, now: float) -> None:
+def share_limits(gateway: DecisionModule, now: float) -> None:
     """Another process has what this one has, from this moment on: each may use half."""
     for customer in gateway.customers.values():
         ceiling, plan = customer.ceiling, customer.plan
-        ceiling.level = ceiling.refill(now) * HALF
-        ceiling.rate = plan.ceiling_rate / customer.limiter_count * HALF
-        ceiling.depth = plan.ceiling_depth / customer.limiter_count * HALF
-        customer.local_bucket.level = customer.local_bucket.refill(now) * HALF
+        ceiling.level = ceiling.refill(now) * SHARED_FRACTION
+        ceiling.rate = plan.ceiling_rate / customer.limiter_count * SHARED_FRACTION
+        ceiling.depth = plan.ceiling_depth / customer.limiter_count * SHARED_FRACTION
+        customer.local_bucket.level = customer.local_bucket.refill(now) * SHARED_FRACTION
     for pool in gateway.pools.values():
         for peer in pool.servers.records.values():
-            peer.allowance *= HALF
+            peer.allowance *= SHARED_FRACTION
 
 
-def whole(gateway: DecisionModule, now: float) -> None:
+def restore_full_limits(gateway: DecisionModule, now: float) -> None:
     """This process is alone again. What the other may have drawn stays drawn."""
     for customer in gateway.customers.values():
         ceiling, plan = customer.ceiling, customer.plan
@@ -223,7 +223,7 @@
         )
 
 
-def spend(gateway: DecisionModule, now: float, for_ms: float) -> None:
+def exhaust_ceilings(gateway: DecisionModule, now: float, for_ms: float) -> None:
     """Another process has all of it from this moment on: here nothing is drawn on a ceiling for so long."""
     for customer in gateway.customers.values():
         ceiling = customer.ceiling
@@ -231,7 +231,7 @@
             ceiling.level, ceiling.updated_ms = -ceiling.depth - ceiling.rate * for_ms / 1000.0, now
 
 
-def join(gateway: DecisionModule, rows: Any, now: float, since: float) -> int:
+def merge_customers(gateway: DecisionModule, rows: Any, now: float, since: float) -> int:
     """Take what the other process knew of customers at its end; how many could not be read.
 
     `since`: when both began with the same; own draws after that come on top of what the other tells.
@@ -239,18 +239,18 @@
     bad = 0
     for raw in rows if isinstance(rows, list) else ():
         try:
-            old, ident = read_customer(gateway, raw, now), int(raw["ident"])
+            old, ident = decode_customer(gateway, raw, now), int(raw["ident"])
         except (KeyError, TypeError, ValueError, IndexError, OverflowError):
             bad += 1
             continue
         if (mine := gateway.customers.get(ident)) is None:
             gateway.customers[ident] = old
         else:
-            _join(mine, old, now, since)
+            _merge_customer(mine, old, now, since)
     return bad
 
 
-def _join(mine: Customer, old: Customer, now: float, since: float) -> None:
+def _merge_customer(mine: Customer, old: Customer, now: float, since: float) -> None:
     """In place: requests that are out point at this customer."""
     own = [(b[0], b[1] - a[1], b[2] - a[2]) for a, b in pairwise(mine.draw_log) if b[0] > since]
     plan = mine.plan
--- a/basaltpoint/handover/upgrade_state.py
+++ b/basaltpoint/handover/upgrade_state.py
@@ -29,7 +29,7 @@
     name: str
 
 
-class Place(msgspec.Struct, frozen=True):
+class FleetPlace(msgspec.Struct, frozen=True):
     """A member's place among the others, as one process passes it to the next."""
 
     row: MemberRecord  # its own
@@ -37,7 +37,7 @@
     age_ms: float  # of the member, over all its processes
 
 
-class Shared(msgspec.Struct, frozen=True):
+class StoreSnapshot(msgspec.Struct, frozen=True):
     """What the store was known to hold."""
 
     revision: int
@@ -58,15 +58,15 @@
     names: dict[str, dict[str, int]]
     started_ms: dict[str, float]
     listeners: tuple[str, ...] = ()
-    place: Place | None = None
-    shared: Shared | None = None
+    place: FleetPlace | None = None
+    shared: StoreSnapshot | None = None
 
 
-def write(told: Hello | UpgradeState) -> bytes:
+def encode(told: Hello | UpgradeState) -> bytes:
     return msgspec.msgpack.encode(told)
 
 
-def hello(text: bytes) -> Hello:
+def decode_hello(text: bytes) -> Hello:
     """The older process's first word; HandoverError where this one can't follow it."""
     try:
         told = msgspec.msgpack.decode(text, type=Hello)
@@ -77,7 +77,7 @@
     return told
 
 
-def read(text: bytes, now_s: float) -> UpgradeState:
+def decode(text: bytes, now_s: float) -> UpgradeState:
     """The document at `now_s` of the monotonic clock; HandoverError where it can't be taken over."""
     try:
         told = msgspec.msgpack.decode(text, type=UpgradeState)
@@ -88,8 +88,8 @@
     return told
 
 
-def put(
-    gateway: DecisionModule, told: UpgradeState, numbers: Mapping[str, Mapping[str, int]], now: float
+def import_module_state(
+    decision_module: DecisionModule, told: UpgradeState, numbers: Mapping[str, Mapping[str, int]], now: float
 ) -> Iterator[str]:
     """Take the module's state over, by this process's numbers; yields what could not be."""
     module = dict(told.module)
@@ -102,4 +102,4 @@
         if gone := len(rows) - len(kept):
             yield f"{part}: {gone} are not in this process's configuration"
         module[part] = kept
-    yield from platform_state.put(gateway, module, now)
+    yield from platform_state.import_module_state(decision_module, module, now)
--- a/basaltpoint/links/transport.py
+++ b/basaltpoint/links/transport.py
@@ -15,7 +15,7 @@
 from typing import Any, Protocol, cast
 
 from basaltpoint.config.address import parse_address
-from basaltpoint.config.storage import Files
+from basaltpoint.config.storage import TlsFiles
 from basaltpoint.links.frames import (
     PROTOCOL_VERSION,
     Frame,
@@ -41,7 +41,7 @@
     authority: Path
 
     @classmethod
-    def from_files(cls, files: Files | None) -> Tls | None:
+    def from_files(cls, files: TlsFiles | None) -> Tls | None:
         """Returns the TLS files of a checked configuration table; None if it names none."""
         return cls(files.cert, files.key, files.authority) if files else None
 
--- a/basaltpoint/load/scenario.py
+++ b/basaltpoint/load/scenario.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from basaltpoint.config.address import ConfigError, parse_address
-from basaltpoint.config.decode import Collector, FileError, decode, read_sound, shown
-from basaltpoint.config.schema import NAME, described
+from basaltpoint.config.decode import FileError, ProblemCollector, decode, format_value, load_toml
+from basaltpoint.config.schema import NAME_PATTERN, described
 
 
 class Process(Enum):
@@ -45,7 +45,7 @@
     RUNAWAY = "runaway"  # one account asks `rate` a second besides
 
 
-Name = Annotated[str, described("Its name.", pattern=NAME)]
+Name = Annotated[str, described("Its name.", pattern=NAME_PATTERN)]
 
 
 class Retries(msgspec.Struct, frozen=True, kw_only=True):
@@ -194,16 +194,16 @@
 
 def load(path: Path) -> Scenario:
     """Read and check; FileError with every problem."""
-    out = Collector(str(path))
-    scenario = decode(Scenario, read_sound(path), out)
+    out = ProblemCollector(str(path))
+    scenario = decode(Scenario, load_toml(path), out)
     if scenario is None:
         raise FileError(out.problems)
     _check(scenario, out)
-    out.check()
+    out.raise_problems()
     return scenario
 
 
-def _check(scenario: Scenario, out: Collector) -> None:
+def _check(scenario: Scenario, out: ProblemCollector) -> None:
     for key, rows in (("target", scenario.target), ("plan", scenario.plan), ("class", scenario.class_)):
         if not rows:
             out.add(key, "none", "one at least")
@@ -211,26 +211,30 @@
         try:
             parse_address(text)
         except ConfigError:
-            out.add(f"target[{at}]", f"found {shown(text)}", "IP:PORT")
+            out.add(f"target[{at}]", f"found {format_value(text)}", "IP:PORT")
     for table, named in (("plan", scenario.plan), ("class", scenario.class_)):
         names = [row.name for row in named]
         for at, name in enumerate(names):
             if name in names[:at]:
-                out.add(f"{table}[{at}].name", f"found {shown(name)} again", "each name once")
+                out.add(f"{table}[{at}].name", f"found {format_value(name)} again", "each name once")
     plans = {plan.name: plan for plan in scenario.plan}
     for at, shape in enumerate(scenario.shape):
         _check_shape(f"shape[{at}]", shape, plans, scenario.duration_s, out)
 
 
 def _check_shape(
-    path: str, shape: ShapeTable, plans: dict[str, PlanTable], duration_s: float, out: Collector
+    path: str, shape: ShapeTable, plans: dict[str, PlanTable], duration_s: float, out: ProblemCollector
 ) -> None:
     if shape.to_s and shape.to_s <= shape.from_s:
         out.add(f"{path}.to_s", f"found {shape.to_s:g}", f"above from_s, {shape.from_s:g}, or 0")
     if shape.from_s >= duration_s:
         out.add(f"{path}.from_s", f"found {shape.from_s:g}", f"below duration_s, {duration_s:g}")
     if shape.plan and shape.plan not in plans:
-        out.add(f"{path}.plan", f"found {shown(shape.plan)}, which is no plan", "one of " + ", ".join(plans))
+        out.add(
+            f"{path}.plan",
+            f"found {format_value(shape.plan)}, which is no plan",
+            "one of " + ", ".join(plans),
+        )
     elif not shape.plan and shape.kind in (Kind.SURGE, Kind.RUNAWAY):
         out.add(f"{path}.plan", "missing", "the name of a plan")
     if shape.kind is Kind.RUNAWAY:
--- a/basaltpoint/rehearsal/scenario.py
+++ b/basaltpoint/rehearsal/scenario.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from basaltpoint.config.decode import Collector, decode, read_sound, shown
+from basaltpoint.config.decode import ProblemCollector, decode, format_value, load_toml
 from basaltpoint.config.schema import described
 from basaltpoint.load.scenario import ClassTable, PlanTable
 from basaltpoint.rehearsal.faults import LINKS, SERVERS, Fault, Kind
@@ -71,42 +71,42 @@
 
 def load(path: Path) -> Rehearsal:
     """Read and check; FileError with every problem."""
-    out, raw = Collector(str(path)), dict(read_sound(path))
+    out, raw = ProblemCollector(str(path)), dict(load_toml(path))
     faults, limiter = raw.pop("fault", []), raw.pop("limiter", {})
     scenario = decode(Scenario, raw, out) or Scenario()
     if not isinstance(limiter, dict):
-        out.add("limiter", f"found {shown(limiter)}", "a table")
+        out.add("limiter", f"found {format_value(limiter)}", "a table")
     elif wrong := sorted(({*OURS, "store"} if scenario.fleet.store else OURS) & limiter.keys()):
         out.add(f"limiter.{wrong[0]}", "given", "any table that the rehearsal does not set itself")
     if not isinstance(faults, list):
-        out.add("fault", f"found {shown(faults)}", "a list of tables, [[fault]]")
+        out.add("fault", f"found {format_value(faults)}", "a list of tables, [[fault]]")
         faults = []
     made = [_fault(f"fault[{at}]", row, scenario.fleet, out) for at, row in enumerate(faults)]
     if scenario.load.plan and not scenario.load.class_:
         out.add("load.class", "none", "one [[load.class]] at least, where there are plans")
-    out.check()
+    out.raise_problems()
     return Rehearsal(
         fleet=scenario.fleet, load=scenario.load, limiter=limiter, faults=tuple(f for f in made if f)
     )
 
 
-def _names(path: str, value: Any, known: list[str], out: Collector) -> tuple[str, ...]:
+def _names(path: str, value: Any, known: list[str], out: ProblemCollector) -> tuple[str, ...]:
     listed = [value] if isinstance(value, str) else value
     if not isinstance(listed, list) or not listed or not all(isinstance(name, str) for name in listed):
-        out.add(path, f"found {shown(value)}", "a name, or a list of names")
+        out.add(path, f"found {format_value(value)}", "a name, or a list of names")
         return ()
     for name in listed:
         if name not in known:
             groups = [[n for n in known if n[0] == kind] for kind in "lr"]
             allowed = ", ".join(f"{group[0]} to {group[-1]}" for group in groups if group)
-            out.add(path, f"found {shown(name)}", f"one of {allowed}")
+            out.add(path, f"found {format_value(name)}", f"one of {allowed}")
     return tuple(listed)
 
 
-def _fault(path: str, row: Any, fleet: FleetTable, out: Collector) -> Fault | None:
+def _fault(path: str, row: Any, fleet: FleetTable, out: ProblemCollector) -> Fault | None:
     before = len(out.problems)
     if not isinstance(row, dict):
-        out.add(path, f"found {shown(row)}", "a table")
+        out.add(path, f"found {format_value(row)}", "a table")
         return None
     limiters = [f"l{at + 1}" for at in range(fleet.limiters)]
     replicas = [f"r{at + 1}" for at in range(fleet.store)]
@@ -115,7 +115,7 @@
     except ValueError:
         out.add(
             f"{path}.kind",
-            f"found {shown(row.get('kind', ''))}",
+            f"found {format_value(row.get('kind', ''))}",
             "one of " + ", ".join(k.value for k in Kind),
         )
         return None
@@ -157,7 +157,9 @@
         )
     servers = [f"s{at + 1}" for at in range(fleet.servers)]
     if kind in SERVERS and "server" in row and row["server"] not in servers:
-        out.add(f"{path}.server", f"found {shown(row['server'])}", f"one of {servers[0]} to {servers[-1]}")
+        out.add(
+            f"{path}.server", f"found {format_value(row['server'])}", f"one of {servers[0]} to {servers[-1]}"
+        )
     if kind in SERVERS and not fleet.store:
         out.add(f"{path}.kind", f"found {kind.value}", "with fleet.store: drains are told through the store")
     _system(path, row, keys, out)
@@ -171,23 +173,27 @@
     )  # fmt: skip
 
 
-def _system(path: str, row: dict[str, Any], keys: set[str], out: Collector) -> None:
+def _system(path: str, row: dict[str, Any], keys: set[str], out: ProblemCollector) -> None:
     """Check what tells of system calls and clocks."""
     if "call" in keys & row.keys() and row["call"] not in CALLS:
-        out.add(f"{path}.call", f"found {shown(row['call'])}", "one of " + ", ".join(CALLS))
+        out.add(f"{path}.call", f"found {format_value(row['call'])}", "one of " + ", ".join(CALLS))
     if "error" in keys & row.keys() and row["error"] not in errno.errorcode.values():
-        out.add(f"{path}.error", f"found {shown(row['error'])}", "an errno's name, as ENFILE")
+        out.add(f"{path}.error", f"found {format_value(row['error'])}", "an errno's name, as ENFILE")
     by_s = row.get("by_s", 0.0)
     if isinstance(by_s, bool) or not isinstance(by_s, int | float) or not abs(by_s) <= MOST_STEP_S:
-        out.add(f"{path}.by_s", f"found {shown(by_s)}", f"seconds, from {-MOST_STEP_S:g} to {MOST_STEP_S:g}")
+        out.add(
+            f"{path}.by_s",
+            f"found {format_value(by_s)}",
+            f"seconds, from {-MOST_STEP_S:g} to {MOST_STEP_S:g}",
+        )
 
 
 def _list(value: Any) -> list[Any]:
     return value if isinstance(value, list) else [value]
 
 
-def _number(path: str, value: Any, out: Collector) -> float:
+def _number(path: str, value: Any, out: ProblemCollector) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= 86_400_000:
-        out.add(path, f"found {shown(value)}", "a number from 0 on")
+        out.add(path, f"found {format_value(value)}", "a number from 0 on")
         return 0.5
     return float(value)
--- a/basaltpoint/store/command.py
+++ b/basaltpoint/store/command.py
@@ -17,7 +17,7 @@
 
 from basaltpoint.config import storage as storages
 from basaltpoint.config.decode import FileError
-from basaltpoint.config.storage import Storage
+from basaltpoint.config.storage import StoreSettings
 from basaltpoint.store import backup, setting
 from basaltpoint.store.client import Client, StoreError
 from basaltpoint.store.disk import CorruptionError
@@ -109,7 +109,7 @@
     return ask(storage, args)
 
 
-def ask(storage: Storage, args: argparse.Namespace) -> int:
+def ask(storage: StoreSettings, args: argparse.Namespace) -> int:
     """Have a command's `act` done with a client; the exit code: 1 where the store refuses."""
 
     async def act() -> int:
@@ -147,7 +147,7 @@
     return point
 
 
-def run_replica(storage: Storage, embedded: bool = False) -> int:
+def run_replica(storage: StoreSettings, embedded: bool = False) -> int:
     """Serve until told to end; the exit code."""
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     if not storage.table.name:
@@ -183,7 +183,7 @@
     replica.close()
 
 
-def _restore(storage: Storage, path: Path) -> int:
+def _restore(storage: StoreSettings, path: Path) -> int:
     try:
         held = backup.read(path)
         backup.restore(
--- a/basaltpoint/store/replica.py
+++ b/basaltpoint/store/replica.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from basaltpoint.config.address import parse_address
-from basaltpoint.config.storage import SOCKET
+from basaltpoint.config.storage import SOCKET_NAME
 from basaltpoint.links.frames import PROTOCOL_VERSION, Greeting
 from basaltpoint.links.listening import LinkListener
 from basaltpoint.links.transport import Link, Reconnector, Tls
@@ -113,7 +113,7 @@
     async def start(self) -> None:
         """Listen; OSError where that can't be."""
         self._loop = asyncio.get_running_loop()
-        path = self.setting.folder / SOCKET
+        path = self.setting.folder / SOCKET_NAME
         path.unlink(missing_ok=True)
         mask = os.umask(0o177)  # whoever may open the socket may change the store
         try:
@@ -152,7 +152,7 @@
         self._files.close()
         self.folder.close()
         with suppress(OSError):
-            (self.setting.folder / SOCKET).unlink()
+            (self.setting.folder / SOCKET_NAME).unlink()
 
     # --- The node's turn --------------------------------------------------------------------------------
     def _kick(self) -> None:
--- a/basaltpoint/store/setting.py
+++ b/basaltpoint/store/setting.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from basaltpoint.config.storage import Storage
+from basaltpoint.config.storage import StoreSettings
 from basaltpoint.links.transport import Tls
 from basaltpoint.store.client import Client, Endpoint
 from basaltpoint.store.messages import Member, Membership
@@ -11,7 +11,7 @@
 from basaltpoint.store.replica import Setting
 
 
-def initial(storage: Storage) -> Membership:
+def initial(storage: StoreSettings) -> Membership:
     """The members of a new cluster; none for a replica that joins one."""
     table = storage.table
     if table.join:
@@ -20,7 +20,7 @@
     return Membership(listed or (Member(table.name, table.advertise or table.listen),))
 
 
-def replica(storage: Storage) -> Setting:
+def replica(storage: StoreSettings) -> Setting:
     """What the replica of this file runs on."""
     table = storage.table
     advertised = table.advertise or dict(storage.members).get(table.name, "")
@@ -30,17 +30,17 @@
         folder=storage.folder,
         listen=table.listen,
         initial=initial(storage),
-        tls=Tls.from_files(storage.files),
+        tls=Tls.from_files(storage.tls_files),
         options=RaftOptions(table.election_ms, table.heartbeat_ms),
         sizes=StorageLimits(snapshot_entries=table.snapshot_entries, max_state_bytes=table.state_mb << 20),
         advertise=advertised,
     )
 
 
-def client(storage: Storage) -> Client:
+def client(storage: StoreSettings) -> Client:
     """A client of this host's replica, and of the other members where it fails or is none."""
     table = storage.table
     endpoints = [Endpoint(address, name) for name, address in storage.members if name != table.name]
     if table.name:
         endpoints.insert(0, Endpoint(str(storage.socket)))
-    return Client(endpoints, table.cluster, Tls.from_files(storage.files))
+    return Client(endpoints, table.cluster, Tls.from_files(storage.tls_files))
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from basaltpoint.config.build import Numbers, load
+from basaltpoint.config.build import NumberRegistry, load
 from basaltpoint.config.decode import FileError
 from basaltpoint.config.reference import reference
 
@@ -205,7 +205,7 @@
 
 
 def test_numbers_stay_over_reloads_and_a_bad_file_takes_none(tmp_path: Path) -> None:
-    path, numbers = tmp_path / "limiter.toml", Numbers()
+    path, numbers = tmp_path / "limiter.toml", NumberRegistry()
     path.write_text(GOOD)
     before = load(path, numbers)
     path.write_text(GOOD.replace('name = "s1"', 'name = "s0"').replace('["s1"]', '["nope"]'))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -41,7 +41,7 @@
 from basaltpoint import interface as api
 from basaltpoint.config.settings import parse_settings
 from basaltpoint.handover import platform_state, state, upgrade_state
-from basaltpoint.handover.link import Link, claim, socket_path
+from basaltpoint.handover.link import HandoverLink, connect_to_predecessor, socket_path
 from basaltpoint.handover.platform_state import PlatformState, PlatformStateError
 from basaltpoint.handover.upgrade_state import UpgradeState
 from basaltpoint.policy import DecisionModule
@@ -74,17 +74,17 @@
 
 def passed(old: DecisionModule, new: DecisionModule, now: float) -> None:
     """What the newer process takes over when it starts, over JSON as between processes."""
-    module = json.loads(json.dumps(state.take(old, now)))
-    state.halve(old, now)
-    assert list(platform_state.put(new, module, now)) == []
+    module = json.loads(json.dumps(state.export_state(old, now)))
+    state.share_limits(old, now)
+    assert list(platform_state.import_module_state(new, module, now)) == []
     new.started_ms = now
-    state.halve(new, now)
+    state.share_limits(new, now)
 
 
 def finish(old: DecisionModule, new: DecisionModule, now: float, since: float) -> None:
-    rows = json.loads(json.dumps(state.take(old, now)))["customers"]
-    state.whole(new, now)
-    assert state.join(new, rows, now, since) == 0
+    rows = json.loads(json.dumps(state.export_state(old, now)))["customers"]
+    state.restore_full_limits(new, now)
+    assert state.merge_customers(new, rows, now, since) == 0
 
 
 @given(st.integers(0, 2**32))
@@ -130,11 +130,15 @@
         now += rng.uniform(5, 60)
         if n == handed:
             told = UpgradeState(
-                1, 0.0, state.take(old, now), {"account": {"a": 7}, "server": {}, "pool": {}}, {}
+                1, 0.0, state.export_state(old, now), {"account": {"a": 7}, "server": {}, "pool": {}}, {}
+            )
+            state.exhaust_ceilings(old, now, 10_000.0)
+            told = upgrade_state.decode(upgrade_state.encode(told), 1.0)
+            list(
+                upgrade_state.import_module_state(
+                    new, told, {"account": {"a": 9}, "server": {}, "pool": {}}, now
+                )
             )
-            state.spend(old, now, 10_000.0)
-            told = upgrade_state.read(upgrade_state.write(told), 1.0)
-            list(upgrade_state.put(new, told, {"account": {"a": 9}, "server": {}, "pool": {}}, now))
             new.started_ms = now
         one, customer = (new, 9) if n >= handed and rng.random() < 0.5 else (old, 7)
         sent += ask(one, now, n + 1, customer)
@@ -147,10 +151,10 @@
     peers(old, 1e9)
     peers(new, 1e9)
     now = 1e9 + 10_000.0
-    module = json.loads(json.dumps(state.take(old, now)))
+    module = json.loads(json.dumps(state.export_state(old, now)))
     ask(old, now, 1)
-    module = json.loads(json.dumps(state.take(old, now)))
-    list(platform_state.put(new, module, now))
+    module = json.loads(json.dumps(state.export_state(old, now)))
+    list(platform_state.import_module_state(new, module, now))
     assert sum(ask(one, now, n) for one in (old, new) for n in range(2, 30)) > 10
     old, new = gateway(1), gateway(2)
     peers(old, 1e9)
@@ -165,8 +169,8 @@
     peers(old, 1e9)
     now = 1e9 + 10_000.0
     ask(old, now, 1)
-    state.halve(old, now)
-    state.whole(old, now)
+    state.share_limits(old, now)
+    state.restore_full_limits(old, now)
     assert sum(ask(old, now, n) for n in range(2, 30)) <= 9  # what the other may have drawn stays drawn
     now += 10_000.0
     assert sum(ask(old, now, n) for n in range(30, 60)) == 10
@@ -245,8 +249,8 @@
 )
 def test_a_torn_stale_or_foreign_document_is_told_and_left(text: bytes) -> None:
     with pytest.raises(PlatformStateError):
-        platform_state.read(text, 10.0)
-    assert isinstance(platform_state.read(estate(), 10.0), PlatformState)
+        platform_state.decode(text, 10.0)
+    assert isinstance(platform_state.decode(estate(), 10.0), PlatformState)
 
 
 @given(st.data())
@@ -259,7 +263,7 @@
     now = 1e9 + 10_000.0
     ask(old, now, 1, customer=7)
     ask(old, now, 2, customer=8)
-    module = json.loads(json.dumps(state.take(old, now)))
+    module = json.loads(json.dumps(state.export_state(old, now)))
     spots = [(part, key) for part in ("clock", "waits") for key in module[part]]
     spots += [(part, 0, key) for part in ("pools", "servers", "customers") for key in module[part][0]]
     *way, last = data.draw(st.sampled_from(spots))
@@ -267,7 +271,7 @@
     for step in way:
         place_ = place_[step]
     place_[last] = data.draw(st.sampled_from([None, "x", [], {}, -1e300, 1e300, [[1]], True]))
-    list(platform_state.put(new, module, now))
+    list(platform_state.import_module_state(new, module, now))
     assert 8 in new.customers
     assert all(isinstance(ask(new, now + n, 10 + n, 7), bool) for n in range(3))
 
@@ -280,7 +284,7 @@
 
 def test_a_silent_or_strange_older_process_does_not_hold_up_a_start(tmp_path: Path) -> None:
     path = str(tmp_path / "strange")
-    assert claim(path) is None
+    assert connect_to_predecessor(path) is None
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as listener:
         listener.bind(path)
         listener.listen()
@@ -293,7 +297,7 @@
 
         thread = threading.Thread(target=answer)
         thread.start()
-        assert claim(path) is None
+        assert connect_to_predecessor(path) is None
         thread.join()
 
 
@@ -320,23 +324,23 @@
         return getattr(self._real, name)
 
 
-class Heard:
+class RecordingHandler:
     """What a link tells its process."""
 
     def __init__(self) -> None:
         self.documents: list[bytes] = []
         self.parts = 0
 
-    def told(self, document: bytes) -> None:
+    def document_received(self, document: bytes) -> None:
         self.documents.append(document)
 
-    def adopt(self, sock: socket.socket) -> None:
+    def connection_received(self, sock: socket.socket) -> None:
         sock.close()
 
-    def ended(self, name: bytes) -> None:
+    def request_completed(self, name: bytes) -> None:
         pass
 
-    def parted(self) -> None:
+    def link_closed(self) -> None:
         self.parts += 1
 
 
@@ -351,13 +355,13 @@
             sock.setblocking(False)
         reader = StrainedSocket(far, name, 3 if side == "reader" else 0)
         writer = StrainedSocket(near, name, 3 if side == "writer" else 0)
-        heard, other = Heard(), Heard()
-        receiving = Link(reader, heard)  # type: ignore[arg-type]
-        sending = Link(writer, other)  # type: ignore[arg-type]
-        sending.document(b"all that is known")
+        heard, other = RecordingHandler(), RecordingHandler()
+        receiving = HandoverLink(reader, heard)  # type: ignore[arg-type]
+        sending = HandoverLink(writer, other)  # type: ignore[arg-type]
+        sending.send_document(b"all that is known")
         await until(lambda: heard.documents == [b"all that is known"])
         assert not reader.left and not writer.left
-        assert sending.open and receiving.open and not heard.parts and not other.parts
+        assert sending.is_open and receiving.is_open and not heard.parts and not other.parts
         sending.close()
         await until(lambda: heard.parts == 1)
         receiving.close()
--- a/tests/test_store_daemon.py
+++ b/tests/test_store_daemon.py
@@ -18,7 +18,7 @@
 from storeprocs import PATIENCE_S, Cluster, cluster
 from waiting import run, until
 
-from basaltpoint.config.decode import FileError, read_sound
+from basaltpoint.config.decode import FileError, load_toml
 from basaltpoint.daemon import store_follower as keepers
 from basaltpoint.daemon.balances import Balance, Balances, SignOfLife, down, recall
 from basaltpoint.daemon.shared_state import (
@@ -536,9 +536,9 @@
 def test_a_limiters_name_can_lead_no_file_elsewhere(tmp_path: Path) -> None:
     path = tmp_path / "l.toml"
     path.write_text('name = "../elsewhere"\n[store]\n')
-    assert limiter_name(read_sound(path)) == "basaltpoint"
+    assert limiter_name(load_toml(path)) == "basaltpoint"
     path.write_text('name = "north-1"\n[store]\n')
-    assert limiter_name(read_sound(path)) == "north-1"
+    assert limiter_name(load_toml(path)) == "north-1"
 
 
 def test_a_file_whose_shared_tables_the_store_holds_is_checked_for_the_rest(tmp_path: Path) -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -125,7 +125,7 @@
 
 @pytest.mark.parametrize(
     ("text", "why"),
-    [(upgrade_state.write(Hello(VERSION + 1, "l1")), f"version {VERSION + 1}"), (b"\xc1", "can't be read")],
+    [(upgrade_state.encode(Hello(VERSION + 1, "l1")), f"version {VERSION + 1}"), (b"\xc1", "can't be read")],
     ids=["version", "garbage"],
 )
 def test_an_older_process_that_speaks_otherwise_is_not_pushed_aside(
@@ -160,7 +160,7 @@
                     process = made.members["l1"].process
                     assert process
                     older, _ = await asyncio.to_thread(listener.accept)
-                    older.send(b"d" + upgrade_state.write(Hello(VERSION, "l1")))
+                    older.send(b"d" + upgrade_state.encode(Hello(VERSION, "l1")))
                     await until(lambda: said(made, "l1", READY) == 1)
                     older.close()
                     await until(lambda: "in use" in made.log("l1"))
@@ -175,10 +175,10 @@
 
 def test_a_document_is_read_by_names_and_what_is_not_known_is_told() -> None:
     told = UpgradeState(VERSION, 5.0, {"pools": [{"number": 7}]}, {"pool": {"gone": 7}}, {}, ("clients",))
-    assert upgrade_state.read(upgrade_state.write(told), 6.0) == told
-    for text, now_s in ((upgrade_state.write(told), 4.0), (upgrade_state.write(told)[:-1], 6.0)):
+    assert upgrade_state.decode(upgrade_state.encode(told), 6.0) == told
+    for text, now_s in ((upgrade_state.encode(told), 4.0), (upgrade_state.encode(told)[:-1], 6.0)):
         with pytest.raises(HandoverError):
-            upgrade_state.read(text, now_s)
+            upgrade_state.decode(text, now_s)
 
 
 QUOTA = """
