--- a/basaltpoint/daemon/platform.py
+++ b/basaltpoint/daemon/platform.py
@@ -53,7 +53,7 @@
         log.error("the configuration stays as it was: %s", error)
         return
     log.info("discovery is at %s:%d", *address)
-    watch.move(address)
+    watch.set_address(address)
 
 
 async def _answer_operators(address: Address, limiter: Limiter, clients: Clients) -> None:
--- a/basaltpoint/daemon/standalone.py
+++ b/basaltpoint/daemon/standalone.py
@@ -194,7 +194,7 @@
             relay.origin_s,
             module,
             names,
-            relay.started_ms(),
+            relay.first_seen_ms(),
             tuple(listeners),
             member,
             shared,
@@ -203,7 +203,7 @@
     async def _sweep(self) -> None:
         while True:
             await asyncio.sleep(SWEEP_S)
-            self.relay.sweep()
+            self.relay.close_stalled()
             if self.keeper:
                 self.keeper.sign()
 
@@ -234,7 +234,7 @@
     def take_up(self, setup: Setup) -> None:
         """Go over to another configuration at once."""
         self.setup = setup
-        self.relay.apply(self._own(setup))
+        self.relay.update_configuration(self._own(setup))
 
     def _own(self, setup: Setup) -> Setup:
         """This limiter's part of it."""
@@ -273,16 +273,16 @@
                 self.fleet.close()
             else:
                 await self.fleet.leave()
-        self.relay.closing = send is None
+        self.relay.is_closing = send is None
         if self._acceptor:
             self._acceptor.accept_all()
             self._acceptor.stop()
         end = asyncio.get_running_loop().time() + self.setup.file.clients.drain_s
         while (
-            self.relay.open or (send and self.relay.connections)
+            self.relay.open_requests or (send and self.relay.connections)
         ) and asyncio.get_running_loop().time() < end:
             if send:
-                self.relay.pass_idle(send)
+                self.relay.hand_over_idle(send)
             else:
                 self.relay.close_idle()
             await asyncio.sleep(0.01)
--- /dev/null
+++ b/basaltpoint/fronts/http/exchange.py
@@ -0,0 +1,293 @@
+"""One request on its way through the ordinary front: its body in, attempts out, its answer back."""
+
+from __future__ import annotations
+
+from time import monotonic
+from typing import Protocol
+
+from basaltpoint.core.table import Reply, RequestResult
+from basaltpoint.fronts.http import message
+from basaltpoint.fronts.http.connection import ClientConnection
+from basaltpoint.fronts.http.message import Headers, Request, UpstreamRequest
+from basaltpoint.interface import RefusalReason, Status
+from basaltpoint.routing.accounts import Account
+from basaltpoint.routing.routes import Route
+from basaltpoint.upstream.servers import AttemptResult
+from basaltpoint.upstream.streams import StreamAttempt, StreamConnection
+
+MAX_BUFFERED_RESPONSE_BYTES = (
+    64 * 1024
+)  # bytes of an answer that may be repeated, kept in case no repeat follows
+RETRYABLE_STATUSES = (502, 503, 504)  # a server's word that it could not; another may
+
+RESULT_RESPONSES = {
+    RequestResult.FAILED: (502, "no server answered"),
+    RequestResult.OVERDUE: (504, "no answer in time"),
+    RequestResult.FAULT: (500, "internal error"),
+    RequestResult.BUSY: (503, "too many requests in hand"),
+    RequestResult.DUPLICATE: (409, "a request of this name is open"),
+}
+REFUSAL_RESPONSES = {
+    RefusalReason.QUOTA: (429, "quota"),
+    RefusalReason.CEILING: (429, "ceiling"),
+    RefusalReason.PARALLEL: (429, "too many at once"),
+    RefusalReason.LOAD: (503, "load"),
+    RefusalReason.SERVERS: (503, "no server"),
+    RefusalReason.MEMBERSHIP: (503, "servers not confirmed"),
+    RefusalReason.LATE: (503, "too late"),
+}
+
+
+class ExchangeOwner(Protocol):
+    """What a passage asks of the relay that it belongs to."""
+
+    name: bytes
+    buffer_bytes: int  # bytes of a streamed body held for a slow reader
+
+    def reserve_memory(self, size: int) -> bool:
+        """Take memory for bytes of a body; False where there is none left."""
+
+    def release_memory(self, size: int) -> None: ...
+    def submit(self, passage: RequestExchange) -> None: ...
+    def client_disconnected(self, passage: RequestExchange) -> None: ...
+    def begun(self, passage: RequestExchange) -> None: ...
+    def uploading(self, passage: RequestExchange) -> None: ...
+    def uploaded(self, passage: RequestExchange) -> None: ...
+    def attempt_ended(self, passage: RequestExchange, status: Status, final: bool) -> None: ...
+    def refusal_headers(self, passage: RequestExchange, effect: Reply) -> Headers: ...
+
+
+class RequestExchange:
+    """One request on its way: its body in, attempts out, its answer back."""
+
+    def __init__(
+        self,
+        relay: ExchangeOwner,
+        connection: ClientConnection,
+        request: Request,
+        route: Route,
+        account: Account,
+    ) -> None:
+        self.relay = relay
+        self.connection = connection
+        self.request = request
+        self.route = route
+        self.account = account
+        self.upstream_request: UpstreamRequest
+        self.class_number = route.class_rules.class_number
+        self.wait_ms = route.class_rules.deadline_ms
+        self.ident = 0
+        self.attempt: StreamAttempt | None = None
+        self.number = 0
+        self.stream: StreamConnection | None = None
+        self.is_finished = False
+        # The request's body. Kept whole up to the route's bound; beyond it is streamed once.
+        self.body: list[bytes] = []
+        self.body_bytes = 0
+        self.reserved_bytes = 0  # bytes accounted for
+        self.body_complete = False
+        self.whole_at = monotonic()
+        self.body_streamed = False
+        self.server_blocked = False  # the server takes no more for now
+        self.body_trailers: Headers = []
+        # The answer under way.
+        self.passing = False
+        self.status = Status.OK
+        self.response_head: tuple[int, bytes, Headers, int | None] | None = None
+        self.buffered_body: list[bytes] | None = None  # of an answer that is held back, as it may be repeated
+        self.buffered_complete = False
+        self.trailers: Headers = []
+
+    # --- The request's body ----------------------------------------------------------------------
+    def body_received(self, piece: bytes) -> None:
+        self.body_bytes += len(piece)
+        if self.route.max_body_bytes and self.body_bytes > self.route.max_body_bytes:
+            self._reject(413, "the body is too long")
+        elif not self.relay.reserve_memory(len(piece)):
+            self._reject(503, "no memory for bodies")
+        else:
+            self.reserved_bytes += len(piece)
+            self.body.append(piece)
+            if self.body_streamed:
+                self._send_body()
+            elif self.body_bytes > self.route.max_kept_body_bytes:
+                self.body_streamed = True
+                self.relay.submit(self)
+                self._send_body()
+
+    def body_completed(self, trailers: Headers) -> None:
+        self.body_complete, self.whole_at, self.body_trailers = True, monotonic(), trailers
+        if self.body_streamed:
+            self._send_body()
+        else:
+            self.relay.submit(self)
+
+    def _reject(self, code: int, reason: str) -> None:
+        """Answer in the middle of the body; the connection ends behind it."""
+        if self.is_finished:
+            return
+        if self.ident:
+            self.relay.client_disconnected(self)
+        self._finish()
+        if self.passing:
+            self.connection.reset()
+        else:
+            self.connection.send_response(code, reason, [])
+
+    def _send_body(self) -> None:
+        """Send on what there is of a streamed body, as far as the server takes it."""
+        stream = self.stream
+        if stream is not None and not self.server_blocked and stream.is_sending_body:
+            pieces, self.body = self.body, []
+            data = b"".join(pieces)
+            stream.send_body(data)
+            self.relay.release_memory(len(data))
+            self.reserved_bytes -= len(data)
+            if self.body_complete:
+                stream.finish_body(message.trailer_section(self.body_trailers))
+                self.relay.uploaded(self)
+        self.connection.pause_upload(self.body_streamed and self.reserved_bytes > self.relay.buffer_bytes)
+
+    # --- The attempt, as its connection tells ------------------------------------------------------
+    def upstream_message(self) -> bytes:
+        if self.body_streamed:
+            return self.upstream_request.with_stream(self.request.body_length)
+        return self.upstream_request.with_body(b"".join(self.body))
+
+    def connected(self, stream: StreamConnection) -> None:
+        self.stream = stream
+        if self.body_streamed:
+            stream.start_body(self.request.body_length is None)
+            self.relay.uploading(self)
+            self._send_body()
+
+    def writable(self, ready: bool) -> None:
+        self.server_blocked = not ready
+        if ready and self.body_streamed:
+            self._send_body()
+
+    def interim(self, code: int, headers: Headers) -> None:
+        if not self.is_finished:
+            self.connection.send_interim(code, headers)
+
+    def head(self, code: int, reason: bytes, headers: Headers, length: int | None) -> None:
+        self.response_head = code, reason, headers, length
+        self.status = Status.OK if code < 500 else Status.ERROR
+        self.buffered_body = (
+            [] if code in RETRYABLE_STATUSES and (length or 0) <= MAX_BUFFERED_RESPONSE_BYTES else None
+        )
+        self.buffered_complete = False
+        if self.buffered_body is None:
+            self._start_response()
+
+    def _start_response(self) -> None:
+        """Pass the answer on from here; without anybody waiting the attempt ends."""
+        assert self.response_head and self.attempt
+        self.attempt.stop_timeout()
+        self.relay.begun(self)
+        if not self.passing:
+            self.attempt.cancel()
+            return
+        code, reason, headers, length = self.response_head
+        sets = {name.lower() for name, _ in self.route.response_headers}
+        kept = [pair for pair in message.forwardable_headers(headers) if pair[0] not in sets]
+        via = b"1.1 %s" % self.relay.name
+        self.connection.start_response(
+            code, reason, [*kept, *self.route.response_headers, (b"Via", via)], length
+        )
+        pieces, self.buffered_body = self.buffered_body or [], None
+        for piece in pieces:
+            self.connection.send_body(piece)
+
+    def data(self, piece: bytes) -> None:
+        if self.passing:
+            self.connection.send_body(piece)
+        elif self.buffered_body is not None:
+            self.buffered_body.append(piece)
+            if sum(map(len, self.buffered_body)) > MAX_BUFFERED_RESPONSE_BYTES:
+                self._start_response()
+
+    def completed(self, trailers: Headers) -> None:
+        self.trailers, self.buffered_complete = trailers, True
+
+    def attempt_ended(self, answer: AttemptResult) -> None:
+        """The attempt is over; `answer` tells how its connection saw it."""
+        whole = answer.status is Status.OK
+        status = self.status if whole else answer.status
+        self.attempt = self.stream = None
+        self.server_blocked = False
+        self.relay.attempt_ended(self, status, whole and self.passing)
+
+    # --- The client, as its connection tells --------------------------------------------------------
+    def client_writable(self, ready: bool) -> None:
+        if self.stream and self.passing:
+            self.stream.set_paused(not ready)
+
+    def client_disconnected(self) -> None:
+        if not self.is_finished:
+            self._finish()
+            if self.ident:
+                self.relay.client_disconnected(self)
+
+    # --- The answer ------------------------------------------------------------------------------
+    def reply(self, effect: Reply) -> None:
+        """The table's word on how the request ended."""
+        if self.is_finished:
+            return
+        self._finish()
+        if self.passing:
+            if effect.result is RequestResult.CUT:
+                self.connection.reset()
+            else:
+                self.connection.finish_response(self.trailers)
+        else:
+            self._send_response(effect)
+
+    def _send_response(self, effect: Reply) -> None:
+        headers = self.relay.refusal_headers(self, effect)
+        ours = effect.result not in (RequestResult.FAILED, RequestResult.REFUSED)
+        if not ours and self.buffered_body is not None and self.buffered_complete and self.response_head:
+            # The server's own words tell more than ours would.
+            code, _, own, _ = self.response_head
+            told = {name for name, _ in own}
+            kept = message.forwardable_headers(own) + [
+                pair for pair in headers if pair[0].lower() not in told
+            ]
+            self.connection.send_response(code, "", kept, b"".join(self.buffered_body))
+            return
+        code, reason = (
+            REFUSAL_RESPONSES[effect.reason or RefusalReason.LOAD]
+            if effect.result is RequestResult.REFUSED
+            else RESULT_RESPONSES[effect.result]
+        )
+        self.connection.send_response(code, reason, headers)
+
+    def _finish(self) -> None:
+        self.is_finished = True
+        self.relay.release_memory(self.reserved_bytes)
+        self.reserved_bytes, self.body = 0, []
+
+
+class HealthCheck:
+    """One active health check: any answer of 200 to 299 is good."""
+
+    def __init__(self) -> None:
+        self.is_healthy = False
+
+    def connected(self, stream: StreamConnection) -> None:
+        pass
+
+    def writable(self, ready: bool) -> None:
+        pass
+
+    def interim(self, code: int, headers: Headers) -> None:
+        pass
+
+    def head(self, code: int, reason: bytes, headers: Headers, length: int | None) -> None:
+        self.is_healthy = 200 <= code < 300
+
+    def data(self, piece: bytes) -> None:
+        pass
+
+    def completed(self, trailers: Headers) -> None:
+        pass
--- a/basaltpoint/fronts/http/message.py
+++ b/basaltpoint/fronts/http/message.py
@@ -14,8 +14,8 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
-HOP_BY_HOP = frozenset(
+REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
+HOP_BY_HOP_HEADERS = frozenset(
     [
         b"connection",
         b"keep-alive",
@@ -29,25 +29,33 @@
     ]
 )
 # What tells of the path a request took is written anew, and framing is this limiter's own.
-REBUILT = HOP_BY_HOP | {b"content-length", b"host", b"via", b"forwarded", b"expect"}
+REBUILT_HEADERS = HOP_BY_HOP_HEADERS | {b"content-length", b"host", b"via", b"forwarded", b"expect"}
 WAY = frozenset([b"x-forwarded-for", b"x-forwarded-host", b"x-forwarded-proto"])
 # Twice and different, one reader may go by the one and another by the other.
-SINGLE = frozenset([b"content-length", b"transfer-encoding", b"host", b"authorization", b"content-type"])
-MOST_HEADERS = 128
+SINGLE_VALUE_HEADERS = frozenset(
+    [b"content-length", b"transfer-encoding", b"host", b"authorization", b"content-type"]
+)
+MAX_HEADERS = 128
 DIGITS = re.compile(rb"[0-9]{1,18}")
 HOST = re.compile(rb"[!$&-;=A-Z_a-z~%\[\]]*")
 DECIMAL = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 # Of these no request brings a body that matters, so an empty one is not announced.
-BODILESS = frozenset([b"GET", b"HEAD", b"DELETE", b"OPTIONS", b"TRACE"])
+BODILESS_METHODS = frozenset([b"GET", b"HEAD", b"DELETE", b"OPTIONS", b"TRACE"])
 # Never in a trailer (RFC 9110, 6.5.1): framing, routing and what a later reader would act upon.
-NO_TRAILER = HOP_BY_HOP | {b"content-length", b"host", b"authorization", b"set-cookie", b"content-encoding"}
+FORBIDDEN_TRAILERS = HOP_BY_HOP_HEADERS | {
+    b"content-length",
+    b"host",
+    b"authorization",
+    b"set-cookie",
+    b"content-encoding",
+}
 
 
 class BadRequestError(Exception):
     """A request that is not taken on; `code` is the status it gets."""
 
-    def __init__(self, code: int, what: str, headers: Headers | None = None) -> None:
-        super().__init__(what)
+    def __init__(self, code: int, reason: str, headers: Headers | None = None) -> None:
+        super().__init__(reason)
         self.code = code
         self.headers = headers or []
 
@@ -62,17 +70,17 @@
     path: str  # in normal form, to match with
     query: str  # with its `?`
     version: str
-    raw: Headers  # as they came, names in lower case
+    headers: Headers  # as they came, names in lower case
     fields: Mapping[str, str]  # the same, joined where one comes several times
-    length: int | None  # of the body; None for chunks
-    expects: bool  # 100-continue
+    body_length: int | None  # of the body; None for chunks
+    expects_continue: bool  # 100-continue
 
     @property
     def has_body(self) -> bool:
-        return self.length != 0
+        return self.body_length != 0
 
 
-def framing(headers: Headers, version: str) -> int | None:
+def request_body_length(headers: Headers, version: str) -> int | None:
     """The length of a request's body, None for chunks; BadRequestError where two readers could disagree."""
     lengths = [value for name, value in headers if name == b"content-length"]
     codings = [value for name, value in headers if name == b"transfer-encoding"]
@@ -89,12 +97,12 @@
     return int(lengths[0])
 
 
-def read_request(method: bytes, target: bytes, version: str, headers: Headers) -> Request:
+def parse_request(method: bytes, target: bytes, version: str, headers: Headers) -> Request:
     """Check a head and bring it into a form to match with; BadRequestError where it is refused."""
-    if len(headers) > MOST_HEADERS:
+    if len(headers) > MAX_HEADERS:
         raise BadRequestError(431, "too many headers")
-    fields = _fields(headers)
-    length = framing(headers, version)
+    fields = _join_fields(headers)
+    length = request_body_length(headers, version)
     if method == b"CONNECT":
         raise BadRequestError(501, "tunnels are not supported")
     if "upgrade" in fields:
@@ -128,19 +136,19 @@
     )
 
 
-def _fields(headers: Headers) -> dict[str, str]:
+def _join_fields(headers: Headers) -> dict[str, str]:
     fields: dict[str, str] = {}
     for name, value in headers:
         key, text = name.decode("latin-1"), value.decode("latin-1")
         if key in fields:
-            if name in SINGLE and (fields[key] != text or name == b"host"):
+            if name in SINGLE_VALUE_HEADERS and (fields[key] != text or name == b"host"):
                 raise BadRequestError(400, f"{key} comes twice")
-            text = f"{fields[key]}, {text}" if name not in SINGLE else text
+            text = f"{fields[key]}, {text}" if name not in SINGLE_VALUE_HEADERS else text
         fields[key] = text
     return fields
 
 
-def named_hop_by_hop(value: str) -> frozenset[bytes]:
+def connection_options(value: str) -> frozenset[bytes]:
     """The headers that a Connection header names: they belong to this connection alone."""
     if not value:
         return frozenset()
@@ -153,20 +161,20 @@
 
     peer: str  # address of the connection
     via: bytes  # this limiter's name
-    trusted: bool  # the peer is a proxy whose X-Forwarded-For is believed
+    peer_is_trusted: bool  # the peer is a proxy whose X-Forwarded-For is believed
 
 
 @dataclass(frozen=True, slots=True)
-class Changes:
+class RequestRewrite:
     """What a route changes in a request."""
 
     path: str | None = None  # instead of the target's, the query stays
-    sets: tuple[tuple[bytes, bytes], ...] = ()
-    drops: frozenset[bytes] = frozenset()
+    set_headers: tuple[tuple[bytes, bytes], ...] = ()
+    drop_headers: frozenset[bytes] = frozenset()
 
 
 @dataclass(slots=True)
-class Outgoing:
+class UpstreamRequest:
     """The head that goes to a server, but for its end: the framing, which depends on the body."""
 
     head: bytes
@@ -174,7 +182,7 @@
 
     def with_body(self, body: bytes) -> bytes:
         """The whole message, its body in hand."""
-        if not body and self.method in BODILESS:
+        if not body and self.method in BODILESS_METHODS:
             return self.head + b"\r\n"
         return b"%sContent-Length: %d\r\n\r\n%s" % (self.head, len(body), body)
 
@@ -185,65 +193,69 @@
         return b"%sContent-Length: %d\r\n\r\n" % (self.head, length)
 
 
-def outgoing(request: Request, origin: Origin, changes: Changes) -> Outgoing:
+def upstream_request(request: Request, origin: Origin, rewrite: RequestRewrite) -> UpstreamRequest:
     """The request as it goes on: hop-by-hop headers gone, the way it came told, the route's changes made."""
     target = request.target
-    if changes.path is not None:
-        target = (changes.path + request.query).encode("latin-1")
+    if rewrite.path is not None:
+        target = (rewrite.path + request.query).encode("latin-1")
     elif not target.startswith(b"/") and target != b"*":
         target = target[target.index(b"/", 8) :] if b"/" in target[8:] else b"/"
-    own = named_hop_by_hop(request.fields.get("connection", ""))
-    sets = {name.lower() for name, _ in changes.sets}
+    connection_headers = connection_options(request.fields.get("connection", ""))
+    set_names = {name.lower() for name, _ in rewrite.set_headers}
     skip = (
-        REBUILT | own | changes.drops | sets | {b"x-forwarded-for", b"x-forwarded-host", b"x-forwarded-proto"}
+        REBUILT_HEADERS
+        | connection_headers
+        | rewrite.drop_headers
+        | set_names
+        | {b"x-forwarded-for", b"x-forwarded-host", b"x-forwarded-proto"}
     )
     host = request.fields.get("host", "").encode("latin-1")
     if b"://" in request.target[:8]:
         host = request.target.split(b"/", 3)[2].partition(b"?")[0]  # RFC 9112, 3.2.2: it replaces Host
     parts = [b"%s %s HTTP/1.1\r\n" % (request.method, target)]
-    if b"host" not in sets:
+    if b"host" not in set_names:
         parts.append(b"Host: %s\r\n" % host)
-    parts += [b"%s: %s\r\n" % (name, value) for name, value in request.raw if name not in skip]
-    parts += [b"%s: %s\r\n" % pair for pair in changes.sets]
-    parts += [line for name, line in _way(request, origin, host) if name not in sets]
-    return Outgoing(b"".join(parts), request.method)
+    parts += [b"%s: %s\r\n" % (name, value) for name, value in request.headers if name not in skip]
+    parts += [b"%s: %s\r\n" % pair for pair in rewrite.set_headers]
+    parts += [line for name, line in _forwarding_headers(request, origin, host) if name not in set_names]
+    return UpstreamRequest(b"".join(parts), request.method)
 
 
-def _way(request: Request, origin: Origin, host: bytes) -> Iterable[tuple[bytes, bytes]]:
+def _forwarding_headers(request: Request, origin: Origin, host: bytes) -> Iterable[tuple[bytes, bytes]]:
     """The headers that tell the way a request took; what an untrusted peer wrote of it is dropped."""
     fields, peer = request.fields, origin.peer.encode()
     node = b'"[%s]"' % peer if b":" in peer else peer
-    own = b"for=%s;proto=http" % node
+    element = b"for=%s;proto=http" % node
     if host:
-        own += b';host="%s"' % host if HOST_NEEDS_QUOTES.search(host) else b";host=%s" % host
-    before = fields if origin.trusted else {}
-    for name, value in (("x-forwarded-for", peer), ("forwarded", own)):
-        earlier = before.get(name, "").encode("latin-1")
+        element += b';host="%s"' % host if HOST_NEEDS_QUOTES.search(host) else b";host=%s" % host
+    trusted_fields = fields if origin.peer_is_trusted else {}
+    for name, value in (("x-forwarded-for", peer), ("forwarded", element)):
+        earlier = trusted_fields.get(name, "").encode("latin-1")
         yield (
             name.encode(),
             b"%s: %s\r\n" % (name.title().encode(), b", ".join(filter(None, [earlier, value]))),
         )
-    shown = before.get("x-forwarded-host", "").encode("latin-1") or host
-    if shown:
-        yield b"x-forwarded-host", b"X-Forwarded-Host: %s\r\n" % shown
-    proto = before.get("x-forwarded-proto", "").encode("latin-1") or b"http"
+    forwarded_host = trusted_fields.get("x-forwarded-host", "").encode("latin-1") or host
+    if forwarded_host:
+        yield b"x-forwarded-host", b"X-Forwarded-Host: %s\r\n" % forwarded_host
+    proto = trusted_fields.get("x-forwarded-proto", "").encode("latin-1") or b"http"
     yield b"x-forwarded-proto", b"X-Forwarded-Proto: %s\r\n" % proto
     via = fields.get("via", "").encode("latin-1")
-    own = b"%s %s" % (request.version.encode(), origin.via)
-    yield b"via", b"Via: %s\r\n" % (via + b", " + own if via else own)
+    element = b"%s %s" % (request.version.encode(), origin.via)
+    yield b"via", b"Via: %s\r\n" % (via + b", " + element if via else element)
 
 
 HOST_NEEDS_QUOTES = re.compile(rb"[^!#$%&'*+.^_`|~0-9A-Za-z-]")
 
 
 # --- Answers -----------------------------------------------------------------------------------
-def bodiless(method: bytes, code: int) -> bool:
+def has_no_body(method: bytes, code: int) -> bool:
     """Whether an answer has no body, whatever its headers say (RFC 9112, 6.3)."""
     return method == b"HEAD" or code in (204, 304) or 100 <= code < 200
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerHead:
+class ResponseHead:
     """The head of a server's answer. `length` is None where it is not told ahead."""
 
     code: int
@@ -255,21 +267,21 @@
         return next((value for key, value in self.headers if key == name), None)
 
 
-def passed_on(headers: Headers) -> Headers:
+def forwardable_headers(headers: Headers) -> Headers:
     """An answer's headers without those of the connection it came over, and without its framing."""
-    own = frozenset[bytes]()
+    connection_headers = frozenset[bytes]()
     for name, value in headers:
         if name == b"connection":
-            own |= named_hop_by_hop(value.decode("latin-1"))
-    skip = (HOP_BY_HOP - {b"proxy-authenticate"}) | own | {b"content-length"}
+            connection_headers |= connection_options(value.decode("latin-1"))
+    skip = (HOP_BY_HOP_HEADERS - {b"proxy-authenticate"}) | connection_headers | {b"content-length"}
     return [(name, value) for name, value in headers if name not in skip]
 
 
-def answer_head(
+def response_head(
     code: int, reason: bytes, headers: Iterable[tuple[bytes, bytes]], framing_line: bytes, close: bool
 ) -> bytes:
     """The head of an answer to a client; `framing_line` is a header with its end, or nothing."""
-    reason = reason or REASONS.get(code, b"")
+    reason = reason or REASON_PHRASES.get(code, b"")
     parts = [b"HTTP/1.1 %d %s\r\n" % (code, reason)]
     parts += [b"%s: %s\r\n" % pair for pair in headers]
     parts.append(framing_line)
@@ -279,13 +291,13 @@
     return b"".join(parts)
 
 
-def trailers(headers: Headers) -> bytes:
+def trailer_section(headers: Headers) -> bytes:
     """A trailer section with its last empty line; what may stand in none is left out."""
-    lines = [b"%s: %s\r\n" % pair for pair in headers if pair[0] not in NO_TRAILER]
+    lines = [b"%s: %s\r\n" % pair for pair in headers if pair[0] not in FORBIDDEN_TRAILERS]
     return b"".join([*lines, b"\r\n"])
 
 
-def told_deadline_ms(text: str) -> float:
+def parse_deadline_ms(text: str) -> float:
     """A client's own deadline, in seconds with decimals; BadRequestError where it is none."""
     value = float(text) if DECIMAL.fullmatch(text) else 0.0
     if value <= 0:
--- a/basaltpoint/fronts/http/relay.py
+++ b/basaltpoint/fronts/http/relay.py
@@ -27,8 +27,15 @@
 )
 from basaltpoint.fronts.http import message
 from basaltpoint.fronts.http.connection import ClientConnection
-from basaltpoint.fronts.http.message import BadRequestError, Changes, Headers, Origin, Outgoing, Request
-from basaltpoint.fronts.http.passage import Check, Passage
+from basaltpoint.fronts.http.exchange import HealthCheck, RequestExchange
+from basaltpoint.fronts.http.message import (
+    BadRequestError,
+    Headers,
+    Origin,
+    Request,
+    RequestRewrite,
+    UpstreamRequest,
+)
 from basaltpoint.fronts.shell import EARLY_MS, Shell
 from basaltpoint.fronts.unread import FIRST_S
 from basaltpoint.interface import Effect as Repeats
@@ -43,8 +50,8 @@
 
 log = logging.getLogger(__name__)
 
-MARGIN = 32  # descriptors for the listener, the loop and the log
-SERVER_PART = 0.4  # of the sockets may be connections to servers
+RESERVED_DESCRIPTORS = 32  # descriptors for the listener, the loop and the log
+SERVER_SOCKET_FRACTION = 0.4  # of the sockets may be connections to servers
 
 
 class Relay(Shell):
@@ -66,9 +73,9 @@
         file = setup.file
         self.setup = setup
         self.name = file.name.encode()
-        self.head_limit = file.limits.head_kb * 1024
-        self.buffer = file.limits.buffer_kb * 1024
-        self.closing = False
+        self.max_head_bytes = file.limits.head_kb * 1024
+        self.buffer_bytes = file.limits.buffer_kb * 1024
+        self.is_closing = False
         self.decision_module = DecisionModule(setup.settings, seed)
         self.figures = Figures([cls.name for cls in setup.settings.classes])
         super().__init__(
@@ -77,65 +84,67 @@
             )
         )
         self._origin = self._origin if origin_s is None else origin_s
-        self._joining = PendingConnections()
+        self._pending_connections = PendingConnections()
         self.connections: dict[ClientConnection, None] = {}
-        make = partial(StreamConnection, max_head_bytes=self.head_limit, write_buffer_bytes=self.buffer)
-        most = int((file.limits.sockets - MARGIN) * SERVER_PART)
-        self.most_clients = file.limits.sockets - MARGIN - most
+        make = partial(
+            StreamConnection, max_head_bytes=self.max_head_bytes, write_buffer_bytes=self.buffer_bytes
+        )
+        max_server_sockets = int((file.limits.sockets - RESERVED_DESCRIPTORS) * SERVER_SOCKET_FRACTION)
+        self.max_clients = file.limits.sockets - RESERVED_DESCRIPTORS - max_server_sockets
         up = file.upstream
-        self.servers = ServerConnections(most, up.connect_ms / 1000, up.idle_ms / 1000, make)
-        self._placed: dict[int, ServerSpec] = {}
+        self.servers = ServerConnections(max_server_sockets, up.connect_ms / 1000, up.idle_ms / 1000, make)
+        self._servers_by_number: dict[int, ServerSpec] = {}
         # When a server was first heard of, after the start.
-        self._started = {s.number: started_ms[s.name] for s in setup.servers if s.name in started_ms}
+        self._first_seen_ms = {s.number: started_ms[s.name] for s in setup.servers if s.name in started_ms}
         self._pools: set[int] = set()
-        self._passages: dict[int, Passage] = {}  # that wait for their reply
+        self._exchanges: dict[int, RequestExchange] = {}  # that wait for their reply
         self._attempts: dict[int, StreamAttempt] = {}  # the one that is out, by request
         self._checks = Checks(random.Random(seed))
-        self._checking: asyncio.TimerHandle | None = None
-        self._memory = int(file.limits.memory_mb * (1 << 20))
-        self._held = 0  # bytes of bodies
+        self._check_timer: asyncio.TimerHandle | None = None
+        self._body_memory_bytes = int(file.limits.memory_mb * (1 << 20))
+        self._reserved_bytes = 0  # bytes of bodies
         self.decision_module.started_ms = self.now() - down_ms  # what ceilings have filled since then is sure
         self._apply(setup, first=True)
 
     # --- Configuration -----------------------------------------------------------------------------
-    def apply(self, setup: Setup) -> None:
+    def update_configuration(self, setup: Setup) -> None:
         """Go over to another configuration at once; requests that are out keep what they were taken with."""
         self.figures.update_classes([cls.name for cls in setup.settings.classes])
         self.do(self.table.handle_event(self.now(), api.SettingsChanged(setup.settings)))
         self._apply(setup, first=False)
 
     def _apply(self, setup: Setup, first: bool) -> None:
-        now, before = self.now(), self._placed
+        now, before = self.now(), self._servers_by_number
         self.setup = setup
         up = setup.file.upstream
         self.table.max_attempts = up.attempts
         self.servers.update_settings(up.connect_ms / 1000, up.idle_ms / 1000)
-        self._placed = {spec.number: spec for spec in setup.servers}
+        self._servers_by_number = {spec.number: spec for spec in setup.servers}
         for spec in setup.servers:
             self.servers.update_server(spec.number, spec.address, not spec.drain, spec.connections)
             if spec.number not in before:  # the log's later lines go by number
                 log.info("server %d is %s at %s:%d", spec.number, spec.name, *spec.address)
-            self._started.setdefault(spec.number, 0.0 if first else now)
+            self._first_seen_ms.setdefault(spec.number, 0.0 if first else now)
         pools = set(setup.pools.values())
         for pool in sorted(pools | self._pools):
             members = tuple(self._server(spec) for spec in setup.servers if pool in spec.pools)
             self.do(self.table.handle_event(now, api.ServerList(api.ListKind.FULL, members, pool)))
         self._pools = pools
-        for number in before.keys() - self._placed.keys():
+        for number in before.keys() - self._servers_by_number.keys():
             self.servers.remove_server(number)
-            del self._started[number]
+            del self._first_seen_ms[number]
         rules = {spec.number: spec.probe for spec in setup.servers if spec.probe and not spec.drain}
-        for number in self._checks.listed(now, rules):
+        for number in self._checks.update_servers(now, rules):
             self.do(self.table.handle_event(now, api.HealthCheckResult(number, True)))
         self._arm_checks()
 
     def _server(self, spec: ServerSpec) -> api.Server:
         state = ServerState.DRAINING if spec.drain else ServerState.READY
-        started = self._started[spec.number]
+        started = self._first_seen_ms[spec.number]
         return api.Server(spec.number, spec.zone, 0, state, spec.weight, started)
 
     # --- What clients bring --------------------------------------------------------------------------
-    def admit(self, connection: ClientConnection, request: Request) -> Passage:
+    def admit(self, connection: ClientConnection, request: Request) -> RequestExchange:
         """Route, account and class of a request; BadRequestError where it is answered at once."""
         setup = self.setup
         path = request.path
@@ -149,26 +158,26 @@
         address = client_address(connection.peer, forwarded, setup.trusted)
         account = setup.accounts.account_of(request.fields, address)
         if isinstance(account, UnknownClient):
-            what = "the key is unknown" if account.has_key else "a key is needed"
-            raise BadRequestError(401, what, [(b"WWW-Authenticate", b"Bearer")])
-        if request.length and route.max_body_bytes and request.length > route.max_body_bytes:
+            reason = "the key is unknown" if account.has_key else "a key is needed"
+            raise BadRequestError(401, reason, [(b"WWW-Authenticate", b"Bearer")])
+        if request.body_length and route.max_body_bytes and request.body_length > route.max_body_bytes:
             raise BadRequestError(413, "the body is too long")
-        passage = Passage(self, connection, request, route, account)
-        self._handle(passage)
-        passage.outgoing = self._outgoing(passage)
+        passage = RequestExchange(self, connection, request, route, account)
+        self._apply_class_rules(passage)
+        passage.upstream_request = self._upstream_request(passage)
         return passage
 
-    def _handle(self, passage: Passage) -> None:
+    def _apply_class_rules(self, passage: RequestExchange) -> None:
         """What the class of the route asks for: its key, its client's own deadline."""
-        handling, fields = passage.route.class_rules, passage.request.fields
-        if handling.effect is Repeats.KEYED and not fields.get(handling.key_header):
-            if handling.unkeyed_class is None:
-                raise BadRequestError(400, f"{handling.key_header} is needed here")
-            passage.cls = handling.unkeyed_class
-        if handling.deadline_header and (text := fields.get(handling.deadline_header)):
-            passage.wait_ms = min(passage.wait_ms, message.told_deadline_ms(text))
-
-    def _outgoing(self, passage: Passage) -> Outgoing:
+        class_rules, fields = passage.route.class_rules, passage.request.fields
+        if class_rules.effect is Repeats.KEYED and not fields.get(class_rules.key_header):
+            if class_rules.unkeyed_class is None:
+                raise BadRequestError(400, f"{class_rules.key_header} is needed here")
+            passage.class_number = class_rules.unkeyed_class
+        if class_rules.deadline_header and (text := fields.get(class_rules.deadline_header)):
+            passage.wait_ms = min(passage.wait_ms, message.parse_deadline_ms(text))
+
+    def _upstream_request(self, passage: RequestExchange) -> UpstreamRequest:
         route, request, identity = passage.route, passage.request, self.setup.accounts.identity
         path = route.rewrite.apply(request.path) if route.rewrite else None
         drops = route.drop_headers
@@ -178,15 +187,15 @@
                 drops |= {b"authorization"}
         peer = passage.connection.peer
         trusted = is_trusted(peer, self.setup.trusted)
-        return message.outgoing(
-            request, Origin(peer, self.name, trusted), Changes(path, route.set_headers, drops)
+        return message.upstream_request(
+            request, Origin(peer, self.name, trusted), RequestRewrite(path, route.set_headers, drops)
         )
 
-    def take(self, passage: Passage) -> None:
+    def submit(self, passage: RequestExchange) -> None:
         """Hand a request to the table; from here it gets one answer in time."""
         route, account = passage.route, passage.account
-        ticket = NewRequest(
-            passage.cls,
+        new_request = NewRequest(
+            passage.class_number,
             account.plan,
             account.number,
             route.units,
@@ -195,43 +204,43 @@
             EARLY_MS,
             route.pool,
         )
-        passage.ident, effects = self.table.admit(self.now(), ticket)
-        self._passages[passage.ident] = passage
+        passage.ident, effects = self.table.admit(self.now(), new_request)
+        self._exchanges[passage.ident] = passage
         self.do(effects)
 
-    def abandon(self, passage: Passage) -> None:
+    def client_disconnected(self, passage: RequestExchange) -> None:
         """Its client has gone."""
-        self._passages.pop(passage.ident, None)
+        self._exchanges.pop(passage.ident, None)
         self.do(self.table.client_disconnected(self.now(), passage.ident))
 
-    def hold(self, size: int) -> bool:
+    def reserve_memory(self, size: int) -> bool:
         """Account for so many bytes of bodies; False where the memory has no room for them."""
-        if self._held + size > self._memory:
+        if self._reserved_bytes + size > self._body_memory_bytes:
             return False
-        self._held += size
+        self._reserved_bytes += size
         return True
 
-    def release(self, size: int) -> None:
-        self._held -= size
+    def release_memory(self, size: int) -> None:
+        self._reserved_bytes -= size
 
-    def joined(self, connection: ClientConnection) -> None:
-        if len(self.connections) >= self.most_clients and not self.make_room():
-            connection.cut()
+    def connection_opened(self, connection: ClientConnection) -> None:
+        if len(self.connections) >= self.max_clients and not self.make_room():
+            connection.reset()
             return
         self.connections[connection] = None
 
-    def left(self, connection: ClientConnection) -> None:
+    def connection_closed(self, connection: ClientConnection) -> None:
         self.connections.pop(connection, None)
 
     def has_room(self) -> bool:
         """Whether one more connection may be open."""
-        return len(self.connections) + len(self._joining) < self.most_clients
+        return len(self.connections) + len(self._pending_connections) < self.max_clients
 
     def make_room(self) -> bool:
         """Close the connection that has been between requests for longest; new ones get their turn."""
         since = time.monotonic() - FIRST_S
-        closable = (c for c in self.connections if c.closable(since))
-        idle = min(closable, key=lambda c: c.heard, default=None)
+        closable = (c for c in self.connections if c.can_close(since))
+        idle = min(closable, key=lambda c: c.last_activity_at, default=None)
         if idle is None:
             return False
         del self.connections[idle]
@@ -244,13 +253,13 @@
             case StartAttempt():
                 self._dispatch(effect)
             case StartResponse():
-                if passage := self._passages.get(effect.request):
+                if passage := self._exchanges.get(effect.request):
                     passage.passing = True
             case Reply():
-                if passage := self._passages.pop(effect.request, None):
+                if passage := self._exchanges.pop(effect.request, None):
                     passage.reply(effect)
             case CancelAttempt():
-                self._withdraw(effect)
+                self._cancel(effect)
             case api.CloseIdle():
                 self.servers.close_idle(effect.server)
             case api.Log():
@@ -259,12 +268,12 @@
                 log.error("%s", effect.text)
 
     def _dispatch(self, effect: StartAttempt) -> None:
-        passage = self._passages[effect.request]  # the table sends for no other
+        passage = self._exchanges[effect.request]  # the table sends for no other
         until = self.loop_time(effect.end_by_ms)
         head_only = passage.request.method == b"HEAD"
         ident = effect.request
         attempt = StreamAttempt(
-            passage.message(),
+            passage.upstream_message(),
             until,
             partial(self._ended, ident, passage),
             passage,
@@ -276,42 +285,42 @@
         passage.number = effect.attempt
         self.servers.start_attempt(effect.server, attempt)
 
-    def _ended(self, ident: int, passage: Passage, answer: AttemptResult) -> None:
+    def _ended(self, ident: int, passage: RequestExchange, answer: AttemptResult) -> None:
         self._attempts.pop(ident, None)
-        passage.ended(answer)
+        passage.attempt_ended(answer)
 
-    def ended(self, passage: Passage, status: Status, final: bool) -> None:
+    def attempt_ended(self, passage: RequestExchange, status: Status, final: bool) -> None:
         """An attempt of it is over."""
         self.do(self.table.attempt_ended(self.now(), passage.ident, passage.number, status, is_final=final))
 
-    def _withdraw(self, effect: CancelAttempt) -> None:
+    def _cancel(self, effect: CancelAttempt) -> None:
         if attempt := self._attempts.get(effect.request):
             attempt.cancel()
 
     # --- Active checks -------------------------------------------------------------------------------
     def _arm_checks(self) -> None:
-        if self._checking:
-            self._checking.cancel()
-            self._checking = None
-        if (due := self._checks.next_ms) is not None:
+        if self._check_timer:
+            self._check_timer.cancel()
+            self._check_timer = None
+        if (due := self._checks.next_due_ms) is not None:
             when = self.loop_time(due) + TIMER_RESOLUTION_S
-            self._checking = asyncio.get_running_loop().call_at(when, self._check_due)
+            self._check_timer = asyncio.get_running_loop().call_at(when, self._check_due)
 
     def _check_due(self) -> None:
-        for server in self._checks.due(self.now()):
+        for server in self._checks.start_due(self.now()):
             self._check(server)
         self._arm_checks()
 
     def _check(self, server: int) -> None:
-        health, check = self.setup.file.health, Check()
+        health, check = self.setup.file.health, HealthCheck()
         assert health  # a server has a rule by it alone
-        host, port = self._placed[server].address
+        host, port = self._servers_by_number[server].address
         name = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
         raw = f"GET {health.path} HTTP/1.1\r\nHost: {name}\r\nUser-Agent: {self.setup.file.name}\r\n\r\n"
 
         def ended(answer: AttemptResult) -> None:
-            good = answer.status is Status.OK and check.good
-            if (up := self._checks.heard(self.now(), server, good)) is not None:
+            is_healthy = answer.status is Status.OK and check.is_healthy
+            if (up := self._checks.record_result(self.now(), server, is_healthy)) is not None:
                 log.info("server %d is %s by its checks", server, "up" if up else "down")
                 self.do(self.table.handle_event(self.now(), api.HealthCheckResult(server, up)))
             self._arm_checks()
@@ -320,36 +329,39 @@
         self.servers.start_attempt(server, StreamAttempt(raw.encode(), until, ended, check, False))
 
     # --- What goes with a refusal ----------------------------------------------------------------------
-    def advice(self, passage: Passage, effect: Reply) -> Headers:
+    def refusal_headers(self, passage: RequestExchange, effect: Reply) -> Headers:
         """Retry-After in whole seconds, and the account's standing (draft-ietf-httpapi-ratelimit-headers)."""
         headers: Headers = []
         if effect.result is not RequestResult.REFUSED:
             return headers
         if effect.retry_in_ms > 0:
             headers.append((b"Retry-After", b"%d" % math.ceil(effect.retry_in_ms / 1000)))
-        standing = self.decision_module.quota_status(self.now(), passage.account.number)
-        if standing and effect.reason in (RefusalReason.QUOTA, RefusalReason.CEILING, RefusalReason.PARALLEL):
-            window, full = math.ceil(standing.burst / standing.rate), math.ceil(standing.full_in_ms / 1000)
-            headers.append((b"RateLimit-Policy", b'"quota";q=%d;w=%d' % (standing.burst, window)))
-            headers.append((b"RateLimit", b'"quota";r=%d;t=%d' % (standing.units_left, full)))
+        quota = self.decision_module.quota_status(self.now(), passage.account.number)
+        if quota and effect.reason in (RefusalReason.QUOTA, RefusalReason.CEILING, RefusalReason.PARALLEL):
+            window, full = math.ceil(quota.burst / quota.rate), math.ceil(quota.full_in_ms / 1000)
+            headers.append((b"RateLimit-Policy", b'"quota";q=%d;w=%d' % (quota.burst, window)))
+            headers.append((b"RateLimit", b'"quota";r=%d;t=%d' % (quota.units_left, full)))
         return headers
 
     # --- Bounds in time ------------------------------------------------------------------------------
-    def sweep(self) -> None:
+    def close_stalled(self) -> None:
         """End what stands still: connections, bodies, answers; each would hold its place for good."""
         self.servers.close_expired()
         now, clients = time.monotonic(), self.setup.file.clients
         for connection in list(self.connections):
-            if connection.begun is not None and now - connection.begun > clients.head_s:
+            if connection.head_started_at is not None and now - connection.head_started_at > clients.head_s:
                 connection.time_out("the head does not come whole")
-            elif connection.stuck is not None and now - connection.stuck > clients.stall_s:
+            elif (
+                connection.write_blocked_at is not None
+                and now - connection.write_blocked_at > clients.stall_s
+            ):
                 log.warning("a client at %s has stopped reading its answer", connection.peer)
-                connection.cut()
-            elif connection.waits_for_body and now - connection.heard > clients.stall_s:
+                connection.reset()
+            elif connection.awaits_body and now - connection.last_activity_at > clients.stall_s:
                 connection.time_out("the body does not come whole")
-            elif now - connection.heard > clients.idle_s and connection.closable(now):
+            elif now - connection.last_activity_at > clients.idle_s and connection.can_close(now):
                 connection.close()
-        for passage in list(self._passages.values()):
+        for passage in list(self._exchanges.values()):
             stream = passage.stream
             if (
                 stream
@@ -361,44 +373,48 @@
                 stream.reset()
 
     @property
-    def open(self) -> int:
+    def open_requests(self) -> int:
         """Requests in hand, those whose body is still coming, and those that may be on their way."""
         since = time.monotonic() - FIRST_S
-        at_work = sum(1 for connection in self.connections if not connection.idle or connection.due(since))
-        return at_work + len(self._joining)
+        at_work = sum(
+            1
+            for connection in self.connections
+            if not connection.is_idle or connection.expects_first_request(since)
+        )
+        return at_work + len(self._pending_connections)
 
     @property
     def origin_s(self) -> float:
         """Where the module's clock began, on the machine's monotonic clock."""
         return self._origin
 
-    def started_ms(self) -> dict[str, float]:
+    def first_seen_ms(self) -> dict[str, float]:
         """When each server was first heard of, by the module's clock."""
-        return {spec.name: self._started[spec.number] for spec in self._placed.values()}
+        return {spec.name: self._first_seen_ms[spec.number] for spec in self._servers_by_number.values()}
 
     def adopt(self, sock: socket.socket, unread_since: float | None = None) -> None:
         """Serve a connection that was accepted, here or by another process."""
         sock.setblocking(False)
-        self._joining.attach(sock, ClientConnection(self, sock), lambda: None)
+        self._pending_connections.attach(sock, ClientConnection(self, sock), lambda: None)
 
-    def pass_idle(self, send: Callable[[int], bool]) -> None:
+    def hand_over_idle(self, send: Callable[[int], bool]) -> None:
         """Pass connections between requests on to another process."""
-        for connection in [c for c in self.connections if c.idle]:
-            connection.pass_on(send)
+        for connection in [c for c in self.connections if c.is_idle]:
+            connection.hand_over(send)
 
     def close_idle(self) -> None:
         """Part of a drain: connections go on which no request is lost by it."""
         since = time.monotonic() - FIRST_S
-        for connection in [c for c in self.connections if c.closable(since)]:
+        for connection in [c for c in self.connections if c.can_close(since)]:
             connection.close()
 
     def close(self) -> None:
         """End all that is left."""
         for connection in list(self.connections):
-            connection.cut()
+            connection.reset()
         for attempt in list(self._attempts.values()):
             attempt.cancel()
         self.servers.close()
-        if self._checking:
-            self._checking.cancel()
+        if self._check_timer:
+            self._check_timer.cancel()
         self.disarm()
--- a/basaltpoint/fronts/platform/limiter.py
+++ b/basaltpoint/fronts/platform/limiter.py
@@ -238,7 +238,7 @@
     def lease_changed(self) -> None:
         """Tell the decisions, and the check before each write, until when the list may be acted on."""
         now = monotonic()
-        until = self._lease.until(now) if self._lease else math.inf
+        until = self._lease.expires_at(now) if self._lease else math.inf
         if until > now and not self.started.is_set():
             self.started.set()
         if until == self._lease_until:
--- a/basaltpoint/fronts/platform/listed_servers.py
+++ b/basaltpoint/fronts/platform/listed_servers.py
@@ -13,7 +13,7 @@
 
 from basaltpoint import interface as api
 from basaltpoint.interface import ServerState
-from basaltpoint.membership.hosts import Host, HostList, host_form
+from basaltpoint.membership.hosts import Host, HostList, host_to_json
 from basaltpoint.membership.list_log import ListLog
 from basaltpoint.membership.server_starts import ServerStarts
 from basaltpoint.telemetry import trace
@@ -59,10 +59,10 @@
             hosts = (*self._unnamed(told), *hosts)
         latest = {host.name: host for host in hosts}
         changed = [host for name, host in latest.items() if self.hosts.get(name) != host]
-        self._log.note(monotonic(), told.seq, kind, len(told.hosts), len(changed))
+        self._log.record(monotonic(), told.seq, kind, len(told.hosts), len(changed))
         if trace.enabled:
             for host in changed:
-                trace.event("server %s is %s at %s", host.name, host.state.value, host.dial)
+                trace.event("server %s is %s at %s", host.name, host.state.value, host.address)
         if kind is api.ListKind.CACHED:
             self._apply(changed, kind)
             for name in self.numbers.keys() - self.hosts.keys():  # an older process knew more
@@ -117,7 +117,7 @@
         if (number := self.numbers.get(host.name)) is None:
             number = self.numbers[host.name] = next(self._next_number)
         zone = self._zones.setdefault(host.zone, len(self._zones))
-        self._connections.update_server(number, host.dial, host.state is ServerState.READY)
+        self._connections.update_server(number, host.address, host.state is ServerState.READY)
         started = self.starts.started_ms(host.name, host.born_ms, self._now())
         return api.Server(
             number, zone, host.cell, host.state, host.rating, started, crc32(host.name.encode())
@@ -129,9 +129,9 @@
         self._log.flush(monotonic())
 
     def _look_at_clocks(self) -> None:
-        self.starts.observe(self._now(), time.time() * 1000)
+        self.starts.observe_clocks(self._now(), time.time() * 1000)
 
     def document(self) -> dict[str, Any]:
         """The whole list as discovery writes it."""
-        hosts = [host_form(host) for host in self.hosts.values()]
+        hosts = [host_to_json(host) for host in self.hosts.values()]
         return {"seq": self.version, "whole": True, "hosts": hosts}
--- a/basaltpoint/membership/change_batch.py
+++ b/basaltpoint/membership/change_batch.py
@@ -7,7 +7,7 @@
 
 # In the life of one process. A change back is applied by itself: else a drain would not be seen, nor what it
 # ends: free connections, for one.
-_STAGES = {ServerState.READY: 0, ServerState.DRAINING: 1, ServerState.GONE: 2}
+_LIFECYCLE_ORDER = {ServerState.READY: 0, ServerState.DRAINING: 1, ServerState.GONE: 2}
 
 
 class ChangeBatch:
@@ -17,25 +17,28 @@
         self._hosts: dict[str, Host] = {}
         self._version: int | None = None
 
-    def fits(self, told: HostList) -> bool:
+    def can_merge(self, changes: HostList) -> bool:
         """Whether it may be made one with those held: no server turns back or starts anew."""
-        return not told.whole and all(self._goes_on(host) for host in told.hosts)
+        return not changes.whole and all(self._is_forward(host) for host in changes.hosts)
 
-    def _goes_on(self, host: Host) -> bool:
-        held = self._hosts.get(host.name)
-        if held is None:
+    def _is_forward(self, host: Host) -> bool:
+        earlier = self._hosts.get(host.name)
+        if earlier is None:
             return True
-        return held.born_ms == host.born_ms and _STAGES[held.state] <= _STAGES[host.state]
+        return (
+            earlier.born_ms == host.born_ms
+            and _LIFECYCLE_ORDER[earlier.state] <= _LIFECYCLE_ORDER[host.state]
+        )
 
-    def add(self, told: HostList) -> None:
+    def add(self, changes: HostList) -> None:
         """Take up a list of changes that fits."""
-        self._hosts.update((host.name, host) for host in told.hosts)
-        self._version = told.seq
+        self._hosts.update((host.name, host) for host in changes.hosts)
+        self._version = changes.seq
 
-    def take(self) -> HostList | None:
+    def pop_merged(self) -> HostList | None:
         """One list for all that are held, none of which is held from here on; None where there are none."""
         if self._version is None:
             return None
-        taken = HostList(self._version, False, tuple(self._hosts.values()))
+        merged = HostList(self._version, False, tuple(self._hosts.values()))
         self._hosts, self._version = {}, None
-        return taken
+        return merged
--- a/basaltpoint/membership/hosts.py
+++ b/basaltpoint/membership/hosts.py
@@ -22,7 +22,7 @@
     """A server as discovery tells of it."""
 
     name: str
-    dial: Address
+    address: Address
     zone: str
     cell: int
     state: api.ServerState
@@ -38,35 +38,35 @@
     hosts: tuple[Host, ...]
 
 
-def _finite(value: Any) -> float:
+def _finite_float(value: Any) -> float:
     number = float(value)
     if not math.isfinite(number):
         raise ValueError(f"not finite: {value!r}")
     return number
 
 
-def _host(raw: Any) -> Host:
+def _parse_host(raw: Any) -> Host:
     state, name = STATES[raw["health"]], raw["host"]
     if not isinstance(name, str) or not name:
         raise ValueError(f"no host: {raw!r}")
     return Host(
         name=name,
         # One that left may come without an address: nothing is sent there any more.
-        dial=("", 0) if state is api.ServerState.GONE else parse_address(raw["dial"]),
+        address=("", 0) if state is api.ServerState.GONE else parse_address(raw["dial"]),
         zone=str(raw.get("site", "")),
         cell=int(raw.get("block", 0)),
         state=state,
-        rating=_finite(raw.get("share", 1.0)),
-        born_ms=_finite(raw.get("born_ms", 0)),
+        rating=_finite_float(raw.get("share", 1.0)),
+        born_ms=_finite_float(raw.get("born_ms", 0)),
     )
 
 
-def host_form(host: Host) -> dict[str, Any]:
+def host_to_json(host: Host) -> dict[str, Any]:
     """An entry as discovery writes it."""
-    address = f"[{host.dial[0]}]" if ":" in host.dial[0] else host.dial[0]
+    address = f"[{host.address[0]}]" if ":" in host.address[0] else host.address[0]
     return {
         "host": host.name,
-        "dial": f"{address}:{host.dial[1]}",
+        "dial": f"{address}:{host.address[1]}",
         "site": host.zone,
         "block": host.cell,
         "health": next(name for name, state in STATES.items() if state is host.state),
@@ -86,11 +86,11 @@
     seq = raw.get("seq")
     if isinstance(seq, bool) or not isinstance(seq, int):
         raise ValueError("seq is not a whole number")
-    hosts, sound = [], True
+    hosts, is_complete = [], True
     for entry in raw["hosts"]:
         try:
-            hosts.append(_host(entry))
+            hosts.append(_parse_host(entry))
         except (KeyError, TypeError, ValueError, OverflowError, ConfigError) as error:
             log.warning("discovery: entry of list %d skipped: %r", seq, error)
-            sound = False
-    return HostList(seq, sound and raw.get("whole") is True, tuple(hosts)), sound
+            is_complete = False
+    return HostList(seq, is_complete and raw.get("whole") is True, tuple(hosts)), is_complete
--- a/basaltpoint/membership/lease.py
+++ b/basaltpoint/membership/lease.py
@@ -22,76 +22,88 @@
 
 from basaltpoint.policy.send_rules import MAX_STALL_S
 
-SILENT_S = 6.0  # what a silent watch misses counts as told so long after it fell silent (STANDING)
-MOVED_S = 4.0  # what the new agent has counts as told so long after a change of configuration (STANDING)
-FAILED_CALLS = 4  # times `askWithinMs` a limiter whose call failed need not know of a change (wire's page)
-UNREACHABLE_S = 1.25  # from the first call without a word on. Longer costs what limiters that restart in an
+WATCH_SILENCE_TIMEOUT_S = (
+    6.0  # what a silent watch misses counts as told so long after it fell silent (STANDING)
+)
+AGENT_CHANGE_TIMEOUT_S = (
+    4.0  # what the new agent has counts as told so long after a change of configuration (STANDING)
+)
+FAILED_CALL_INTERVALS = (
+    4  # times `askWithinMs` a limiter whose call failed need not know of a change (wire's page)
+)
+UNREACHABLE_TIMEOUT_S = (
+    1.25  # from the first call without a word on. Longer costs what limiters that restart in an
+)
 # outage do not serve (2.5 s: 0.06 of herd+mass); shorter breaks the rule on drains behind an agent that slow
-BUSY_S = 3.0  # the same where discovery has refused a call: it lives, and may be heard in a moment
-UNREACHABLE_CALLS = 2  # at least so many: one may have been lost on its way
+REFUSED_TIMEOUT_S = 3.0  # the same where discovery has refused a call: it lives, and may be heard in a moment
+MIN_UNREACHABLE_CALLS = 2  # at least so many: one may have been lost on its way
 
 
 class MembershipLease:
     """The lease of one limiter's list of servers; where lists are pushed it begins expired."""
 
-    def __init__(self, now: float, grace_s: float, ask_within_s: float | None = None) -> None:
+    def __init__(self, now: float, drain_grace_s: float, max_poll_interval_s: float | None = None) -> None:
         """`grace_s`: how long after a drain was told requests may still go to its server.
 
         `ask_within_s`: where lists are asked for, how often at least; None where they are pushed.
         """
-        self._allowance_s = max(0.0, grace_s - MAX_STALL_S)
-        asked_for = ask_within_s is not None
-        self._unheard_s = self._allowance_s + (SILENT_S if asked_for else 0.0)
-        self._expires_at = now + min(SILENT_S, FAILED_CALLS * (ask_within_s or 0.0))
-        self._asked_at: float | None = None  # the first call since the last word
+        self._allowance_s = max(0.0, drain_grace_s - MAX_STALL_S)
+        is_polled = max_poll_interval_s is not None
+        self._unwatched_s = self._allowance_s + (WATCH_SILENCE_TIMEOUT_S if is_polled else 0.0)
+        self._expires_at = now + min(
+            WATCH_SILENCE_TIMEOUT_S, FAILED_CALL_INTERVALS * (max_poll_interval_s or 0.0)
+        )
+        self._first_call_at: float | None = None  # the first call since the last word
         self._calls = 0  # since the last word
-        self._refused = False  # one of them, by discovery itself
+        self._was_refused = False  # one of them, by discovery itself
 
-    def until(self, now: float) -> float:
+    def expires_at(self, now: float) -> float:
         """When the lease expires, as things stand; infinite while discovery can't be reached."""
-        return math.inf if self._unreachable(now) else self._expires_at
+        return math.inf if self._is_unreachable(now) else self._expires_at
 
-    def _unreachable(self, now: float) -> bool:
-        if self._asked_at is None or self._calls < UNREACHABLE_CALLS:
+    def _is_unreachable(self, now: float) -> bool:
+        if self._first_call_at is None or self._calls < MIN_UNREACHABLE_CALLS:
             return False
-        return now - self._asked_at >= (BUSY_S if self._refused else UNREACHABLE_S)
+        return now - self._first_call_at >= (
+            REFUSED_TIMEOUT_S if self._was_refused else UNREACHABLE_TIMEOUT_S
+        )
 
     # --- What happens to the watch ---------------------------------------------------------------------
-    def asked(self, now: float) -> None:
+    def call_started(self, now: float) -> None:
         """A call to discovery begins."""
         self._calls += 1
-        if self._asked_at is None:
-            self._asked_at = now
+        if self._first_call_at is None:
+            self._first_call_at = now
 
-    def not_made(self) -> None:
+    def call_failed_locally(self) -> None:
         """The call could not be made by this machine's own trouble: it says nothing of discovery."""
         self._calls -= 1
 
-    def refused(self) -> None:
+    def call_refused(self) -> None:
         """Discovery answered a call with a refusal."""
-        self._refused = True
+        self._was_refused = True
 
-    def cut_off(self) -> None:
+    def closed_by_peer(self) -> None:
         """The other side ended a call that was open: it is there, or is back after an absence.
 
         A machine that was cut off resets what stood open once it returns (protocol page, "The network").
         """
-        self._asked_at, self._calls = None, 0
+        self._first_call_at, self._calls = None, 0
 
-    def spoke(self, now: float) -> None:
+    def partial_list_received(self, now: float) -> None:
         """Part of a list came, and no more: discovery lives, has news, and may be heard in a moment."""
-        self.missing(now)
-        self._asked_at, self._calls, self._refused = None, 0, True
+        self.watch_lost(now)
+        self._first_call_at, self._calls, self._was_refused = None, 0, True
 
-    def renewed(self, now: float) -> None:
+    def renew(self, now: float) -> None:
         """The watch told a list, or that nothing is new."""
-        self._expires_at = now + SILENT_S + self._allowance_s
-        self._asked_at, self._calls, self._refused = None, 0, False
+        self._expires_at = now + WATCH_SILENCE_TIMEOUT_S + self._allowance_s
+        self._first_call_at, self._calls, self._was_refused = None, 0, False
 
-    def missing(self, now: float) -> None:
+    def watch_lost(self, now: float) -> None:
         """From now on a change may go unheard: the watch has ended, or a list has come in part."""
-        self._expires_at = min(self._expires_at, now + self._unheard_s)
+        self._expires_at = min(self._expires_at, now + self._unwatched_s)
 
-    def moved(self, now: float) -> None:
+    def agent_changed(self, now: float) -> None:
         """The configuration names another agent."""
-        self._expires_at = min(self._expires_at, now + MOVED_S + self._allowance_s)
+        self._expires_at = min(self._expires_at, now + AGENT_CHANGE_TIMEOUT_S + self._allowance_s)
--- a/basaltpoint/membership/list_log.py
+++ b/basaltpoint/membership/list_log.py
@@ -9,37 +9,37 @@
 
 log = logging.getLogger(__name__)
 
-APART_S = 1.0  # between two lines
+LOG_INTERVAL_S = 1.0  # between two lines
 
 
 class ListLog:
     """Sums up what lists said since the last line."""
 
     def __init__(self) -> None:
-        self._told_at = -math.inf
-        self._lists = self._named = self._changed = self._version = 0
+        self._logged_at = -math.inf
+        self._lists = self._listed = self._changed = self._version = 0
         self._kind = ListKind.FULL
 
-    def note(self, now_s: float, version: int, kind: ListKind, named: int, changed: int) -> None:
+    def record(self, now_s: float, version: int, kind: ListKind, listed: int, changed: int) -> None:
         """Take a list down; `named` and `changed` are counts of servers."""
         self._lists += 1
-        self._named += named
+        self._listed += listed
         self._changed += changed
         self._version, self._kind = version, kind
         self.flush(now_s)
 
     def flush(self, now_s: float) -> None:
         """Log what was taken down, unless a line was written within the last second."""
-        if not self._lists or now_s < self._told_at + APART_S:
+        if not self._lists or now_s < self._logged_at + LOG_INTERVAL_S:
             return
         lists = f" by {self._lists} lists" if self._lists > 1 else ""
         log.info(
             "servers: version %d (%s), %d named, %d changed%s",
             self._version,
             self._kind.value,
-            self._named,
+            self._listed,
             self._changed,
             lists,
         )
-        self._told_at = now_s
-        self._lists = self._named = self._changed = 0
+        self._logged_at = now_s
+        self._lists = self._listed = self._changed = 0
--- a/basaltpoint/membership/server_starts.py
+++ b/basaltpoint/membership/server_starts.py
@@ -15,11 +15,11 @@
 
 log = logging.getLogger(__name__)
 
-STEP_MS = (
+MIN_STEP_MS = (
     200.0  # a change of the offset by more is a step; clocks that are slewed drift less between two looks
 )
-REMEMBERED = 16  # offsets; older steps concern servers that are warm by now
-AHEAD_MS = 1000.0  # by which a start may seem to lie in the future: clocks of machines differ a little
+MAX_OFFSETS = 16  # offsets; older steps concern servers that are warm by now
+MAX_AHEAD_MS = 1000.0  # by which a start may seem to lie in the future: clocks of machines differ a little
 
 
 class ServerStarts:
@@ -27,7 +27,7 @@
 
     def __init__(self, offset_ms: float) -> None:
         """`offset_ms`: what has to be added to Unix time for this process's clock."""
-        self._offsets = deque([offset_ms], maxlen=REMEMBERED)
+        self._offsets = deque([offset_ms], maxlen=MAX_OFFSETS)
         self._starts: dict[str, tuple[float, float]] = {}  # as told, and as converted then
 
     @property
@@ -35,10 +35,10 @@
         """The latest offset."""
         return self._offsets[-1]
 
-    def observe(self, now_ms: float, wall_ms: float) -> None:
+    def observe_clocks(self, now_ms: float, wall_ms: float) -> None:
         """Look at both clocks at once."""
         offset = now_ms - wall_ms
-        if abs(offset - self._offsets[-1]) > STEP_MS:
+        if abs(offset - self._offsets[-1]) > MIN_STEP_MS:
             log.warning("the wall clock has stepped by %+.3f s", (self._offsets[-1] - offset) / 1000)
             self._offsets.append(offset)
 
@@ -46,12 +46,14 @@
         """When the server started that discovery tells so; 0: long ago."""
         if born_ms <= 0:
             return 0.0
-        told, start = self._starts.get(name, (0.0, 0.0))
-        if told != born_ms:
-            past = [at for at in (born_ms + offset for offset in self._offsets) if at <= now_ms + AHEAD_MS]
-            start = max(past, default=now_ms)
-            self._starts[name] = born_ms, start
-        return start
+        known_born_ms, start_ms = self._starts.get(name, (0.0, 0.0))
+        if known_born_ms != born_ms:
+            candidates = [
+                at for at in (born_ms + offset for offset in self._offsets) if at <= now_ms + MAX_AHEAD_MS
+            ]
+            start_ms = max(candidates, default=now_ms)
+            self._starts[name] = born_ms, start_ms
+        return start_ms
 
     def forget(self, name: str) -> None:
         """The server is gone."""
--- a/tests/standalone.py
+++ b/tests/standalone.py
@@ -14,7 +14,7 @@
 from basaltpoint.daemon.standalone import Standalone
 
 KEY = "a-key-of-the-tests"
-DIGEST = "sha256:" + hashlib.sha256(KEY.encode()).hexdigest()
+KEY_DIGEST = "sha256:" + hashlib.sha256(KEY.encode()).hexdigest()
 
 # Class times beyond the tests' patience: what waits for one of them fails.
 CLASSES = """
@@ -51,7 +51,7 @@
 ) -> str:
     """A file: plan `p` with one account, the classes above, the servers, pools by servers' numbers."""
     parts = [f'listen = "127.0.0.1:0"\n{top}\n{extra}\n[[plan]]\nname = "p"\n{rate}\n']
-    parts.append(f'[[account]]\nname = "one"\nplan = "p"\nkeys = ["{DIGEST}"]\n{classes}')
+    parts.append(f'[[account]]\nname = "one"\nplan = "p"\nkeys = ["{KEY_DIGEST}"]\n{classes}')
     for number, address in enumerate(servers):
         drained = "true" if number in drain else "false"
         parts.append(f'[[server]]\nname = "s{number}"\naddress = "{address}"\ndrain = {drained}\n')
@@ -83,7 +83,7 @@
 """
 
 
-class Rig:
+class StandaloneFixture:
     """The limiter, its file and a way to connect."""
 
     def __init__(self, limiter: Standalone, path: Path) -> None:
@@ -98,22 +98,24 @@
         return self.limiter.reload()
 
     @property
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether nothing is left of any request."""
         relay = self.limiter.relay
         pools = relay.decision_module.pools.values()
-        left = relay.table.requests or relay._passages or relay._attempts or relay.decision_module.requests
-        return not left and not relay._held and all(pool.lane_outstanding == [0, 0] for pool in pools)
+        left = relay.table.requests or relay._exchanges or relay._attempts or relay.decision_module.requests
+        return (
+            not left and not relay._reserved_bytes and all(pool.lane_outstanding == [0, 0] for pool in pools)
+        )
 
 
 @contextlib.asynccontextmanager
-async def standalone(tmp_path: Path, text: str) -> AsyncIterator[Rig]:
+async def standalone(tmp_path: Path, text: str) -> AsyncIterator[StandaloneFixture]:
     path = tmp_path / "limiter.toml"
     path.write_text(text)
     limiter = Standalone(path, seed=1)
     await limiter.start()
     try:
-        yield Rig(limiter, path)
+        yield StandaloneFixture(limiter, path)
     finally:
         await limiter.close()
 
--- a/tests/test_change_batch.py
+++ b/tests/test_change_batch.py
@@ -15,19 +15,19 @@
 ONE = Host("a", ("127.0.0.1", 1), "z", 0, ServerState.READY, 1.0, 0.0)
 
 
-def batches(lists: list[HostList]) -> list[HostList]:
+def merged(lists: list[HostList]) -> list[HostList]:
     """What is applied, in its order, where all of these come together."""
     batch, applied = ChangeBatch(), []
     for told in lists:
-        if not batch.fits(told) and (taken := batch.take()):
+        if not batch.can_merge(told) and (taken := batch.pop_merged()):
             applied.append(taken)
         batch.add(told)
-    if taken := batch.take():
+    if taken := batch.pop_merged():
         applied.append(taken)
     return applied
 
 
-def turns_back(before: Host, after: Host) -> bool:
+def is_backward(before: Host, after: Host) -> bool:
     return STATES.index(after.state) < STATES.index(before.state) or before.born_ms != after.born_ms
 
 
@@ -37,19 +37,19 @@
     for steps in itertools.product(itertools.product(STATES, (1.0, 2.0)), repeat=length):
         told = [ONE._replace(state=state, born_ms=born) for state, born in steps]
         lists = [HostList(number, False, (each,)) for number, each in enumerate(told)]
-        turns = [turns_back(before, after) for before, after in itertools.pairwise(told)] + [True]
-        seen = [hosts.hosts[0] for hosts in batches(lists)]
+        turns = [is_backward(before, after) for before, after in itertools.pairwise(told)] + [True]
+        seen = [hosts.hosts[0] for hosts in merged(lists)]
         assert seen == [each for each, turn in zip(told, turns, strict=True) if turn]
 
 
 def test_changes_of_many_servers_are_one_list() -> None:
     lists = [HostList(n, False, (ONE._replace(name=f"s-{n}"),)) for n in range(500)]
-    [only] = batches(lists)
+    [only] = merged(lists)
     assert only.seq == 499 and len(only.hosts) == 500 and not only.whole
 
 
 def test_a_whole_list_is_never_made_one_with_changes() -> None:
-    assert not ChangeBatch().fits(HostList(1, True, (ONE,)))
+    assert not ChangeBatch().can_merge(HostList(1, True, (ONE,)))
 
 
 def test_a_drain_in_the_middle_of_what_came_together_holds_before_anything_is_sent() -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -27,9 +27,9 @@
 from basaltpoint.interface import ServerState
 from basaltpoint.membership import discovery
 from basaltpoint.membership.backoff import Backoff
-from basaltpoint.membership.discovery import GATHER_S, Watch
+from basaltpoint.membership.discovery import READ_BATCH_DELAY_S, Watch
 from basaltpoint.membership.hosts import HostList, parse_list
-from basaltpoint.membership.objects import BrokenError, Objects
+from basaltpoint.membership.json_stream import JsonObjectStream, MalformedStreamError
 
 
 def test_drain_told_mid_flight() -> None:
@@ -95,7 +95,7 @@
 
 def test_silent_watch(monkeypatch: pytest.MonkeyPatch) -> None:
     """No word within the time of two empty lines: the machine may have vanished."""
-    monkeypatch.setattr(discovery, "SILENCE_S", 0.1)
+    monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 0.1)
 
     async def test() -> None:
         async with agent() as watched, limiter(watched=watched):
@@ -124,21 +124,21 @@
 A, B = host("a", "127.0.0.1:1"), host("b", "127.0.0.1:2")
 
 
-class Told:
+class WatchFixture:
     """A watch's lines without a socket: what it hands on."""
 
     def __init__(self) -> None:
         self.lists: list[HostList] = []
-        self.stream: Any = SimpleNamespace(fresh=True)
+        self.stream: Any = SimpleNamespace(awaits_first_list=True)
         self.watch = Watch(("127.0.0.1", 1), self.lists.append, Backoff(random.Random(1)))
 
-    def line(self, line: object) -> bool:
+    def receive(self, line: object) -> bool:
         raw = line if isinstance(line, bytes) else json.dumps(line).encode()
         try:
-            [told] = Objects().feed(raw)
-        except BrokenError:
+            [told] = JsonObjectStream().feed(raw)
+        except MalformedStreamError:
             return False
-        return self.watch.told(self.stream, told)
+        return self.watch.list_received(self.stream, told)
 
 
 @pytest.mark.parametrize(
@@ -157,9 +157,9 @@
     ],
 )
 def test_malformed_line(line: bytes) -> None:
-    told = Told()
-    assert told.line(listing(3, A, B))
-    assert not told.line(line)  # asked for again
+    told = WatchFixture()
+    assert told.receive(listing(3, A, B))
+    assert not told.receive(line)  # asked for again
     assert (len(told.lists), told.watch.seq) == (1, 3)
 
 
@@ -180,21 +180,21 @@
 )
 def test_malformed_entry(wrong: dict[str, object]) -> None:
     """The others of its list count, but what it leaves out is not gone: it may be that entry."""
-    told = Told()
-    assert not told.line(listing(3, A, {**B, **wrong}))
+    told = WatchFixture()
+    assert not told.receive(listing(3, A, {**B, **wrong}))
     [got] = told.lists
     assert (got.whole, [entry.name for entry in got.hosts]) == (False, ["a"])
     assert told.watch.seq == 0
 
 
 def test_repeats_and_stragglers() -> None:
-    told = Told()
-    told.line(listing(3, A, B))
+    told = WatchFixture()
+    told.receive(listing(3, A, B))
     for old in (listing(3), listing(2), listing(2, {**A, "health": "left"}, whole=False)):
-        assert told.line(old)
+        assert told.receive(old)
     assert len(told.lists) == 1
-    told.stream.fresh = True  # a new watch: its first line, when whole, is where discovery stands
-    told.line(listing(1, A))
+    told.stream.awaits_first_list = True  # a new watch: its first line, when whole, is where discovery stands
+    told.receive(listing(1, A))
     assert (told.watch.seq, len(told.lists)) == (1, 2)
 
 
@@ -251,7 +251,7 @@
                 await old.watches.get()
                 old.tell(listing(41, host("a", one.address)))
                 await until(lambda: rig.watch.seq == 41)
-                rig.watch.move(new.address)
+                rig.watch.set_address(new.address)
                 assert await new.watches.get() == "/discovery/hosts?follow=1&since=0"
                 client = await rig.connect()
                 assert (await client.ask(message("fix", "known"))).code == 200
@@ -265,13 +265,13 @@
 
 def test_moved_while_none_answers(monkeypatch: pytest.MonkeyPatch) -> None:
     """A watch that waits before its next try moves without waiting any longer."""
-    monkeypatch.setattr(Backoff, "wait_s", lambda self: 60.0)
+    monkeypatch.setattr(Backoff, "next_delay_s", lambda self: 60.0)
 
     async def test() -> None:
         async with agent() as new, limiter() as rig:
             task = asyncio.create_task(rig.watch.run())
             await asyncio.sleep(0.05)
-            rig.watch.move(new.address)
+            rig.watch.set_address(new.address)
             await new.watches.get()
             task.cancel()
 
@@ -315,24 +315,24 @@
         ("127.0.0.1", 1),
         lambda told: order.append(f"list {told.seq}, {len(told.hosts)} changed"),
         Backoff(random.Random(1)),
-        on_lease=lambda: order.append("current"),
+        on_lease_change=lambda: order.append("current"),
     )
-    stream: Any = SimpleNamespace(fresh=True)
-    watch.told(stream, listing(3, A))
+    stream: Any = SimpleNamespace(awaits_first_list=True)
+    watch.list_received(stream, listing(3, A))
     for version, entry in enumerate((A, {**A, "health": "leaving"}, B), start=4):
-        watch.told(stream, listing(version, entry, whole=False))
-    watch.read()
+        watch.list_received(stream, listing(version, entry, whole=False))
+    watch.read_finished()
     assert order == ["list 3, 1 changed", "list 6, 2 changed", "current"]
 
 
 def test_an_entry_that_can_not_be_read_keeps_all_that_came_with_it_from_counting_as_current() -> None:
-    told = Told()
+    told = WatchFixture()
     current: list[None] = []
-    told.watch._on_lease = lambda: current.append(None)
-    told.line(listing(3, A))
-    told.line(listing(4, {**A, "health": "leaving"}, whole=False))
-    assert not told.line(listing(5, {**B, "dial": "nowhere"}, whole=False))
-    told.watch.read()
+    told.watch._on_lease_change = lambda: current.append(None)
+    told.receive(listing(3, A))
+    told.receive(listing(4, {**A, "health": "leaving"}, whole=False))
+    assert not told.receive(listing(5, {**B, "dial": "nowhere"}, whole=False))
+    told.watch.read_finished()
     assert [hosts.hosts[0].state for hosts in told.lists[:2]] == [ServerState.READY, ServerState.DRAINING]
     assert not current
 
@@ -355,7 +355,7 @@
                 told.tell(listing(number, host(f"d-{number}", nowhere), whole=False))
                 await asyncio.sleep(0.001)
             await until(lambda: rig.limiter.known_seq == 301)
-            assert len(applied) <= 3 + (time.monotonic() - began) / GATHER_S < 300
+            assert len(applied) <= 3 + (time.monotonic() - began) / READ_BATCH_DELAY_S < 300
             assert sorted(entry.name for lists in applied for entry in lists.hosts) == sorted(
                 f"d-{number}" for number in range(2, 302)
             )
@@ -383,8 +383,8 @@
     """Each byte follows closely on the one before; only the end of a list may be followed by a wait."""
 
     async def test() -> None:
-        told, transport = Told(), SlowTransport()
-        stream = discovery._Stream(told.watch)
+        told, transport = WatchFixture(), SlowTransport()
+        stream = discovery._WatchConnection(told.watch)
         stream.connection_made(transport)  # type: ignore[arg-type]
         raw = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         for version in range(1, 4):
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -13,13 +13,13 @@
 
 from basaltpoint.fronts.http import message
 from basaltpoint.fronts.http.connection import ClientConnection
-from basaltpoint.fronts.http.message import BadRequestError, Changes, Headers, Origin, Request
+from basaltpoint.fronts.http.message import BadRequestError, Headers, Origin, Request, RequestRewrite
 from basaltpoint.interface import Status
 from basaltpoint.upstream.servers import AttemptResult, ServerConnections, UpstreamServer
 from basaltpoint.upstream.streams import StreamAttempt, StreamConnection
 
 
-class Transport:
+class TransportStub:
     """Takes what is written."""
 
     def __init__(self) -> None:
@@ -48,40 +48,40 @@
         return False
 
 
-class Taken:
+class RecordingHandler:
     """A request as the office got it; it is answered once it is whole."""
 
-    def __init__(self, office: Office, connection: ClientConnection, request: Request) -> None:
-        self.office, self.connection, self.request = office, connection, request
+    def __init__(self, owner: OwnerStub, connection: ClientConnection, request: Request) -> None:
+        self.owner, self.connection, self.request = owner, connection, request
         self.body = b""
 
-    def feed(self, piece: bytes) -> None:
+    def body_received(self, piece: bytes) -> None:
         self.body += piece
 
-    def fed(self, trailers: Headers) -> None:
-        one = self.request
-        self.office.taken.append(
-            (one.method, one.target, one.path, tuple(one.raw), self.body, tuple(trailers))
+    def body_completed(self, trailers: Headers) -> None:
+        request = self.request
+        self.owner.received.append(
+            (request.method, request.target, request.path, tuple(request.headers), self.body, tuple(trailers))
         )
-        self.connection.answer(200, "", [], b"ok")
+        self.connection.send_response(200, "", [], b"ok")
 
-    def gone(self) -> None: ...
-    def reading(self, ready: bool) -> None: ...
+    def client_disconnected(self) -> None: ...
+    def client_writable(self, ready: bool) -> None: ...
 
 
-class Office:
-    head_limit = 4096
-    buffer = 65536
-    closing = False
+class OwnerStub:
+    max_head_bytes = 4096
+    buffer_bytes = 65536
+    is_closing = False
 
     def __init__(self) -> None:
-        self.taken: list[Any] = []
+        self.received: list[Any] = []
 
-    def admit(self, connection: ClientConnection, request: Request) -> Taken:
-        return Taken(self, connection, request)
+    def admit(self, connection: ClientConnection, request: Request) -> RecordingHandler:
+        return RecordingHandler(self, connection, request)
 
-    def joined(self, connection: ClientConnection) -> None: ...
-    def left(self, connection: ClientConnection) -> None: ...
+    def connection_opened(self, connection: ClientConnection) -> None: ...
+    def connection_closed(self, connection: ClientConnection) -> None: ...
 
 
 REQUESTS = [
@@ -92,7 +92,7 @@
     b"PUT / HTTP/1.1\r\nhOST: h\r\nX-A:1\r\nX-a: 2\r\nContent-Length: 0\r\n\r\n",
     b"HEAD /last HTTP/1.1\r\nHost: h\r\n\r\n",
 ]
-BAD = [
+BAD_REQUESTS = [
     b"GET /a HTTP/1.1\r\nHost: h\r\nX-Long: " + b"x" * 5000 + b"\r\n\r\n",
     b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
     b"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
@@ -101,11 +101,11 @@
 ]
 
 
-def read(data: bytes, cuts: list[int]) -> tuple[list[Any], bytes]:
+def feed_in_pieces(data: bytes, cuts: list[int]) -> tuple[list[Any], bytes]:
     """What the office took and the client got, the bytes cut where told."""
 
-    async def play() -> tuple[list[Any], bytes]:
-        office, transport = Office(), Transport()
+    async def receive() -> tuple[list[Any], bytes]:
+        office, transport = OwnerStub(), TransportStub()
         sock = socket.socket()
         connection = ClientConnection(office, sock)
         connection.connection_made(transport)  # type: ignore[arg-type]
@@ -117,9 +117,9 @@
         for _ in range(10):
             await asyncio.sleep(0)
         sock.close()
-        return office.taken, transport.written
+        return office.received, transport.written
 
-    return asyncio.run(play())
+    return asyncio.run(receive())
 
 
 CUTS = st.lists(st.integers(0, 1000), max_size=12)
@@ -128,38 +128,38 @@
 @given(st.lists(st.sampled_from(REQUESTS), min_size=1, max_size=5), CUTS)
 def test_requests_are_the_same_however_their_bytes_come(parts: list[bytes], cuts: list[int]) -> None:
     data = b"".join(parts)
-    whole, answers = read(data, [])
-    taken, written = read(data, cuts)
+    whole, answers = feed_in_pieces(data, [])
+    taken, written = feed_in_pieces(data, cuts)
     assert len(whole) == len(parts) and taken == whole and written == answers
     assert answers.count(b"HTTP/1.1 200") == len(parts)
 
 
-@given(st.sampled_from(BAD), CUTS)
+@given(st.sampled_from(BAD_REQUESTS), CUTS)
 def test_a_bad_request_is_bad_however_its_bytes_come(raw: bytes, cuts: list[int]) -> None:
-    taken, written = read(REQUESTS[0] + raw, cuts)
+    taken, written = feed_in_pieces(REQUESTS[0] + raw, cuts)
     assert len(taken) == 1
     assert written.startswith(b"HTTP/1.1 200") and written.count(b"HTTP/1.1 4") == 1
 
 
 # --- Answers ---------------------------------------------------------------------------------------
-class Heard:
+class RecordingReceiver:
     """What an attempt's answer was made of."""
 
     def __init__(self) -> None:
-        self.story: list[Any] = []
+        self.events: list[Any] = []
         self.body = b""
 
     def interim(self, code: int, headers: Headers) -> None:
-        self.story.append((code, tuple(headers)))
+        self.events.append((code, tuple(headers)))
 
     def head(self, code: int, reason: bytes, headers: Headers, length: int | None) -> None:
-        self.story.append((code, reason, tuple(headers), length))
+        self.events.append((code, reason, tuple(headers), length))
 
     def data(self, piece: bytes) -> None:
         self.body += piece
 
     def completed(self, trailers: Headers) -> None:
-        self.story.append(tuple(trailers))
+        self.events.append(tuple(trailers))
 
     def connected(self, stream: StreamConnection) -> None: ...
     def writable(self, ready: bool) -> None: ...
@@ -197,15 +197,15 @@
         left, right = socket.socketpair()
         with left, right:
             connection = StreamConnection(servers, UpstreamServer(("127.0.0.1", 1)), left, 4096, 65536)
-            connection.connection_made(Transport())  # type: ignore[arg-type]
-            heard, ends = Heard(), list[AttemptResult]()
+            connection.connection_made(TransportStub())  # type: ignore[arg-type]
+            heard, ends = RecordingReceiver(), list[AttemptResult]()
             later = asyncio.get_running_loop().time() + 3600
             connection.start(StreamAttempt(b"", later, ends.append, heard, head_only))
             edges = [0, *sorted(cut % (len(raw) + 1) for cut in cuts), len(raw)]
             for start, end in pairwise(edges):
                 if end > start and not ends:
                     connection.data_received(raw[start:end])
-            return heard.story, heard.body, [end.status for end in ends]
+            return heard.events, heard.body, [end.status for end in ends]
 
     return asyncio.run(play())
 
@@ -223,25 +223,27 @@
 
 # --- Heads that go on --------------------------------------------------------------------------------
 def head(raw: Headers, method: bytes = b"GET", target: bytes = b"/a", version: str = "1.1") -> Request:
-    return message.read_request(method, target, version, [(b"host", b"api.test"), *raw])
+    return message.parse_request(method, target, version, [(b"host", b"api.test"), *raw])
 
 
 ORIGIN = Origin("::1", b"here", False)
 
 
 def test_an_absolute_target_goes_on_in_origin_form_and_names_the_host() -> None:
-    request = message.read_request(b"GET", b"http://other.test:81/x?y", "1.1", [(b"host", b"api.test")])
+    request = message.parse_request(b"GET", b"http://other.test:81/x?y", "1.1", [(b"host", b"api.test")])
     assert request.host == "other.test"
-    out = message.outgoing(request, ORIGIN, Changes()).with_body(b"")
+    out = message.upstream_request(request, ORIGIN, RequestRewrite()).with_body(b"")
     assert out.startswith(b"GET /x?y HTTP/1.1\r\nHost: other.test:81\r\n")
     assert b'Forwarded: for="[::1]";proto=http;host="other.test:81"\r\n' in out
 
 
 def test_a_body_is_announced_where_there_may_be_one() -> None:
-    out = message.outgoing(head([], b"POST"), ORIGIN, Changes())
+    out = message.upstream_request(head([], b"POST"), ORIGIN, RequestRewrite())
     assert out.with_body(b"").endswith(b"Content-Length: 0\r\n\r\n")
     assert out.with_stream(None).endswith(b"Transfer-Encoding: chunked\r\n\r\n")
-    assert b"Content-Length" not in message.outgoing(head([]), ORIGIN, Changes()).with_body(b"")
+    assert b"Content-Length" not in message.upstream_request(head([]), ORIGIN, RequestRewrite()).with_body(
+        b""
+    )
 
 
 @pytest.mark.parametrize(
@@ -258,7 +260,7 @@
 def test_a_framing_that_two_readers_could_take_differently(raw: Headers) -> None:
     """Whatever the parser before it makes of these: this is the last word on what goes on."""
     with pytest.raises(BadRequestError):
-        message.framing(raw, "1.1")
+        message.request_body_length(raw, "1.1")
 
 
 TOKENS = st.from_regex(rb"[a-z][a-z-]{0,10}", fullmatch=True)
@@ -271,16 +273,16 @@
         request = head(raw)
     except BadRequestError:
         return
-    out = message.outgoing(request, ORIGIN, Changes()).with_body(b"")
+    out = message.upstream_request(request, ORIGIN, RequestRewrite()).with_body(b"")
     lines = out.split(b"\r\n")[1:-2]
     names = [line.partition(b":")[0].lower() for line in lines]
-    assert not message.HOP_BY_HOP & set(names)
-    named = message.named_hop_by_hop(request.fields.get("connection", ""))
-    assert not {n for n in names if n in named} - message.WAY - message.REBUILT
+    assert not message.HOP_BY_HOP_HEADERS & set(names)
+    named = message.connection_options(request.fields.get("connection", ""))
+    assert not {n for n in names if n in named} - message.WAY - message.REBUILT_HEADERS
     assert names.count(b"host") == names.count(b"via") == names.count(b"x-forwarded-for") == 1
 
 
 @pytest.mark.parametrize("text", ["", "x", "-1", "0", "1e3", "nan", "inf", "1" * 20])
 def test_deadlines_that_are_none(text: str) -> None:
     with pytest.raises(BadRequestError):
-        message.told_deadline_ms(text)
+        message.parse_deadline_ms(text)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -45,7 +45,7 @@
             assert headers["forwarded"] == "for=127.0.0.1;proto=http;host=api.test"
             gone = {"x-mine", "te", "x-api-key", "connection", "content-length"}
             assert not gone & headers.keys()
-            assert rig.quiet
+            assert rig.is_idle
 
     run(test())
 
@@ -168,7 +168,7 @@
                 code, headers = await read_head(old)
                 assert code == 200 and "transfer-encoding" not in headers
                 assert await old.reader.read() == b"abcde"
-            assert rig.quiet
+            assert rig.is_idle
 
     run(test())
 
@@ -230,7 +230,7 @@
             client.send(raw)
             assert (await read_head(client))[0] == code
             assert not server.requests
-            await until(lambda: rig.quiet)
+            await until(lambda: rig.is_idle)
 
     run(test())
 
@@ -266,7 +266,7 @@
             client = await rig.connect()
             answer = await client.ask(request("POST"))
             assert answer.code == 503 and "retry-after" in answer.headers
-            assert rig.quiet
+            assert rig.is_idle
 
     run(test())
 
@@ -343,7 +343,7 @@
             # Within the bound the same request is repeated.
             answer = await client.ask(request("PUT", body=b"y" * 1000, Idempotency_Key="k"))
             assert (answer.code, len(server.requests)) == (503, 4)
-            assert rig.quiet
+            assert rig.is_idle
 
     run(test())
 
@@ -376,13 +376,13 @@
                     await asyncio.wait_for(client.writer.drain(), 0.3)
                     sent += 1
             assert sent < 4000  # 128 MB would not have fit
-            assert rig.limiter.relay._held <= (1 << 20)
+            assert rig.limiter.relay._reserved_bytes <= (1 << 20)
             reading.set()
             client.send(b"0\r\n\r\n")
             await client.writer.drain()
             assert (await client.answer()).body == b"ok"
             assert total >= sent * 0x8000
-            await until(lambda: rig.quiet)
+            await until(lambda: rig.is_idle)
         server.close()
 
     run(test())
@@ -400,7 +400,7 @@
                 client.send(request("POST", Content_Length=None, Transfer_Encoding="chunked"))
                 client.send(b"10000\r\n" + b"z" * 0x10000 + b"\r\n" + b"10000\r\n" + b"z" * 0x10000)
                 assert (await read_head(client))[0] == 413
-                await until(lambda: rig.quiet)
+                await until(lambda: rig.is_idle)
 
     run(test())
 
@@ -430,11 +430,11 @@
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.send(request())
             relay = rig.limiter.relay
-            await until(lambda: any(p.stream and p.stream.is_paused for p in relay._passages.values()))
-            (passage,) = relay._passages.values()
+            await until(lambda: any(p.stream and p.stream.is_paused for p in relay._exchanges.values()))
+            (passage,) = relay._exchanges.values()
             transport = passage.connection._transport
             assert transport and transport.get_write_buffer_size() < 1 << 20
-            await until(lambda: rig.quiet)  # cut off at the bound
+            await until(lambda: rig.is_idle)  # cut off at the bound
             assert flood.sent < 64 << 20  # type: ignore[attr-defined]
         server.close()
 
@@ -461,7 +461,7 @@
                 if got % (1 << 20) < 0x4000:
                     await asyncio.sleep(0.01)
             assert got == 200 * 0x4000
-            await until(lambda: rig.quiet)
+            await until(lambda: rig.is_idle)
 
     run(test())
 
@@ -492,7 +492,7 @@
                 else:  # its end alone would tell that it is whole, so the connection is reset
                     await client.reader.read()
             assert len(server.requests) == 1  # what has begun is never repeated
-            await until(lambda: rig.quiet)
+            await until(lambda: rig.is_idle)
 
     run(test())
 
@@ -510,7 +510,7 @@
                 await read_head(client)
                 with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
                     await client.reader.readexactly(100)
-                await until(lambda: rig.quiet)
+                await until(lambda: rig.is_idle)
 
     run(test())
 
@@ -527,7 +527,7 @@
                     await read_head(client)
                 client.close()
                 await came.closed()
-                await until(lambda: rig.quiet)
+                await until(lambda: rig.is_idle)
 
     run(test())
 
@@ -546,7 +546,7 @@
                     answer = await client.ask(request("POST", X_Wait=header))
                     assert answer.code in (502, 504) and loop.time() - start >= least
                 assert (await client.ask(request("POST", X_Wait="soon"))).code == 400
-                assert rig.quiet and len(server.requests) == 2
+                assert rig.is_idle and len(server.requests) == 2
 
     run(test())
 
@@ -604,7 +604,7 @@
                 assert (await late.answer()).body == b"two"
                 came.reply(body=b"one")  # what was out is finished where it was
                 assert (await client.answer()).body == b"one"
-                assert rig.quiet and len(first.requests) == 1
+                assert rig.is_idle and len(first.requests) == 1
 
     run(test())
 
@@ -719,7 +719,7 @@
             assert (await read_head(half))[0] == 408
             assert (await read_head(body))[0] == 408
             assert await silent.reader.read() == b""
-            await until(lambda: not rig.limiter.relay.connections and rig.quiet)
+            await until(lambda: not rig.limiter.relay.connections and rig.is_idle)
 
     run(test())
 
@@ -729,7 +729,7 @@
         text = config("PLACE", extra="[limits]\nsockets = 64\n")
         async with backend(echo) as server:
             async with standalone(tmp_path, text.replace("PLACE", server.address)) as rig:
-                most = rig.limiter.relay.most_clients
+                most = rig.limiter.relay.max_clients
                 clients = [await rig.connect() for _ in range(most + 5)]
                 assert (await clients[-1].ask(request())).code == 200
                 assert len(rig.limiter.relay.connections) <= most
@@ -809,7 +809,7 @@
             def fail(*_: object) -> None:
                 raise RuntimeError("a fault of this program")
 
-            for name in ("take", "begun"):
+            for name in ("submit", "begun"):
                 good = getattr(relay, name)
                 setattr(relay, name, fail)
                 client = await rig.connect()
--- a/tests/test_incident_drain_after_restart.py
+++ b/tests/test_incident_drain_after_restart.py
@@ -20,7 +20,7 @@
 from basaltpoint.standins.discovery import Agent, Registry
 
 GRACE_S = 0.25 + 0.05  # the settings' drainGraceMs, and the protocol page's slack
-SLOW_S = 0.9  # until the agent's first word: the machine is busy, or the agent is
+FIRST_RESPONSE_DELAY_S = 0.9  # until the agent's first word: the machine is busy, or the agent is
 
 
 class Arrivals:
@@ -38,7 +38,7 @@
 
 
 @contextlib.asynccontextmanager
-async def asked_without_pause(limiter: LimiterProcess) -> AsyncIterator[None]:
+async def continuous_requests(limiter: LimiterProcess) -> AsyncIterator[None]:
     """A client that asks again and again, over a new connection where the old one has gone."""
     numbers = itertools.count()
 
@@ -57,10 +57,10 @@
         task.cancel()
 
 
-Story = Callable[[LimiterProcess, Agent, Registry, Arrivals, Arrivals, Backend], Awaitable[None]]
+Scenario = Callable[[LimiterProcess, Agent, Registry, Arrivals, Arrivals, Backend], Awaitable[None]]
 
 
-def play(path: Path, story: Story) -> None:
+def run_scenario(path: Path, story: Scenario) -> None:
     async def test() -> None:
         first, second, limiter = Arrivals(), Arrivals(), LimiterProcess(path)
         async with backend(first.answer) as one, backend(second.answer) as two:
@@ -70,7 +70,7 @@
             try:
                 await limiter.start(agent.address, registry.known_at(1))
                 await limiter.up()
-                async with asked_without_pause(limiter):
+                async with continuous_requests(limiter):
                     await until(lambda: len(first.at) > 5 and len(second.at) > 5)
                     await story(limiter, agent, registry, first, second, one)
             finally:
@@ -96,14 +96,14 @@
         await limiter.kill()
         registry.change(host("a", one.address, "leaving"))
         await until(lambda: agent.version == 2)
-        agent.faults.first_word_s = (SLOW_S, SLOW_S)
+        agent.faults.first_word_s = (FIRST_RESPONSE_DELAY_S, FIRST_RESPONSE_DELAY_S)
         await limiter.start(agent.address, registry.known_at(1))
-        await asyncio.sleep(SLOW_S + 0.5)  # past the agent's first word
+        await asyncio.sleep(FIRST_RESPONSE_DELAY_S + 0.5)  # past the agent's first word
         served = len(second.at)
         await until(lambda: len(second.at) > served + 5)
         assert first.after(limiter.started_at + GRACE_S) == []
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, story)
 
 
 def test_a_limiter_whose_watch_was_reset_sends_nothing_to_a_server_that_began_to_drain_meanwhile(
@@ -119,14 +119,14 @@
         second: Arrivals,
         one: Backend,
     ) -> None:
-        agent.faults.first_word_s = (SLOW_S, SLOW_S)
+        agent.faults.first_word_s = (FIRST_RESPONSE_DELAY_S, FIRST_RESPONSE_DELAY_S)
         agent.reset_watches()
         registry.change(host("a", one.address, "leaving"))
         await until(lambda: agent.version == 2)
         told = agent.told[-1][0]
-        await asyncio.sleep(SLOW_S + 0.5)
+        await asyncio.sleep(FIRST_RESPONSE_DELAY_S + 0.5)
         served = len(second.at)
         await until(lambda: len(second.at) > served + 5)
         assert first.after(told + GRACE_S) == []
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, story)
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -112,7 +112,7 @@
             assert not rig.limiter.listed_servers._new and len(events) >= 2
             hosts = rig.limiter.listed_servers.hosts
             assert hosts["s-3000"].state is ServerState.DRAINING
-            assert "s-3001" not in hosts and "{}:{}".format(*hosts["s-3002"].dial) == elsewhere
+            assert "s-3001" not in hosts and "{}:{}".format(*hosts["s-3002"].address) == elsewhere
             assert len(rig.limiter.decision_module.pools[0].servers.ready) == MANY + 1 - 2
             assert len(rig.limiter.listed_servers.numbers) == MANY + 1 - 1
 
--- a/tests/test_load_run.py
+++ b/tests/test_load_run.py
@@ -140,7 +140,7 @@
             rig.reload(config(*addresses, rate="rate = 150\nburst = 100", drain=(0,)))
             told = asyncio.get_running_loop().time()
             stats = await task
-            assert rig.quiet
+            assert rig.is_idle
         for server, log in zip(servers, logs, strict=True):
             server.stop()
             log.close()
--- a/tests/test_membership_lease.py
+++ b/tests/test_membership_lease.py
@@ -47,91 +47,95 @@
 # --- The machine ----------------------------------------------------------------------------------
 def test_a_start_holds_no_lease_until_the_first_word() -> None:
     made = MembershipLease(10.0, GRACE_S)
-    assert made.until(10.0) <= 10.0
-    made.asked(10.1)
-    assert made.until(10.2) <= 10.2
-    made.renewed(10.3)
-    assert made.until(10.3) > 10.3
+    assert made.expires_at(10.0) <= 10.0
+    made.call_started(10.1)
+    assert made.expires_at(10.2) <= 10.2
+    made.renew(10.3)
+    assert made.expires_at(10.3) > 10.3
 
 
 def test_a_watch_that_ends_leaves_the_grace_less_a_stall() -> None:
     made = MembershipLease(0.0, GRACE_S)
-    made.renewed(1.0)
-    made.missing(2.0)
-    assert made.until(2.0) == pytest.approx(2.0 + ALLOWED_S)
-    made.missing(5.0)  # a later break makes nothing good
-    assert made.until(5.0) == pytest.approx(2.0 + ALLOWED_S)
+    made.renew(1.0)
+    made.watch_lost(2.0)
+    assert made.expires_at(2.0) == pytest.approx(2.0 + ALLOWED_S)
+    made.watch_lost(5.0)  # a later break makes nothing good
+    assert made.expires_at(5.0) == pytest.approx(2.0 + ALLOWED_S)
 
 
 def test_a_grace_shorter_than_a_stall_leaves_nothing() -> None:
     made = MembershipLease(0.0, 0.1)
-    made.renewed(1.0)
-    made.missing(2.0)
-    assert made.until(2.0) == 2.0
+    made.renew(1.0)
+    made.watch_lost(2.0)
+    assert made.expires_at(2.0) == 2.0
 
 
 def test_silence_is_borne_until_what_it_hides_counts_as_told() -> None:
     made = MembershipLease(0.0, GRACE_S)
-    made.renewed(1.0)
-    assert made.until(6.9) == pytest.approx(1.0 + lease.SILENT_S + ALLOWED_S)
+    made.renew(1.0)
+    assert made.expires_at(6.9) == pytest.approx(1.0 + lease.WATCH_SILENCE_TIMEOUT_S + ALLOWED_S)
 
 
 def test_another_agent_must_speak_within_the_time_of_a_new_configuration() -> None:
     made = MembershipLease(0.0, GRACE_S)
-    made.renewed(1.0)
-    made.moved(1.5)
-    made.moved(3.0)  # in quick succession: the first one's time stands
-    assert made.until(3.0) == pytest.approx(1.5 + lease.MOVED_S + ALLOWED_S)
+    made.renew(1.0)
+    made.agent_changed(1.5)
+    made.agent_changed(3.0)  # in quick succession: the first one's time stands
+    assert made.expires_at(3.0) == pytest.approx(1.5 + lease.AGENT_CHANGE_TIMEOUT_S + ALLOWED_S)
 
 
 def test_without_a_word_on_several_calls_discovery_counts_as_away() -> None:
     """Fail static: nobody is told anything, so what is known is served on."""
     made = MembershipLease(0.0, GRACE_S)
-    made.asked(0.0)
-    assert made.until(60.0) <= 60.0  # a single call may have been lost
-    made.asked(0.6)
-    assert made.until(lease.UNREACHABLE_S - 0.01) < lease.UNREACHABLE_S
-    assert made.until(lease.UNREACHABLE_S) == math.inf
-    made.renewed(20.0)
-    assert made.until(20.0) == pytest.approx(20.0 + lease.SILENT_S + ALLOWED_S)
+    made.call_started(0.0)
+    assert made.expires_at(60.0) <= 60.0  # a single call may have been lost
+    made.call_started(0.6)
+    assert made.expires_at(lease.UNREACHABLE_TIMEOUT_S - 0.01) < lease.UNREACHABLE_TIMEOUT_S
+    assert made.expires_at(lease.UNREACHABLE_TIMEOUT_S) == math.inf
+    made.renew(20.0)
+    assert made.expires_at(20.0) == pytest.approx(20.0 + lease.WATCH_SILENCE_TIMEOUT_S + ALLOWED_S)
 
 
 def test_a_refusal_is_a_sign_of_life() -> None:
     made = MembershipLease(0.0, GRACE_S)
     for at in (0.0, 0.2, 0.6, 1.2):
-        made.asked(at)
-        made.refused()
-    assert made.until(lease.UNREACHABLE_S) < lease.UNREACHABLE_S
-    assert made.until(lease.BUSY_S) == math.inf
+        made.call_started(at)
+        made.call_refused()
+    assert made.expires_at(lease.UNREACHABLE_TIMEOUT_S) < lease.UNREACHABLE_TIMEOUT_S
+    assert made.expires_at(lease.REFUSED_TIMEOUT_S) == math.inf
 
 
 def test_half_a_list_ends_an_absence_and_is_a_sign_of_life() -> None:
     """Discovery is back and has news, though the calls behind that list fail (soak with failing calls)."""
     made = MembershipLease(0.0, GRACE_S)
     for at in (0.0, 0.5, 1.5):
-        made.asked(at)
-    assert made.until(2.0) == math.inf
-    made.spoke(5.0)
-    assert made.until(5.0) <= 5.0
-    made.asked(6.0)
-    made.asked(6.1)
-    assert made.until(6.0 + lease.UNREACHABLE_S) <= 6.0
-    assert made.until(6.0 + lease.BUSY_S) == math.inf
-    made.renewed(10.0)
-    assert made.until(10.0) == pytest.approx(10.0 + lease.SILENT_S + ALLOWED_S)
+        made.call_started(at)
+    assert made.expires_at(2.0) == math.inf
+    made.partial_list_received(5.0)
+    assert made.expires_at(5.0) <= 5.0
+    made.call_started(6.0)
+    made.call_started(6.1)
+    assert made.expires_at(6.0 + lease.UNREACHABLE_TIMEOUT_S) <= 6.0
+    assert made.expires_at(6.0 + lease.REFUSED_TIMEOUT_S) == math.inf
+    made.renew(10.0)
+    assert made.expires_at(10.0) == pytest.approx(10.0 + lease.WATCH_SILENCE_TIMEOUT_S + ALLOWED_S)
 
 
 def test_where_lists_are_asked_for_a_crowded_discovery_is_borne() -> None:
     """A change counts as told when it was written: one that keeps asking acts on what it knows."""
     made = MembershipLease(10.0, GRACE_S, 0.5)
-    assert made.until(10.0) == pytest.approx(12.0)
-    made.renewed(11.0)
-    made.missing(12.0)
-    assert made.until(12.0) == pytest.approx(12.0 + 5.0 + ALLOWED_S)  # of the silence that may have begun
-    made.renewed(20.0)
-    made.missing(20.0)
-    assert made.until(20.0) == pytest.approx(20.0 + lease.SILENT_S + ALLOWED_S)
-    assert MembershipLease(10.0, GRACE_S, 60.0).until(10.0) == pytest.approx(10.0 + lease.SILENT_S)
+    assert made.expires_at(10.0) == pytest.approx(12.0)
+    made.renew(11.0)
+    made.watch_lost(12.0)
+    assert made.expires_at(12.0) == pytest.approx(
+        12.0 + 5.0 + ALLOWED_S
+    )  # of the silence that may have begun
+    made.renew(20.0)
+    made.watch_lost(20.0)
+    assert made.expires_at(20.0) == pytest.approx(20.0 + lease.WATCH_SILENCE_TIMEOUT_S + ALLOWED_S)
+    assert MembershipLease(10.0, GRACE_S, 60.0).expires_at(10.0) == pytest.approx(
+        10.0 + lease.WATCH_SILENCE_TIMEOUT_S
+    )
 
 
 def test_whatever_happens_no_lease_outlives_what_may_have_been_missed() -> None:
@@ -143,19 +147,19 @@
             now += rng.choice([0.01, 0.1, 0.5, 2.0])
             what = rng.randrange(5)
             if what == 0:
-                made.renewed(now)
-                bound = now + lease.SILENT_S + ALLOWED_S
+                made.renew(now)
+                bound = now + lease.WATCH_SILENCE_TIMEOUT_S + ALLOWED_S
             elif what == 1:
-                made.missing(now)
+                made.watch_lost(now)
                 bound = min(bound, now + ALLOWED_S)
             elif what == 2:
-                made.moved(now)
-                bound = min(bound, now + lease.MOVED_S + ALLOWED_S)
+                made.agent_changed(now)
+                bound = min(bound, now + lease.AGENT_CHANGE_TIMEOUT_S + ALLOWED_S)
             elif what == 3:
-                made.asked(now)
+                made.call_started(now)
             else:
-                made.refused()
-            until_s = made.until(now)
+                made.call_refused()
+            until_s = made.expires_at(now)
             assert until_s == math.inf or until_s <= bound + 1e-9, f"seed {seed}"
 
 
@@ -224,7 +228,7 @@
 
     async def serves(self) -> None:
         """Requests are answered, by the second server alone."""
-        await until(lambda: self.rig.lease.until(monotonic()) > monotonic())
+        await until(lambda: self.rig.lease.expires_at(monotonic()) > monotonic())
         sent = len(self.one.requests)
         for _ in range(5):
             assert await self.code() == 200
@@ -284,11 +288,11 @@
 
 async def lapsed(made: Scene) -> None:
     """Wait until the lease is over."""
-    await until(lambda: made.rig.lease.until(monotonic()) <= monotonic())
+    await until(lambda: made.rig.lease.expires_at(monotonic()) <= monotonic())
 
 
 async def confirmed(made: Scene) -> None:
-    await until(lambda: made.rig.lease.until(monotonic()) > monotonic())
+    await until(lambda: made.rig.lease.expires_at(monotonic()) > monotonic())
 
 
 def test_an_empty_line_ahead_of_the_first_list_confirms_nothing() -> None:
@@ -296,14 +300,14 @@
 
     async def story(made: Scene) -> None:
         await confirmed(made)
-        stream = discovery._Stream(made.rig.watch)
-        made.rig.lease.missing(0.0)
+        stream = discovery._WatchConnection(made.rig.watch)
+        made.rig.lease.watch_lost(0.0)
         made.rig.limiter.lease_changed()
-        stream.heard = stream.asked
-        made.rig.watch.heard(stream, True)
+        stream.last_received_at = stream.requested_at
+        made.rig.watch.data_received(stream, True)
         await made.holds_back()
-        stream.heard = stream.asked + 2.0  # as the agent writes while nothing changes
-        made.rig.watch.heard(stream, True)
+        stream.last_received_at = stream.requested_at + 2.0  # as the agent writes while nothing changes
+        made.rig.watch.data_received(stream, True)
         assert await made.code() == 200
 
     play(story)
@@ -325,7 +329,7 @@
 
 def test_a_list_that_has_come_in_part(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its other half may tell of a drain: it counts as told."""
-    monkeypatch.setattr(discovery, "WHOLE_S", 0.5)
+    monkeypatch.setattr(discovery, "LIST_TIMEOUT_S", 0.5)
 
     async def story(made: Scene) -> None:
         await confirmed(made)
@@ -358,7 +362,7 @@
         await lapsed(made)
         await made.holds_back()
         # Discovery lives: with silence alone it would count as away by now.
-        await asyncio.sleep(lease.UNREACHABLE_S)
+        await asyncio.sleep(lease.UNREACHABLE_TIMEOUT_S)
         await made.holds_back()
         made.agent.faults.status = 200
         await made.serves()
@@ -383,7 +387,7 @@
         made.agent.reset_watches()
         await made.drain()
         await lapsed(made)
-        await asyncio.sleep(lease.UNREACHABLE_S + 0.3)
+        await asyncio.sleep(lease.UNREACHABLE_TIMEOUT_S + 0.3)
         await made.holds_back()
         loop.create_connection = connect  # type: ignore[method-assign]
         await made.serves()
@@ -393,8 +397,8 @@
 
 def test_a_silent_watch(monkeypatch: pytest.MonkeyPatch) -> None:
     """What it misses counts as told 6 s after the silence began, here 0.5 s; a second call is refused."""
-    monkeypatch.setattr(lease, "SILENT_S", 0.5)
-    monkeypatch.setattr(discovery, "SILENCE_S", 0.2)
+    monkeypatch.setattr(lease, "WATCH_SILENCE_TIMEOUT_S", 0.5)
+    monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 0.2)
 
     async def story(made: Scene) -> None:
         await confirmed(made)
@@ -411,14 +415,14 @@
 
 def test_another_agent_that_does_not_speak(monkeypatch: pytest.MonkeyPatch) -> None:
     """After a new configuration the news of its agent counts 4 s later, here 0.3 s."""
-    monkeypatch.setattr(lease, "MOVED_S", 0.3)
+    monkeypatch.setattr(lease, "AGENT_CHANGE_TIMEOUT_S", 0.3)
 
     async def story(made: Scene) -> None:
         await confirmed(made)
         other = Agent(made.agent.registry, random.Random(2))
         other.faults.status = 503
         await other.start()
-        made.rig.watch.move(other.address)
+        made.rig.watch.set_address(other.address)
         await made.drain()
         await lapsed(made)
         await made.holds_back()
@@ -434,7 +438,7 @@
 
     async def story(made: Scene) -> None:
         await made.agent.stop()
-        made.rig.watch.move(parse_address(unused_address()))
+        made.rig.watch.set_address(parse_address(unused_address()))
         await until(lambda: made.rig.limiter.ready)
         for _ in range(3):
             assert await made.code() == 200
@@ -482,7 +486,7 @@
 
 def test_calls_that_are_reset_end_an_absence(monkeypatch: pytest.MonkeyPatch) -> None:
     """A machine that is back resets what stood open (protocol page): its news counts at once."""
-    monkeypatch.setattr(discovery, "SILENCE_S", 0.4)
+    monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 0.4)
 
     async def story(made: Scene) -> None:
         await confirmed(made)
@@ -504,18 +508,18 @@
 
 def test_a_call_that_is_reset_beside_a_watch_that_speaks_changes_nothing() -> None:
     made = MembershipLease(0.0, GRACE_S)
-    made.renewed(1.0)
-    made.cut_off()
-    assert made.until(1.5) == pytest.approx(1.0 + lease.SILENT_S + ALLOWED_S)
+    made.renew(1.0)
+    made.closed_by_peer()
+    assert made.expires_at(1.5) == pytest.approx(1.0 + lease.WATCH_SILENCE_TIMEOUT_S + ALLOWED_S)
 
 
 def test_an_absence_after_a_reset_takes_a_new_row_of_calls() -> None:
     made = MembershipLease(0.0, GRACE_S)
     for at in (0.0, 0.6, 1.2):
-        made.asked(at)
-    assert made.until(2.0) == math.inf
-    made.cut_off()
-    assert made.until(2.0) <= 2.0
-    made.asked(3.0)
-    made.asked(3.5)
-    assert made.until(3.0 + lease.UNREACHABLE_S) == math.inf
+        made.call_started(at)
+    assert made.expires_at(2.0) == math.inf
+    made.closed_by_peer()
+    assert made.expires_at(2.0) <= 2.0
+    made.call_started(3.0)
+    made.call_started(3.5)
+    assert made.expires_at(3.0 + lease.UNREACHABLE_TIMEOUT_S) == math.inf
--- a/tests/test_moments_lists.py
+++ b/tests/test_moments_lists.py
@@ -15,7 +15,7 @@
 
 from basaltpoint.membership import discovery
 from basaltpoint.membership.backoff import Backoff
-from basaltpoint.membership.objects import LONGEST, BrokenError, Objects
+from basaltpoint.membership.json_stream import MAX_OBJECT_BYTES, JsonObjectStream, MalformedStreamError
 
 TOLD = listing(7, host('a"}{\\', "127.0.0.1:1"), host("b\n{", "127.0.0.1:2", "leaving"))
 FORMS = {
@@ -32,20 +32,20 @@
 @pytest.mark.parametrize("form", FORMS)
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 64, 1 << 20])
 def test_an_object_is_found_however_it_is_cut(form: str, size: int) -> None:
-    raw, objects, found = FORMS[form], Objects(), list[Any]()
+    raw, objects, found = FORMS[form], JsonObjectStream(), list[Any]()
     for start in range(0, len(raw), size):
         found += objects.feed(raw[start : start + size])
     assert found == [TOLD] * (2 if "two" in form else 1)
     assert list(objects.feed(b"\r\n \n")) == []
-    assert not objects.unfinished
+    assert not objects.has_partial_object
 
 
 def test_any_cut_into_pieces() -> None:
     """The same objects at random cuts; seeds tell a failure."""
     raw = b"\n".join(FORMS.values())
-    whole = list(Objects().feed(raw))
+    whole = list(JsonObjectStream().feed(raw))
     for seed in range(200):
-        rng, objects, found, at = random.Random(seed), Objects(), list[Any](), 0
+        rng, objects, found, at = random.Random(seed), JsonObjectStream(), list[Any](), 0
         while at < len(raw):
             size = rng.randrange(1, 400)
             found += objects.feed(raw[at : at + size])
@@ -56,13 +56,13 @@
 @pytest.mark.parametrize("junk", [b"nonsense\n", b"[1]\n", b"}\n", b'"text"\n', b"\xff\n", b"{}]"])
 def test_what_is_no_object_is_refused_where_it_stands(junk: bytes) -> None:
     with pytest.raises(ValueError, match="not an object"):
-        list(Objects().feed(b"\n" + junk))
+        list(JsonObjectStream().feed(b"\n" + junk))
 
 
 def test_an_object_without_end_is_refused() -> None:
-    objects = Objects()
+    objects = JsonObjectStream()
     with pytest.raises(ValueError, match="over"):
-        for _ in range(LONGEST // 65536 + 2):
+        for _ in range(MAX_OBJECT_BYTES // 65536 + 2):
             list(objects.feed(b'{"a":"' + b"x" * 65530))
 
 
@@ -70,29 +70,29 @@
     """Wherever it was cut: never is the next one swallowed, nor taken for the rest of it."""
     for form in ("indented", "one line"):
         for size in range(1, len(FORMS[form]) - 3):
-            objects = Objects()
-            with pytest.raises(BrokenError):
+            objects = JsonObjectStream()
+            with pytest.raises(MalformedStreamError):
                 list(objects.feed(FORMS[form][:size]))
                 list(objects.feed(b"\n" + FORMS["one line"]))
 
 
 def test_what_came_whole_before_the_break_counts() -> None:
     """In one piece with it, too."""
-    found = Objects().feed(FORMS["indented"] + b"nonsense\n")
+    found = JsonObjectStream().feed(FORMS["indented"] + b"nonsense\n")
     assert next(found) == TOLD
-    with pytest.raises(BrokenError, match="not an object"):
+    with pytest.raises(MalformedStreamError, match="not an object"):
         next(found)
 
 
 def test_the_time_taken_is_linear_in_the_length() -> None:
     """Counted in bytes looked at: one chunk of a byte each must not start from the front each time."""
     hosts = [host(f"s-{n}", "127.0.0.1:1") for n in range(2000)]
-    raw, objects = json.dumps(listing(1, *hosts), indent=1).encode(), Objects()
+    raw, objects = json.dumps(listing(1, *hosts), indent=1).encode(), JsonObjectStream()
     seen = 0
     for start in range(0, len(raw), 100):
-        at = objects._at
+        at = objects._scanned
         list(objects.feed(raw[start : start + 100]))
-        seen += max(0, objects._at - at)
+        seen += max(0, objects._scanned - at)
     assert seen <= len(raw)
 
 
@@ -116,7 +116,7 @@
                 assert await old.watches.get() == "/discovery/hosts?follow=1&since=3"
                 old.tell(spread(listing(4, host("b", "127.0.0.1:2", "leaving"), whole=False)))
                 await until(lambda: rig.watch.seq == 4)
-                rig.watch.move(new.address)
+                rig.watch.set_address(new.address)
                 await new.watches.get()
                 in_pieces(new, spread(listing(2, host("c", "127.0.0.1:3"))))
                 await until(lambda: rig.watch.seq == 2)
@@ -127,7 +127,7 @@
 
 def test_a_list_that_stops_half_way_is_asked_for_anew(monkeypatch: pytest.MonkeyPatch) -> None:
     """Though empty lines go on coming: a drain in its other half would be overheard for good."""
-    monkeypatch.setattr(discovery, "WHOLE_S", 0.05)
+    monkeypatch.setattr(discovery, "LIST_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with agent() as watched, limiter(host("a", "127.0.0.1:1"), watched=watched) as rig:
@@ -155,8 +155,8 @@
         waits: list[int] = []
 
         class Noting(Backoff):
-            def wait_s(self) -> float:
-                waits.append(self._failed)
+            def next_delay_s(self) -> float:
+                waits.append(self._failures)
                 return 0.0
 
         async with agent() as watched, limiter(host("a", "127.0.0.1:1"), watched=watched) as rig:
@@ -164,7 +164,7 @@
             await watched.watches.get()
             for _ in range(4):
                 watched.tell(b"\n")
-                await until(lambda: rig.watch._backoff._failed == 0)
+                await until(lambda: rig.watch._backoff._failures == 0)
                 watched.cut()
                 await watched.watches.get()
             assert waits == [0] * 4
@@ -200,12 +200,12 @@
 
 
 # --- Two watches at once ----------------------------------------------------------------------------------
-class Silent:
+class SilentAgent:
     """An agent that says nothing by itself: each call that is asked of it can be answered by hand."""
 
     def __init__(self) -> None:
         self.calls: asyncio.Queue[asyncio.StreamWriter] = asyncio.Queue()
-        self.left: list[asyncio.StreamWriter] = []  # by the limiter
+        self.disconnected: list[asyncio.StreamWriter] = []  # by the limiter
         self.address = ("", 0)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -213,18 +213,18 @@
         self.calls.put_nowait(writer)
         with contextlib.suppress(ConnectionError):
             await reader.read()
-        self.left.append(writer)
+        self.disconnected.append(writer)
 
-    def answer(self, call: asyncio.StreamWriter, told: dict[str, Any], status: str = "200 OK") -> None:
+    def answer(self, call: asyncio.StreamWriter, host_list: dict[str, Any], status: str = "200 OK") -> None:
         head = f"HTTP/1.1 {status}\r\nTransfer-Encoding: chunked\r\n\r\n".encode()
-        raw = json.dumps(told).encode() + b"\n"
+        raw = json.dumps(host_list).encode() + b"\n"
         call.write(head + b"%x\r\n%s\r\n" % (len(raw), raw))
 
 
 @contextlib.asynccontextmanager
-async def silent(rig: Any) -> AsyncIterator[Silent]:
+async def silent_agent(rig: Any) -> AsyncIterator[SilentAgent]:
     """A limiter that asks such an agent."""
-    made = Silent()
+    made = SilentAgent()
     server = await asyncio.start_server(made._serve, "127.0.0.1", 0)
     made.address = rig.watch._address = server.sockets[0].getsockname()
     task = asyncio.create_task(rig.watch.run())
@@ -243,10 +243,10 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The agent answers at once: a call that was lost must not cost a limiter every drain for seconds."""
-    monkeypatch.setattr(discovery, "SILENCE_S", 1e6)
+    monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 1e6)
 
     async def test() -> None:
-        async with limiter(A) as rig, silent(rig) as agent:
+        async with limiter(A) as rig, silent_agent(rig) as agent:
             await agent.calls.get()  # lost
             agent.answer(await agent.calls.get(), listing(2, LEAVES))
             await until(lambda: rig.watch.seq == 2)
@@ -259,14 +259,14 @@
     """Discovery is back: it may answer on either, in either order, and the older news must not stand last."""
 
     async def test() -> None:
-        async with limiter(A) as rig, silent(rig) as agent:
+        async with limiter(A) as rig, silent_agent(rig) as agent:
             old, new = await agent.calls.get(), await agent.calls.get()
             if first == "old":
                 agent.answer(old, listing(2, LEAVES))
                 await until(lambda: rig.watch.seq == 2)
             agent.answer(new, listing(3, LEAVES, B))
             await until(lambda: rig.watch.seq == 3)
-            await until(lambda: old in agent.left)
+            await until(lambda: old in agent.disconnected)
             with contextlib.suppress(ConnectionError):  # nobody listens there any more
                 agent.answer(old, listing(1, A))
                 await old.drain()
@@ -282,7 +282,7 @@
     """It says that the agent lives, and nothing of whether the older call is lost."""
 
     async def test() -> None:
-        async with limiter(A) as rig, silent(rig) as agent:
+        async with limiter(A) as rig, silent_agent(rig) as agent:
             old, new = await agent.calls.get(), await agent.calls.get()
             agent.answer(new, listing(9), "503 Busy")
             await agent.calls.get()  # it was asked again
@@ -294,9 +294,9 @@
 
 def test_no_more_than_two_watches_are_open() -> None:
     async def test() -> None:
-        async with limiter(A) as rig, silent(rig) as agent:
+        async with limiter(A) as rig, silent_agent(rig) as agent:
             calls = [await agent.calls.get() for _ in range(4)]
-            await until(lambda: agent.left == calls[:2])
+            await until(lambda: agent.disconnected == calls[:2])
 
     run(test())
 
@@ -308,9 +308,9 @@
         async with agent() as one, agent() as two, agent() as three:
             async with limiter(A, watched=one) as rig:
                 await one.watches.get()
-                rig.watch.move(two.address)
+                rig.watch.set_address(two.address)
                 await asyncio.sleep(0)  # the turn's time-out has run, what it cancels has not
-                rig.watch.move(three.address)
+                rig.watch.set_address(three.address)
                 await three.watches.get()
                 three.tell(listing(2, B))
                 await until(lambda: rig.watch.seq == 2)
--- a/tests/test_server_starts.py
+++ b/tests/test_server_starts.py
@@ -17,7 +17,7 @@
 def stepped(by_ms: float) -> ServerStarts:
     """After a quiet hour the wall clock steps, at 1 h of this process's clock."""
     made = ServerStarts(-WALL_MS)
-    made.observe(HOUR_MS, WALL_MS + HOUR_MS + by_ms)
+    made.observe_clocks(HOUR_MS, WALL_MS + HOUR_MS + by_ms)
     return made
 
 
@@ -39,7 +39,7 @@
     """Else it would look like another process, and all of the fleet would be cold at once."""
     made = ServerStarts(-WALL_MS)
     before = made.started_ms("s", WALL_MS + 1000.0, 2000.0)
-    made.observe(HOUR_MS, WALL_MS + HOUR_MS + by_ms)
+    made.observe_clocks(HOUR_MS, WALL_MS + HOUR_MS + by_ms)
     assert made.started_ms("s", WALL_MS + 1000.0, HOUR_MS + 10.0) == before == pytest.approx(1000.0)
 
 
@@ -54,7 +54,7 @@
 def test_clocks_that_drift_are_no_step() -> None:
     made = ServerStarts(-WALL_MS)
     for n in range(1, 100):
-        made.observe(n * 250.0, WALL_MS + n * 250.0 * 1.0005)
+        made.observe_clocks(n * 250.0, WALL_MS + n * 250.0 * 1.0005)
     assert made.offset_ms == -WALL_MS
 
 
--- a/tests/test_standalone_accept.py
+++ b/tests/test_standalone_accept.py
@@ -47,7 +47,7 @@
 
     async def test() -> None:
         async with backend() as server, standalone(tmp_path, config(server.address)) as rig:
-            rig.limiter.relay.most_clients = 2
+            rig.limiter.relay.max_clients = 2
             clients = [await rig.connect() for _ in range(6)]
             for client in clients:
                 client.send(request())
--- a/tests/test_store_daemon.py
+++ b/tests/test_store_daemon.py
@@ -14,7 +14,7 @@
 import msgspec
 import pytest
 from sockets import Backend, Request, backend
-from standalone import KEY, Rig, config, request
+from standalone import KEY, StandaloneFixture, config, request
 from storeprocs import PATIENCE_S, Cluster, cluster
 from waiting import run, until
 
@@ -54,14 +54,14 @@
 
 
 @contextlib.asynccontextmanager
-async def limiter(path: Path, text: str | None = None, end: bool = True) -> AsyncIterator[Rig]:
+async def limiter(path: Path, text: str | None = None, end: bool = True) -> AsyncIterator[StandaloneFixture]:
     """A limiter from a file; without `end` it goes as one that is killed, but for its replica."""
     if text is not None:
         path.write_text(text)
     made = Standalone(path, seed=1)
     try:
         await made.start()
-        yield Rig(made, path)
+        yield StandaloneFixture(made, path)
     finally:
         keeper = made.keeper
         if not end and keeper:
@@ -82,14 +82,14 @@
     )
 
 
-async def ask(rig: Rig, count: int = 1) -> list[int]:
+async def ask(rig: StandaloneFixture, count: int = 1) -> list[int]:
     client = await rig.connect()
     codes = [(await client.ask(request())).code for _ in range(count)]
     client.close()
     return codes
 
 
-def store_of(rig: Rig) -> Client:
+def store_of(rig: StandaloneFixture) -> Client:
     assert rig.limiter.keeper
     return setting.client(rig.limiter.keeper.storage)
 
@@ -394,7 +394,7 @@
             stats = await task
             found, _ = await client.range("own/", within_s=PATIENCE_S)
             assert found.keys() == acknowledged.keys()
-            await until(lambda: rig.quiet)
+            await until(lambda: rig.is_idle)
             client.close()
         for server, log in zip(servers, logs, strict=True):
             server.stop()
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -149,9 +149,9 @@
 def test_a_local_error_on_a_call_to_discovery_does_not_count_as_its_failure() -> None:
     lease = MembershipLease(0.0, 0.25)
     for at in (0.0, 0.5, 1.0, 2.0):
-        lease.asked(at)
-        lease.not_made()
-    assert lease.until(10.0) <= 10.0
+        lease.call_started(at)
+        lease.call_failed_locally()
+    assert lease.expires_at(10.0) <= 10.0
 
 
 def test_error_origins() -> None:
