--- a/basaltpoint/daemon/document.py
+++ b/basaltpoint/daemon/document.py
@@ -13,7 +13,7 @@
 from basaltpoint.config.shared import parse_document
 from basaltpoint.daemon.shared_state import DOCUMENT, DRAIN, PREFIX, SERVER, check_document
 from basaltpoint.store.client import Client
-from basaltpoint.store.command import add_common, ask
+from basaltpoint.store.command import add_client_arguments, run_with_client
 from basaltpoint.store.state_machine import Check, Put
 
 
@@ -31,7 +31,7 @@
     show = commands.add_parser("show", help="print the document")
     show.set_defaults(act=_show)
     for command in (push, show):
-        add_common(command)
+        add_client_arguments(command)
 
 
 def add_drain_arguments(parser: argparse.ArgumentParser, drain: bool) -> None:
@@ -42,7 +42,7 @@
             "--force", action="store_true", help="though no limiter knows a server of this name"
         )
     parser.set_defaults(act=_drain if drain else _undrain)
-    add_common(parser)
+    add_client_arguments(parser)
 
 
 def run(args: argparse.Namespace) -> int:
@@ -54,7 +54,7 @@
     except FileError as error:
         print(error, file=sys.stderr)
         return 2
-    return ask(storage, args)
+    return run_with_client(storage, args)
 
 
 async def _push(client: Client, args: argparse.Namespace) -> int:
@@ -62,7 +62,7 @@
     if revision is None:
         held = await client.get(DOCUMENT, within_s=args.within)
         revision = held.modified_revision if held else 0
-    result = await client.txn([Put(DOCUMENT, args.text)], [Check(DOCUMENT, revision)], args.within)
+    result = await client.transaction([Put(DOCUMENT, args.text)], [Check(DOCUMENT, revision)], args.within)
     print(f"{args.file}: revision {result.revision}")
     print("`basaltpoint store get --prefix limiter/` tells which limiters run on it")
     return 0
@@ -92,7 +92,7 @@
 
 async def _servers(client: Client, within_s: float) -> set[str] | None:
     """Names of the servers that limiters know; None where the store does not tell."""
-    found, _ = await client.range(PREFIX, within_s=within_s)
+    found, _ = await client.get_range(PREFIX, within_s=within_s)
     if (document := found.get(DOCUMENT)) is None:
         return None
     out = ProblemCollector(DOCUMENT)
--- a/basaltpoint/daemon/store_follower.py
+++ b/basaltpoint/daemon/store_follower.py
@@ -79,7 +79,7 @@
     def __init__(self, storage: StoreSettings, path: Path, name: str) -> None:
         self.storage, self.path, self.name = storage, path, name
         self.held = SharedState()
-        self.client = setting.client(storage)
+        self.client = setting.create_client(storage)
         self.revision = 0
         self.down_s = 0.0
         self.balances: dict[str, Balance] = {}
@@ -120,7 +120,7 @@
                 self._tell(f"store: {error}; the start waits for it")
 
     async def _read(self, within_s: float) -> Change:
-        values, revision = await self.client.range(PREFIX, within_s=within_s)
+        values, revision = await self.client.get_range(PREFIX, within_s=within_s)
         change = self.held.load({key: value.value for key, value in values.items()}, revision)
         self.revision = revision
         self._known_current()
@@ -137,7 +137,7 @@
                 f"{self.path}: the store holds no configuration; put it there: basaltpoint config push FILE"
             )
         try:
-            await self.client.txn([Put(DOCUMENT, text)], [Check(DOCUMENT, 0)], WAIT_S)
+            await self.client.transaction([Put(DOCUMENT, text)], [Check(DOCUMENT, 0)], WAIT_S)
         except UnavailableError:
             raise
         except StoreError as error:
@@ -148,7 +148,7 @@
     async def _read_own(self) -> None:
         """What an earlier life of this limiter left."""
         prefix = f"balance/{self.name}/"
-        found, _ = await self.client.range(prefix, within_s=WAIT_S)
+        found, _ = await self.client.get_range(prefix, within_s=WAIT_S)
         for key, value in found.items():
             with contextlib.suppress(msgspec.DecodeError):
                 balance = msgspec.msgpack.decode(value.value, type=Balance)
@@ -281,13 +281,13 @@
 
     async def _renew(self) -> None:
         if self._long_lease:
-            await self.client.renew(self._long_lease, TELL_S / 2)
+            await self.client.renew_lease(self._long_lease, TELL_S / 2)
         else:
-            self._long_lease = await self.client.grant(KEEP_MS, TELL_S / 2)
+            self._long_lease = await self.client.grant_lease(KEEP_MS, TELL_S / 2)
         if self._lease:
-            await self.client.renew(self._lease, TELL_S / 2)
+            await self.client.renew_lease(self._lease, TELL_S / 2)
         else:
-            self._lease = await self.client.grant(LEASE_MS, TELL_S / 2)
+            self._lease = await self.client.grant_lease(LEASE_MS, TELL_S / 2)
         told = self.revision, self._problem
         if told != self._told_own:
             own: dict[str, Any] = {
@@ -301,7 +301,7 @@
 
     async def members(self, within_s: float = WAIT_S) -> list[Member]:
         """Other limiters' places in this one's fleet, as the asked replica has them; UnavailableError."""
-        values, _ = await self.client.range(OWN, local=True, within_s=within_s)
+        values, _ = await self.client.get_range(OWN, local=True, within_s=within_s)
         found = []
         for value in values.values():
             with contextlib.suppress(msgspec.DecodeError):
@@ -340,7 +340,7 @@
             for account, balance in due.items()
         ]
         for at in range(0, len(ops), BUDGET):
-            await self.client.txn(ops[at : at + BUDGET], within_s=STOP_S)
+            await self.client.transaction(ops[at : at + BUDGET], within_s=STOP_S)
 
     async def _put_learned(self) -> None:
         if pools := self._relay.learned():
@@ -408,7 +408,7 @@
             with contextlib.suppress(StoreError, TimeoutError):
                 async with asyncio.timeout(STOP_S):
                     if not self._long_lease:
-                        self._long_lease = await self.client.grant(KEEP_MS, STOP_S)
+                        self._long_lease = await self.client.grant_lease(KEEP_MS, STOP_S)
                     await self._put_balances(self._relay.due_balances(final=True))
                     await self._put_learned()
         if self._copying:
--- a/basaltpoint/load/arrivals.py
+++ b/basaltpoint/load/arrivals.py
@@ -14,39 +14,39 @@
 from dataclasses import dataclass
 from itertools import accumulate
 
-from basaltpoint.load.scenario import Kind, PlanTable, Process, Scenario, ShapeTable
+from basaltpoint.load.scenario import ArrivalProcess, PlanTable, Scenario, ShapeKind, ShapeTable
 
-STEP_S = 0.001  # at which the integral of a rate is taken for constant arrivals
+INTEGRATION_STEP_S = 0.001  # at which the integral of a rate is taken for constant arrivals
 
 
 @dataclass(frozen=True, slots=True)
-class Planned:
+class PlannedRequest:
     """One request: its place in the run, and what it asks. `at_s` counts from the run's start."""
 
     number: int
-    at_s: float
+    intended_s: float
     plan: str
-    cls: str
+    class_name: str
     account: str  # the key it comes with
     method: str
     path: str
     body_bytes: int
 
 
-def factor(shape: ShapeTable, at_s: float, duration_s: float) -> float:
+def rate_factor(shape: ShapeTable, at_s: float, duration_s: float) -> float:
     """What a shape multiplies the rate by."""
     end = shape.to_s or duration_s
     if not shape.from_s <= at_s < end:
         return 1.0
-    if shape.kind is Kind.RAMP:
+    if shape.kind is ShapeKind.RAMP:
         return 1.0 + (shape.factor - 1.0) * (at_s - shape.from_s) / (end - shape.from_s)
-    if shape.kind is Kind.SINE:
+    if shape.kind is ShapeKind.SINE:
         wave = (1.0 - math.cos(math.tau * (at_s - shape.from_s) / shape.period_s)) / 2.0
         return 1.0 + (shape.factor - 1.0) * wave
-    return shape.factor if shape.kind in (Kind.STEP, Kind.SURGE) else 1.0
+    return shape.factor if shape.kind in (ShapeKind.STEP, ShapeKind.SURGE) else 1.0
 
 
-class Rate:
+class PlanRate:
     """A plan's requests a second over time."""
 
     def __init__(self, plan: PlanTable, scenario: Scenario) -> None:
@@ -55,105 +55,114 @@
         self._shapes = [
             shape
             for shape in scenario.shape
-            if shape.plan in ("", plan.name) and shape.kind is not Kind.RUNAWAY
+            if shape.plan in ("", plan.name) and shape.kind is not ShapeKind.RUNAWAY
         ]
 
     def __call__(self, at_s: float) -> float:
         rate = self._plan.rate
         for shape in self._shapes:
-            rate *= factor(shape, at_s, self._duration_s)
+            rate *= rate_factor(shape, at_s, self._duration_s)
         return rate
 
     @property
-    def most(self) -> float:
+    def max_rate(self) -> float:
         """A bound that the rate never passes."""
         return self._plan.rate * math.prod(max(1.0, shape.factor) for shape in self._shapes)
 
 
-def poisson(rate: Callable[[float], float], most: float, end_s: float, rng: random.Random) -> Iterator[float]:
+def poisson_times(
+    rate: Callable[[float], float], max_rate: float, end_s: float, rng: random.Random
+) -> Iterator[float]:
     """Times of a Poisson process with a rate that changes and never passes `most`."""
     at = 0.0
-    while most > 0:
-        at += rng.expovariate(most)
+    while max_rate > 0:
+        at += rng.expovariate(max_rate)
         if at >= end_s:
             return
-        if rng.random() * most < rate(at):
+        if rng.random() * max_rate < rate(at):
             yield at
 
 
-def constant(rate: Callable[[float], float], end_s: float) -> Iterator[float]:
+def constant_times(rate: Callable[[float], float], end_s: float) -> Iterator[float]:
     """Times at which the integral of the rate passes a whole number."""
-    done, number, step = 0.0, 0, 0
-    while (at := step * STEP_S) < end_s:
-        here = rate(at + STEP_S / 2)
-        grown = done + here * STEP_S
-        while number + 1 <= grown:
+    integral, number, step = 0.0, 0, 0
+    while (at := step * INTEGRATION_STEP_S) < end_s:
+        current_rate = rate(at + INTEGRATION_STEP_S / 2)
+        next_integral = integral + current_rate * INTEGRATION_STEP_S
+        while number + 1 <= next_integral:
             number += 1
-            yield min(at + (number - done) / here, end_s)
-        done, step = grown, step + 1
+            yield min(at + (number - integral) / current_rate, end_s)
+        integral, step = next_integral, step + 1
 
 
-class Accounts:
+class AccountSampler:
     """Which account of a plan asks: the n-th with a weight of 1/n to the power of the skew."""
 
     def __init__(self, plan: PlanTable) -> None:
         self._count = plan.accounts
-        self._sums = (
+        self._cumulative_weights = (
             list(accumulate((n + 1) ** -plan.skew for n in range(plan.accounts))) if plan.skew > 0 else []
         )
 
     def draw(self, rng: random.Random) -> int:
-        if not self._sums:
+        if not self._cumulative_weights:
             return rng.randrange(self._count)
-        return min(self._count - 1, bisect_right(self._sums, rng.random() * self._sums[-1]))
+        return min(
+            self._count - 1,
+            bisect_right(self._cumulative_weights, rng.random() * self._cumulative_weights[-1]),
+        )
 
 
-def key_of(plan: PlanTable, account: int) -> str:
+def account_key(plan: PlanTable, account: int) -> str:
     return plan.key.replace("{plan}", plan.name).replace("{n}", str(account))
 
 
-def planned(scenario: Scenario) -> Iterator[Planned]:
+def planned_requests(scenario: Scenario) -> Iterator[PlannedRequest]:
     """Every request of a run, in the order of their times. The same scenario gives the same ones."""
     streams: list[Iterator[tuple[float, str, str]]] = []
     for at, plan in enumerate(scenario.plan):
-        streams.append(_plan_stream(scenario, plan, random.Random(f"{scenario.seed} plan {at}")))
+        streams.append(_plan_arrivals(scenario, plan, random.Random(f"{scenario.seed} plan {at}")))
     for at, shape in enumerate(scenario.shape):
-        if shape.kind is Kind.RUNAWAY:
-            streams.append(_runaway(scenario, shape, random.Random(f"{scenario.seed} shape {at}")))
+        if shape.kind is ShapeKind.RUNAWAY:
+            streams.append(_runaway_arrivals(scenario, shape, random.Random(f"{scenario.seed} shape {at}")))
     rng = random.Random(f"{scenario.seed} classes")
     weights = [cls.share for cls in scenario.class_]
     for number, (at_s, plan_name, account) in enumerate(heapq.merge(*streams)):
         cls = rng.choices(scenario.class_, weights)[0]
         path = cls.path.replace("{n}", str(number))
-        yield Planned(number, at_s, plan_name, cls.name, account, cls.method, path, cls.body_bytes)
+        yield PlannedRequest(number, at_s, plan_name, cls.name, account, cls.method, path, cls.body_bytes)
 
 
-def _times(
-    scenario: Scenario, rate: Callable[[float], float], most: float, rng: random.Random
+def _arrival_times(
+    scenario: Scenario, rate: Callable[[float], float], max_rate: float, rng: random.Random
 ) -> Iterator[float]:
-    if scenario.arrivals is Process.POISSON:
-        return poisson(rate, most, scenario.duration_s, rng)
-    return constant(rate, scenario.duration_s)
+    if scenario.arrivals is ArrivalProcess.POISSON:
+        return poisson_times(rate, max_rate, scenario.duration_s, rng)
+    return constant_times(rate, scenario.duration_s)
 
 
-def _plan_stream(scenario: Scenario, plan: PlanTable, rng: random.Random) -> Iterator[tuple[float, str, str]]:
-    rate, accounts = Rate(plan, scenario), Accounts(plan)
-    chance = random.Random(rng.random())
-    for at in _times(scenario, rate, rate.most, rng):
-        yield at, plan.name, key_of(plan, accounts.draw(chance))
+def _plan_arrivals(
+    scenario: Scenario, plan: PlanTable, rng: random.Random
+) -> Iterator[tuple[float, str, str]]:
+    rate, accounts = PlanRate(plan, scenario), AccountSampler(plan)
+    account_rng = random.Random(rng.random())
+    for at in _arrival_times(scenario, rate, rate.max_rate, rng):
+        yield at, plan.name, account_key(plan, accounts.draw(account_rng))
 
 
-def _runaway(scenario: Scenario, shape: ShapeTable, rng: random.Random) -> Iterator[tuple[float, str, str]]:
+def _runaway_arrivals(
+    scenario: Scenario, shape: ShapeTable, rng: random.Random
+) -> Iterator[tuple[float, str, str]]:
     plan = next(plan for plan in scenario.plan if plan.name == shape.plan)
     end = shape.to_s or scenario.duration_s
 
     def rate(at: float) -> float:
         return shape.rate if shape.from_s <= at < end else 0.0
 
-    for at in _times(scenario, rate, shape.rate, rng):
-        yield at, plan.name, key_of(plan, shape.account)
+    for at in _arrival_times(scenario, rate, shape.rate, rng):
+        yield at, plan.name, account_key(plan, shape.account)
 
 
-def share_of(requests: Iterator[Planned], part: int, parts: int) -> Iterator[Planned]:
+def worker_share(requests: Iterator[PlannedRequest], part: int, parts: int) -> Iterator[PlannedRequest]:
     """What one of several processes asks; together they ask everything once."""
     return (one for one in requests if one.number % parts == part)
--- a/basaltpoint/load/command.py
+++ b/basaltpoint/load/command.py
@@ -13,8 +13,8 @@
 from basaltpoint.config.decode import FileError
 from basaltpoint.load import compare, coordinator, ledger, report, scenario, traces
 
-UNSOUND = 3  # exit code under --strict, where some of the numbers don't count
-FOUND = 4  # exit code of an audit that found something
+EXIT_UNSOUND = 3  # exit code under --strict, where some of the numbers don't count
+EXIT_FINDINGS = 4  # exit code of an audit that found something
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -28,7 +28,9 @@
     run.add_argument("--json", type=Path, help="write the report's figures here")
     run.add_argument("--html", type=Path, help="write the report as a page here")
     run.add_argument("--ledger", type=Path, help="write each try's answers here")
-    run.add_argument("--strict", action="store_true", help=f"end with {UNSOUND} where numbers don't count")
+    run.add_argument(
+        "--strict", action="store_true", help=f"end with {EXIT_UNSOUND} where numbers don't count"
+    )
     run.set_defaults(load_run=_run)
     check = commands.add_parser("check", help="check a scenario")
     check.add_argument("scenario", type=Path)
@@ -73,9 +75,9 @@
 
 
 def _check(args: argparse.Namespace) -> int:
-    made = scenario.load(args.scenario)
-    asked = sum(plan.rate for plan in made.plan)
-    print(f"{args.scenario}: good; {asked:g} requests a second for {made.duration_s:g} s, before shapes")
+    settings = scenario.load(args.scenario)
+    rate = sum(plan.rate for plan in settings.plan)
+    print(f"{args.scenario}: good; {rate:g} requests a second for {settings.duration_s:g} s, before shapes")
     return 0
 
 
@@ -83,12 +85,12 @@
     if args.repeat < 1 or args.factor <= 0:
         print("--repeat is 1 at least, --factor above 0", file=sys.stderr)
         return 2
-    setup = scenario.load(args.scenario)
+    settings = scenario.load(args.scenario)
     runs = []
     for number in range(args.repeat):
         with _Progress(f"run {number + 1} of {args.repeat}") as progress:
             stats = asyncio.run(
-                coordinator.run(args.scenario, setup, progress.show, args.trace, args.factor, args.ledger)
+                coordinator.run(args.scenario, settings, progress.show, args.trace, args.factor, args.ledger)
             )
         runs.append(report.summary(stats, args.scenario.name))
         print(report.text(runs[-1]))
@@ -96,8 +98,8 @@
         args.json.write_text(json.dumps({"runs": runs}, indent=1))
     if args.html:
         args.html.write_text(report.page(runs[-1]))
-    unsound = any(made["spells"] or made["total"]["missed"] for made in runs)
-    return UNSOUND if args.strict and unsound else 0
+    is_unsound = any(made["spells"] or made["total"]["missed"] for made in runs)
+    return EXIT_UNSOUND if args.strict and is_unsound else 0
 
 
 class _Progress:
@@ -115,11 +117,11 @@
             self._status.start()
         return self
 
-    def show(self, told: dict[str, Any]) -> None:
+    def show(self, progress: dict[str, Any]) -> None:
         if self._status:
-            counts = sorted(item for item in told.items() if item[0] != "at")
+            counts = sorted(item for item in progress.items() if item[0] != "at")
             figures = "  ".join(f"{name} {value}" for name, value in counts)
-            self._status.update(f"{self._title}  {told.get('at', 0):.0f} s  {figures}")
+            self._status.update(f"{self._title}  {progress.get('at', 0):.0f} s  {figures}")
 
     def __exit__(self, *_: object) -> None:
         if self._status:
@@ -129,14 +131,14 @@
 def _import(args: argparse.Namespace) -> int:
     salt = (args.salt or secrets.token_hex(16)).encode()
     with open(args.log, "rb") as source, open(args.output, "wb") as sink:
-        done = traces.convert(source, sink, args.format, salt, args.account)
-    order = f"{done.moved} put in order, {done.clamped} too far out of order"
-    print(f"{done.lines} lines, {done.kept} kept, {order}")
-    for why, count in done.bad.most_common():
+        result = traces.convert(source, sink, args.format, salt, args.account)
+    order = f"{result.reordered} put in order, {result.clamped} too far out of order"
+    print(f"{result.lines} lines, {result.kept} kept, {order}")
+    for why, count in result.rejected.most_common():
         print(f"{count} skipped: {why}")
-    for line in done.shown:
+    for line in result.shown:
         print(f"  {line}")
-    return 0 if done.kept else 2
+    return 0 if result.kept else 2
 
 
 def _compare(args: argparse.Namespace) -> int:
@@ -146,35 +148,35 @@
 
 
 def _audit(args: argparse.Namespace) -> int:
-    asked = read_asked(args.ledger)
-    attempts = [attempt for path in args.logs for attempt in read_attempts(path)]
+    client_attempts = read_ledger(args.ledger)
+    server_attempts = [attempt for path in args.logs for attempt in read_server_log(path)]
     drained = {}
     for text in args.drained:
         server, _, at = text.partition("=")
         drained[server] = float(at)
-    findings = ledger.audit(asked, attempts, drained)
-    print(f"{len(asked)} tries, {len(attempts)} attempts, {len(findings)} findings")
-    for one in findings[:50]:
-        print(f"  {one.kind}: {one.ident}: {one.what}")
-    return FOUND if findings else 0
+    findings = ledger.audit(client_attempts, server_attempts, drained)
+    print(f"{len(client_attempts)} tries, {len(server_attempts)} attempts, {len(findings)} findings")
+    for finding in findings[:50]:
+        print(f"  {finding.kind}: {finding.ident}: {finding.detail}")
+    return EXIT_FINDINGS if findings else 0
 
 
-def read_asked(path: Path) -> list[ledger.Asked]:
+def read_ledger(path: Path) -> list[ledger.ClientAttempt]:
     """A run's ledger; several lines of one try add up."""
-    found: dict[str, ledger.Asked] = {}
+    found: dict[str, ledger.ClientAttempt] = {}
     with open(path, "rb") as lines:
         for line in lines:
             raw = json.loads(line)
             before = found.get(raw["ident"])
             answers = raw["answers"] + (before.answers if before else 0)
             hung_up = raw["hung_up"] or (before is not None and before.hung_up)
-            found[raw["ident"]] = ledger.Asked(raw["ident"], answers, hung_up)
+            found[raw["ident"]] = ledger.ClientAttempt(raw["ident"], answers, hung_up)
     return list(found.values())
 
 
-def read_attempts(path: Path) -> list[ledger.Attempt]:
+def read_server_log(path: Path) -> list[ledger.ServerAttempt]:
     """A stand-in server's log."""
     with open(path, "rb") as lines:
         rows = [json.loads(line) for line in lines]
     names = ("ident", "server", "came_s", "ended_s", "ran", "once", "key", "repeat", "via")
-    return [ledger.Attempt(**{name: row[name] for name in names}) for row in rows]
+    return [ledger.ServerAttempt(**{name: row[name] for name in names}) for row in rows]
--- a/basaltpoint/load/compare.py
+++ b/basaltpoint/load/compare.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-ROUNDS = 4000
-LEVEL = 0.95
-FEWEST = 3
+BOOTSTRAP_ROUNDS = 4000
+CONFIDENCE_LEVEL = 0.95
+MIN_RUNS = 3
 
 FIGURES: tuple[tuple[str, tuple[str, ...]], ...] = (
     ("in time, part", ("total", "in_time")),
@@ -40,12 +40,12 @@
     high: float | None
 
     @property
-    def sure(self) -> bool:
+    def is_significant(self) -> bool:
         """Whether chance among the runs does not explain it."""
         return self.low is not None and self.high is not None and (self.low > 0 or self.high < 0)
 
 
-def figure(run: dict[str, Any], path: tuple[str, ...]) -> float | None:
+def find_figure(run: dict[str, Any], path: tuple[str, ...]) -> float | None:
     value: Any = run
     for key in path:
         value = value.get(key) if isinstance(value, dict) else None
@@ -56,36 +56,38 @@
     """Each figure that both sides have."""
     found = []
     for name, path in FIGURES:
-        a = [value for run in before if (value := figure(run, path)) is not None]
-        b = [value for run in after if (value := figure(run, path)) is not None]
+        a = [value for run in before if (value := find_figure(run, path)) is not None]
+        b = [value for run in after if (value := find_figure(run, path)) is not None]
         if a and b:
-            low, high = interval(a, b)
+            low, high = confidence_interval(a, b)
             found.append(Difference(name, statistics.fmean(a), statistics.fmean(b), low, high))
     return found
 
 
-def interval(a: list[float], b: list[float]) -> tuple[float | None, float | None]:
+def confidence_interval(a: list[float], b: list[float]) -> tuple[float | None, float | None]:
     """Bounds of the difference of means, at LEVEL; a wider one for a few runs, by Student's factor."""
-    if min(len(a), len(b)) < FEWEST:
+    if min(len(a), len(b)) < MIN_RUNS:
         return None, None
     rng = random.Random(1)
-    gaps = sorted(
+    differences = sorted(
         statistics.fmean(rng.choices(b, k=len(b))) - statistics.fmean(rng.choices(a, k=len(a)))
-        for _ in range(ROUNDS)
+        for _ in range(BOOTSTRAP_ROUNDS)
     )
-    cut = int(ROUNDS * (1 - LEVEL) / 2)
-    middle = statistics.fmean(b) - statistics.fmean(a)
+    cut = int(BOOTSTRAP_ROUNDS * (1 - CONFIDENCE_LEVEL) / 2)
+    mean_difference = statistics.fmean(b) - statistics.fmean(a)
     # A bootstrap of few values is too narrow by the root of n / (n - 1).
     n = min(len(a), len(b))
-    stretch = (n / (n - 1)) ** 0.5
-    return middle + (gaps[cut] - middle) * stretch, middle + (gaps[-1 - cut] - middle) * stretch
+    widening = (n / (n - 1)) ** 0.5
+    return mean_difference + (differences[cut] - mean_difference) * widening, mean_difference + (
+        differences[-1 - cut] - mean_difference
+    ) * widening
 
 
 def text(differences: list[Difference]) -> str:
-    lines = [f"{'':26} {'before':>12} {'after':>12} {'change':>12}  {LEVEL:.0%} of chance"]
+    lines = [f"{'':26} {'before':>12} {'after':>12} {'change':>12}  {CONFIDENCE_LEVEL:.0%} of chance"]
     for one in differences:
         bounds = "too few runs" if one.low is None else f"{one.low:+.4g} to {one.high:+.4g}"
-        mark = "  SURE" if one.sure else ""
+        mark = "  SURE" if one.is_significant else ""
         change = one.after - one.before
         lines.append(f"{one.name:26} {one.before:12.4g} {one.after:12.4g} {change:+12.4g}  {bounds}{mark}")
     return "\n".join(lines)
--- a/basaltpoint/load/coordinator.py
+++ b/basaltpoint/load/coordinator.py
@@ -15,10 +15,10 @@
 
 from basaltpoint.load.scenario import Scenario
 from basaltpoint.load.stats import Stats
-from basaltpoint.load.worker import Part
+from basaltpoint.load.worker import WorkerTask
 
-START_S = 1.0  # for the processes to be ready; the run starts at one time for all
-LONGEST_LINE = 1 << 28  # bytes of a process's figures
+START_DELAY_S = 1.0  # for the processes to be ready; the run starts at one time for all
+MAX_LINE_BYTES = 1 << 28  # bytes of a process's figures
 
 Progress = Callable[[dict[str, Any]], None]
 
@@ -29,7 +29,7 @@
 
 async def run(
     path: Path,
-    setup: Scenario,
+    settings: Scenario,
     progress: Progress,
     trace: Path | None = None,
     factor: float = 1.0,
@@ -37,22 +37,22 @@
     started: Callable[[list[int]], None] | None = None,
 ) -> Stats:
     """Play a scenario once. `started` hears the processes' ids; WorkerError where one dies."""
-    name, start = secrets.token_hex(4), monotonic() + START_S
-    stats, seen = Stats(), dict[int, dict[str, Any]]()
-    parts = [
-        Part(
+    name, start = secrets.token_hex(4), monotonic() + START_DELAY_S
+    stats, progress_by_worker = Stats(), dict[int, dict[str, Any]]()
+    tasks = [
+        WorkerTask(
             str(path),
             number,
-            setup.processes,
+            settings.processes,
             start,
             name,
             str(trace or ""),
             factor,
             f"{ledger}.{number}" if ledger else "",
         )
-        for number in range(setup.processes)
+        for number in range(settings.processes)
     ]
-    processes = [await _spawn(part) for part in parts]
+    processes = [await _spawn(part) for part in tasks]
     if started:
         started([process.pid for process in processes])
 
@@ -62,10 +62,10 @@
         while line := await process.stdout.readline():
             told = json.loads(line)
             if "progress" in told:
-                seen[number] = told["progress"]
-                progress(_summed(seen))
+                progress_by_worker[number] = told["progress"]
+                progress(sum_progress(progress_by_worker))
             else:
-                stats.join(told["stats"])
+                stats.merge(told["stats"])
                 done = True
         if await process.wait() or not done:
             raise WorkerError(f"process {number} of the run ended with {process.returncode}")
@@ -81,11 +81,11 @@
             if process.returncode is None:
                 process.kill()
         if ledger:
-            _gather(ledger, setup.processes)
+            _merge_ledgers(ledger, settings.processes)
     return stats
 
 
-async def _spawn(part: Part) -> asyncio.subprocess.Process:
+async def _spawn(part: WorkerTask) -> asyncio.subprocess.Process:
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -94,7 +94,7 @@
         "worker",
         stdin=asyncio.subprocess.PIPE,
         stdout=asyncio.subprocess.PIPE,
-        limit=LONGEST_LINE,
+        limit=MAX_LINE_BYTES,
         env={**os.environ, "PYTHONPATH": os.pathsep.join(path for path in sys.path if path)},
     )
     assert process.stdin
@@ -103,21 +103,21 @@
     return process
 
 
-def _summed(seen: dict[int, dict[str, Any]]) -> dict[str, Any]:
+def sum_progress(progress_by_worker: dict[int, dict[str, Any]]) -> dict[str, Any]:
     total: dict[str, Any] = {}
-    for row in seen.values():
+    for row in progress_by_worker.values():
         for name, value in row.items():
             total[name] = max(total.get(name, 0), value) if name == "at" else total.get(name, 0) + value
     return total
 
 
-def _gather(ledger: Path, processes: int) -> None:
+def _merge_ledgers(ledger: Path, processes: int) -> None:
     """The processes' ledgers as one file."""
-    with open(ledger, "wb") as whole:
+    with open(ledger, "wb") as merged:
         for number in range(processes):
             part = Path(f"{ledger}.{number}")
             if part.exists():
                 with open(part, "rb") as rows:
                     while piece := rows.read(1 << 20):
-                        whole.write(piece)
+                        merged.write(piece)
                 part.unlink()
--- a/basaltpoint/load/driver.py
+++ b/basaltpoint/load/driver.py
@@ -13,12 +13,12 @@
 from enum import Enum
 from typing import Protocol
 
-from basaltpoint.load.arrivals import Planned
-from basaltpoint.load.health import Watch
-from basaltpoint.load.scenario import Backoff, ClassTable, Retries
+from basaltpoint.load.arrivals import PlannedRequest
+from basaltpoint.load.health import HealthMonitor
+from basaltpoint.load.scenario import Backoff, ClassTable, RetryTable
 
 
-class End(Enum):
+class Outcome(Enum):
     """How a request ended for its client, after its last try."""
 
     SERVED = "served"  # within the aim
@@ -30,18 +30,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Try:
+class Attempt:
     """One message to send now."""
 
     ident: int  # of the try, within this worker
     number: int  # from 0; later ones are the client's retries
-    planned: Planned
+    planned: PlannedRequest
     intended_s: float
     give_up_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class GiveUp:
+class AbandonAttempt:
     """Stop waiting for a try: close its connection."""
 
     ident: int
@@ -51,44 +51,44 @@
 class _Request:
     """A client's request over all its tries."""
 
-    planned: Planned
-    honours: bool
-    tries: int = 0
+    planned: PlannedRequest
+    honours_retry_after: bool
+    attempts: int = 0
     answers: int = 0
     began_s: float | None = None  # of the first try, truly
-    unsure: bool = False  # a try may have run without a word of it
+    may_have_run: bool = False  # a try may have run without a word of it
 
 
 @dataclass(slots=True)
-class _Open:
+class _OpenAttempt:
     request: _Request
     number: int
     intended_s: float
-    answers: int  # of the request, before this try
+    answers_before: int  # of the request, before this try
     sent_s: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Record:
+class RequestRecord:
     """A request that is over."""
 
-    planned: Planned
-    end: End
+    planned: PlannedRequest
+    outcome: Outcome
     ended_s: float
     latency_s: float  # from the intended start of the first try
     service_s: float  # from the true start of the last try
-    tries: int
+    attempts: int
     answers: int
-    sound: bool  # the generator was well all the while
+    is_sound: bool  # the generator was well all the while
 
 
 class Recorder(Protocol):
     """Where records and sends are noted."""
 
-    def record(self, record: Record) -> None: ...
-    def sent(self, lateness_s: float, sound: bool) -> None: ...
-    def tried(self, request: int, number: int, answers: int, hung_up: bool) -> None: ...
-    def odd(self, ident: str, what: str) -> None: ...
+    def record_request(self, record: RequestRecord) -> None: ...
+    def record_send(self, lateness_s: float, sound: bool) -> None: ...
+    def record_attempt(self, request: int, number: int, answers: int, hung_up: bool) -> None: ...
+    def record_anomaly(self, ident: str, what: str) -> None: ...
 
 
 class Driver:
@@ -96,27 +96,27 @@
 
     def __init__(
         self,
-        requests: Iterator[Planned],
+        requests: Iterator[PlannedRequest],
         classes: dict[str, ClassTable],
-        retries: Retries,
-        watch: Watch,
+        retries: RetryTable,
+        health: HealthMonitor,
         recorder: Recorder,
         seed: int,
-        in_flight: int,
+        max_in_flight: int,
     ) -> None:
         self._requests = requests
         self._classes = classes
         self._retries = retries
-        self._watch = watch
+        self._health = health
         self._recorder = recorder
         self._rng = random.Random(f"{seed} clients")
-        self._most = in_flight
-        self._next: Planned | None = next(requests, None)
-        self._again: list[tuple[float, int, _Request]] = []
+        self._max_in_flight = max_in_flight
+        self._next_planned: PlannedRequest | None = next(requests, None)
+        self._retry_queue: list[tuple[float, int, _Request]] = []
         self._deadlines: list[tuple[float, int]] = []
-        self._open: dict[int, _Open] = {}
-        self._count = 0
-        self.asked = 0
+        self._open: dict[int, _OpenAttempt] = {}
+        self._last_ident = 0
+        self.started_requests = 0
 
     # --- Time ---------------------------------------------------------------------------------
     @property
@@ -124,139 +124,156 @@
         """When `tick` is due; None where nothing will ever be."""
         while self._deadlines and self._deadlines[0][1] not in self._open:
             heapq.heappop(self._deadlines)
-        due = [self._next.at_s] if self._next else []
-        due += [self._again[0][0]] if self._again else []
+        due = [self._next_planned.intended_s] if self._next_planned else []
+        due += [self._retry_queue[0][0]] if self._retry_queue else []
         due += [self._deadlines[0][0]] if self._deadlines else []
         return min(due, default=None)
 
     @property
-    def done(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether every request is over."""
-        return self._next is None and not self._again and not self._open
+        return self._next_planned is None and not self._retry_queue and not self._open
 
     @property
     def in_flight(self) -> int:
         return len(self._open)
 
-    def waits(self, ident: int) -> bool:
+    def is_open(self, ident: int) -> bool:
         """Whether a try is still out."""
         return ident in self._open
 
-    def tick(self, now_s: float) -> list[Try | GiveUp]:
+    def tick(self, now_s: float) -> list[Attempt | AbandonAttempt]:
         """What is due by now. Nothing is skipped, however late it is."""
-        self._watch.beat(now_s)
-        actions: list[Try | GiveUp] = []
+        self._health.record_turn(now_s)
+        actions: list[Attempt | AbandonAttempt] = []
         while self._deadlines and self._deadlines[0][0] <= now_s:
             _, ident = heapq.heappop(self._deadlines)
             if ident in self._open:
-                actions.append(GiveUp(ident))
-                self._over(now_s, ident, End.NONE, unsure=True)
-        while (self._next and self._next.at_s <= now_s) or (self._again and self._again[0][0] <= now_s):
-            if self._again and (not self._next or self._again[0][0] <= self._next.at_s):
-                when, _, request = heapq.heappop(self._again)
-                self._send(now_s, when, request, actions)
+                actions.append(AbandonAttempt(ident))
+                self._end_attempt(now_s, ident, Outcome.NONE, may_have_run=True)
+        while (self._next_planned and self._next_planned.intended_s <= now_s) or (
+            self._retry_queue and self._retry_queue[0][0] <= now_s
+        ):
+            if self._retry_queue and (
+                not self._next_planned or self._retry_queue[0][0] <= self._next_planned.intended_s
+            ):
+                when, _, request = heapq.heappop(self._retry_queue)
+                self._start_attempt(now_s, when, request, actions)
             else:
-                assert self._next
-                planned, self._next = self._next, next(self._requests, None)
-                self.asked += 1
+                assert self._next_planned
+                planned, self._next_planned = self._next_planned, next(self._requests, None)
+                self.started_requests += 1
                 honours = self._rng.random() < self._retries.honour
-                self._send(now_s, planned.at_s, _Request(planned, honours), actions)
+                self._start_attempt(now_s, planned.intended_s, _Request(planned, honours), actions)
         return actions
 
-    def _send(self, now_s: float, intended_s: float, request: _Request, actions: list[Try | GiveUp]) -> None:
-        number, request.tries = request.tries, request.tries + 1
-        self._count += 1
-        ident = self._count
-        self._open[ident] = _Open(request, number, intended_s, request.answers)
-        if len(self._open) > self._most:
-            self.missed(now_s, ident, "more in flight than in_flight allows")
+    def _start_attempt(
+        self, now_s: float, intended_s: float, request: _Request, actions: list[Attempt | AbandonAttempt]
+    ) -> None:
+        number, request.attempts = request.attempts, request.attempts + 1
+        self._last_ident += 1
+        ident = self._last_ident
+        self._open[ident] = _OpenAttempt(request, number, intended_s, request.answers)
+        if len(self._open) > self._max_in_flight:
+            self.attempt_missed(now_s, ident, "more in flight than in_flight allows")
             return
-        give_up = intended_s + self._classes[request.planned.cls].timeout_ms / 1000
-        heapq.heappush(self._deadlines, (give_up, ident))
-        actions.append(Try(ident, number, request.planned, intended_s, give_up))
+        give_up_s = intended_s + self._classes[request.planned.class_name].timeout_ms / 1000
+        heapq.heappush(self._deadlines, (give_up_s, ident))
+        actions.append(Attempt(ident, number, request.planned, intended_s, give_up_s))
 
     # --- What the shell tells -----------------------------------------------------------------
-    def sent(self, now_s: float, ident: int) -> None:
+    def attempt_sent(self, now_s: float, ident: int) -> None:
         """A try's message was written."""
         if (entry := self._open.get(ident)) is None:
             return
         entry.sent_s = now_s
         if entry.request.began_s is None:
             entry.request.began_s = now_s
-        self._watch.sent(entry.intended_s, now_s)
-        self._recorder.sent(now_s - entry.intended_s, self._watch.sound(entry.intended_s, now_s))
+        self._health.record_send(entry.intended_s, now_s)
+        self._recorder.record_send(now_s - entry.intended_s, self._health.is_sound(entry.intended_s, now_s))
 
-    def answered(self, now_s: float, ident: int, code: int, retry_after_s: float | None = None) -> None:
+    def response_received(
+        self, now_s: float, ident: int, code: int, retry_after_s: float | None = None
+    ) -> None:
         """A whole answer came."""
-        self._watch.beat(now_s)
+        self._health.record_turn(now_s)
         if (entry := self._open.get(ident)) is None:
             return
         entry.request.answers += 1
         if 200 <= code < 300:
-            self._over(now_s, ident, End.SERVED)
+            self._end_attempt(now_s, ident, Outcome.SERVED)
         elif code in (429, 503):
-            self._over(now_s, ident, End.REFUSED, retry_after_s)
+            self._end_attempt(now_s, ident, Outcome.REFUSED, retry_after_s)
         else:
-            self._over(now_s, ident, End.FAILED, unsure=code >= 500)
+            self._end_attempt(now_s, ident, Outcome.FAILED, may_have_run=code >= 500)
 
-    def broken(self, now_s: float, ident: int, begun: bool = False) -> None:
+    def connection_lost(self, now_s: float, ident: int, response_begun: bool = False) -> None:
         """The connection ended before the whole answer; one that had `begun` was cut, and counts."""
-        self._watch.beat(now_s)
+        self._health.record_turn(now_s)
         if (entry := self._open.get(ident)) is not None:
-            entry.request.answers += begun
-            self._over(now_s, ident, End.FAILED, unsure=entry.sent_s is not None)
+            entry.request.answers += response_begun
+            self._end_attempt(now_s, ident, Outcome.FAILED, may_have_run=entry.sent_s is not None)
 
-    def missed(self, now_s: float, ident: int, why: str) -> None:
+    def attempt_missed(self, now_s: float, ident: int, reason: str) -> None:
         """A try could not be sent for want of something of the generator's own."""
         if (entry := self._open.pop(ident, None)) is not None:
-            self._recorder.odd(str(entry.request.planned.number), f"missed: {why}")
-            self._record(now_s, entry, End.MISSED)
+            self._recorder.record_anomaly(str(entry.request.planned.number), f"missed: {reason}")
+            self._record(now_s, entry, Outcome.MISSED)
 
     # --- Ends ---------------------------------------------------------------------------------
-    def _over(
-        self, now_s: float, ident: int, end: End, after_s: float | None = None, unsure: bool = False
+    def _end_attempt(
+        self,
+        now_s: float,
+        ident: int,
+        outcome: Outcome,
+        retry_after_s: float | None = None,
+        may_have_run: bool = False,
     ) -> None:
         entry = self._open.pop(ident)
         request = entry.request
         # What was given up, or never went out, is owed no answer.
-        unowed = end is End.NONE or entry.sent_s is None
-        answers = request.answers - entry.answers
-        self._recorder.tried(request.planned.number, entry.number, answers, unowed)
-        request.unsure |= unsure
-        cls = self._classes[request.planned.cls]
-        barred = cls.once and request.unsure
-        if end is not End.SERVED and request.tries <= self._retries.most and not barred:
-            self._again_at(now_s, request, after_s)
+        no_response_owed = outcome is Outcome.NONE or entry.sent_s is None
+        answers = request.answers - entry.answers_before
+        self._recorder.record_attempt(request.planned.number, entry.number, answers, no_response_owed)
+        request.may_have_run |= may_have_run
+        cls = self._classes[request.planned.class_name]
+        is_retry_forbidden = cls.once and request.may_have_run
+        if (
+            outcome is not Outcome.SERVED
+            and request.attempts <= self._retries.most
+            and not is_retry_forbidden
+        ):
+            self._schedule_retry(now_s, request, retry_after_s)
             return
-        if end is End.SERVED and now_s - request.planned.at_s > cls.aim_ms / 1000:
-            end = End.LATE
-        self._record(now_s, entry, end)
+        if outcome is Outcome.SERVED and now_s - request.planned.intended_s > cls.aim_ms / 1000:
+            outcome = Outcome.LATE
+        self._record(now_s, entry, outcome)
 
-    def _again_at(self, now_s: float, request: _Request, after_s: float | None) -> None:
+    def _schedule_retry(self, now_s: float, request: _Request, retry_after_s: float | None) -> None:
         """A client's own wait, or what Retry-After says where it is one that listens."""
-        wait = self._retries.wait_ms / 1000
+        wait_s = self._retries.wait_ms / 1000
         if self._retries.backoff is Backoff.NONE:
-            wait = 0.0
+            wait_s = 0.0
         elif self._retries.backoff is Backoff.EXPONENTIAL:
-            wait *= 2 ** (request.tries - 1)
-        wait *= self._rng.uniform(0.5, 1.0)
-        if after_s is not None and request.honours:
-            wait = max(wait, after_s)
-        self._count += 1
-        heapq.heappush(self._again, (now_s + wait, self._count, request))
-
-    def _record(self, now_s: float, entry: _Open, end: End) -> None:
+            wait_s *= 2 ** (request.attempts - 1)
+        wait_s *= self._rng.uniform(0.5, 1.0)
+        if retry_after_s is not None and request.honours_retry_after:
+            wait_s = max(wait_s, retry_after_s)
+        self._last_ident += 1
+        heapq.heappush(self._retry_queue, (now_s + wait_s, self._last_ident, request))
+
+    def _record(self, now_s: float, entry: _OpenAttempt, outcome: Outcome) -> None:
         request, planned = entry.request, entry.request.planned
-        began = entry.sent_s if entry.sent_s is not None else now_s
-        self._recorder.record(
-            Record(
+        started_s = entry.sent_s if entry.sent_s is not None else now_s
+        self._recorder.record_request(
+            RequestRecord(
                 planned,
-                end,
+                outcome,
                 now_s,
-                now_s - planned.at_s,
-                now_s - began,
-                request.tries,
+                now_s - planned.intended_s,
+                now_s - started_s,
+                request.attempts,
                 request.answers,
-                self._watch.sound(planned.at_s, now_s),
+                self._health.is_sound(planned.intended_s, now_s),
             )
         )
--- a/basaltpoint/load/health.py
+++ b/basaltpoint/load/health.py
@@ -10,64 +10,70 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spell:
+class UnsoundInterval:
     """Numbers of this time don't count. Seconds from the run's start."""
 
     from_s: float
     to_s: float
-    why: str
+    reason: str
 
-    def touches(self, from_s: float, to_s: float) -> bool:
+    def overlaps(self, from_s: float, to_s: float) -> bool:
         return self.from_s <= to_s and from_s <= self.to_s
 
 
-class Watch:
+class HealthMonitor:
     """Notes turns of the loop, late sends and stolen time; keeps the spells they make, in order."""
 
-    def __init__(self, late_s: float, stall_s: float, steal: float) -> None:
-        self._late_s, self._stall_s, self._steal = late_s, stall_s, steal
-        self._last: float | None = None
-        self.spells: list[Spell] = []
+    def __init__(self, max_lateness_s: float, max_turn_gap_s: float, max_steal_fraction: float) -> None:
+        self._max_lateness_s, self._max_turn_gap_s, self._max_steal_fraction = (
+            max_lateness_s,
+            max_turn_gap_s,
+            max_steal_fraction,
+        )
+        self._last_turn_s: float | None = None
+        self.intervals: list[UnsoundInterval] = []
 
-    def beat(self, now_s: float) -> None:
+    def record_turn(self, now_s: float) -> None:
         """A turn of the loop; called first in every one, before anything is recorded in it."""
-        if self._last is not None and now_s - self._last > self._stall_s:
-            self._add(Spell(self._last, now_s, "the loop stood still"))
-        self._last = now_s
+        if self._last_turn_s is not None and now_s - self._last_turn_s > self._max_turn_gap_s:
+            self._add(UnsoundInterval(self._last_turn_s, now_s, "the loop stood still"))
+        self._last_turn_s = now_s
 
-    def sent(self, intended_s: float, now_s: float) -> None:
+    def record_send(self, intended_s: float, now_s: float) -> None:
         """A try went out."""
-        if now_s - intended_s > self._late_s:
-            self._add(Spell(intended_s, now_s, "sent late"))
+        if now_s - intended_s > self._max_lateness_s:
+            self._add(UnsoundInterval(intended_s, now_s, "sent late"))
 
-    def stolen(self, from_s: float, to_s: float, part: float) -> None:
+    def record_steal(self, from_s: float, to_s: float, fraction: float) -> None:
         """What part of the machine's time others took in between, as its counters say."""
-        if part > self._steal:
-            self._add(Spell(from_s, to_s, f"{part:.0%} of the machine's time was taken"))
+        if fraction > self._max_steal_fraction:
+            self._add(UnsoundInterval(from_s, to_s, f"{fraction:.0%} of the machine's time was taken"))
 
-    def _add(self, spell: Spell) -> None:
+    def _add(self, interval: UnsoundInterval) -> None:
         """Join it with the last one where they meet; the first reason names the whole."""
-        if self.spells and spell.touches(self.spells[-1].from_s, self.spells[-1].to_s):
-            last = self.spells.pop()
-            spell = Spell(min(last.from_s, spell.from_s), max(last.to_s, spell.to_s), last.why)
-        self.spells.append(spell)
-
-    def sound(self, from_s: float, to_s: float) -> bool:
+        if self.intervals and interval.overlaps(self.intervals[-1].from_s, self.intervals[-1].to_s):
+            last = self.intervals.pop()
+            interval = UnsoundInterval(
+                min(last.from_s, interval.from_s), max(last.to_s, interval.to_s), last.reason
+            )
+        self.intervals.append(interval)
+
+    def is_sound(self, from_s: float, to_s: float) -> bool:
         """Whether no spell touches this time. The latest come first: records come in order of ends."""
-        for spell in reversed(self.spells):
-            if spell.touches(from_s, to_s):
+        for interval in reversed(self.intervals):
+            if interval.overlaps(from_s, to_s):
                 return False
-            if spell.to_s < from_s:
+            if interval.to_s < from_s:
                 break
         return True
 
 
-def merged(groups: list[list[Spell]]) -> list[Spell]:
+def merge_intervals(groups: list[list[UnsoundInterval]]) -> list[UnsoundInterval]:
     """The spells of several processes as one list: where any was starved, the whole run's numbers are."""
-    made: list[Spell] = []
-    for spell in sorted((s for group in groups for s in group), key=lambda s: (s.from_s, s.to_s)):
-        if made and spell.touches(made[-1].from_s, made[-1].to_s):
-            last = made.pop()
-            spell = Spell(last.from_s, max(last.to_s, spell.to_s), last.why)
-        made.append(spell)
-    return made
+    result: list[UnsoundInterval] = []
+    for interval in sorted((s for group in groups for s in group), key=lambda s: (s.from_s, s.to_s)):
+        if result and interval.overlaps(result[-1].from_s, result[-1].to_s):
+            last = result.pop()
+            interval = UnsoundInterval(last.from_s, max(last.to_s, interval.to_s), last.reason)
+        result.append(interval)
+    return result
--- a/basaltpoint/load/ledger.py
+++ b/basaltpoint/load/ledger.py
@@ -11,11 +11,11 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-GRACE_S = 0.25  # after a drain was told nothing new may come
+DRAIN_GRACE_S = 0.25  # after a drain was told nothing new may come
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class ClientAttempt:
     """A try as its client saw it. A client's retry is another try."""
 
     ident: str
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Attempt:
+class ServerAttempt:
     """A message as a server saw it. `ended_s` is None while it is out."""
 
     ident: str  # of the try that it belongs to
@@ -44,43 +44,43 @@
 
     kind: str  # lost, doubled, two at once, ran twice, late drain
     ident: str
-    what: str
+    detail: str
 
 
 def audit(
-    asked: Iterable[Asked],
-    attempts: Iterable[Attempt],
-    drained: Mapping[str, float] | None = None,
-    grace_s: float = GRACE_S,
+    client_attempts: Iterable[ClientAttempt],
+    server_attempts: Iterable[ServerAttempt],
+    drained_at_s: Mapping[str, float] | None = None,
+    grace_s: float = DRAIN_GRACE_S,
 ) -> list[Finding]:
     """Every finding, in the order of kinds. `drained`: when the limiter was told of each server's drain."""
-    rows = sorted(attempts, key=lambda attempt: attempt.came_s)
-    findings = list(_answers(asked))
-    by_try: defaultdict[str, list[Attempt]] = defaultdict(list)
-    for attempt in rows:
-        by_try[attempt.ident].append(attempt)
-    for ident, own in by_try.items():
-        findings += _two_at_once(ident, own)
-    findings += _twice(rows)
-    for attempt in rows:
-        told = (drained or {}).get(attempt.server)
-        if told is not None and attempt.came_s > told + grace_s:
-            late = (attempt.came_s - told) * 1000
-            findings.append(Finding("late drain", attempt.ident, f"{attempt.server}, {late:.0f} ms after"))
+    ordered = sorted(server_attempts, key=lambda attempt: attempt.came_s)
+    findings = list(_audit_answers(client_attempts))
+    by_ident: defaultdict[str, list[ServerAttempt]] = defaultdict(list)
+    for attempt in ordered:
+        by_ident[attempt.ident].append(attempt)
+    for ident, attempts in by_ident.items():
+        findings += _audit_concurrency(ident, attempts)
+    findings += _audit_single_execution(ordered)
+    for attempt in ordered:
+        drain_s = (drained_at_s or {}).get(attempt.server)
+        if drain_s is not None and attempt.came_s > drain_s + grace_s:
+            late_ms = (attempt.came_s - drain_s) * 1000
+            findings.append(Finding("late drain", attempt.ident, f"{attempt.server}, {late_ms:.0f} ms after"))
     return findings
 
 
-def _answers(asked: Iterable[Asked]) -> Iterable[Finding]:
-    for one in asked:
-        if one.answers == 0 and not one.hung_up:
-            yield Finding("lost", one.ident, "no answer")
-        elif one.answers > 1:
-            yield Finding("doubled", one.ident, f"{one.answers} answers")
+def _audit_answers(client_attempts: Iterable[ClientAttempt]) -> Iterable[Finding]:
+    for attempt in client_attempts:
+        if attempt.answers == 0 and not attempt.hung_up:
+            yield Finding("lost", attempt.ident, "no answer")
+        elif attempt.answers > 1:
+            yield Finding("doubled", attempt.ident, f"{attempt.answers} answers")
 
 
-def _two_at_once(ident: str, own: list[Attempt]) -> Iterable[Finding]:
-    before, until = own[0], -math.inf
-    for attempt in own:
+def _audit_concurrency(ident: str, attempts: list[ServerAttempt]) -> Iterable[Finding]:
+    before, until = attempts[0], -math.inf
+    for attempt in attempts:
         if attempt.came_s < until:
             yield Finding("two at once", ident, f"{before.server} and {attempt.server}")
         end = math.inf if attempt.ended_s is None else attempt.ended_s
@@ -88,13 +88,13 @@
             before, until = attempt, end
 
 
-def _twice(rows: list[Attempt]) -> Iterable[Finding]:
+def _audit_single_execution(attempts: list[ServerAttempt]) -> Iterable[Finding]:
     """Work that must run once: by its key over all tries of a client, else by its try."""
-    ran: defaultdict[str, list[Attempt]] = defaultdict(list)
-    for attempt in rows:
+    ran: defaultdict[str, list[ServerAttempt]] = defaultdict(list)
+    for attempt in attempts:
         if attempt.ran and not attempt.repeat and (attempt.once or attempt.key):
             ran[attempt.key or attempt.ident].append(attempt)
-    for own in ran.values():
-        if len(own) > 1:
-            servers = " and ".join(attempt.server for attempt in own)
-            yield Finding("ran twice", own[0].ident, servers)
+    for executions in ran.values():
+        if len(executions) > 1:
+            servers = " and ".join(attempt.server for attempt in executions)
+            yield Finding("ran twice", executions[0].ident, servers)
--- a/basaltpoint/load/scenario.py
+++ b/basaltpoint/load/scenario.py
@@ -13,14 +13,14 @@
 from basaltpoint.config.schema import NAME_PATTERN, described
 
 
-class Process(Enum):
+class ArrivalProcess(Enum):
     """How arrivals lie in time."""
 
     POISSON = "poisson"
     CONSTANT = "constant"
 
 
-class Form(Enum):
+class RequestForm(Enum):
     """How a request is worded."""
 
     PLAIN = "plain"
@@ -35,7 +35,7 @@
     EXPONENTIAL = "exp"
 
 
-class Kind(Enum):
+class ShapeKind(Enum):
     """A shape in time."""
 
     RAMP = "ramp"  # from 1 to `factor` evenly, and it stays there to the end of the shape
@@ -48,7 +48,7 @@
 Name = Annotated[str, described("Its name.", pattern=NAME_PATTERN)]
 
 
-class Retries(msgspec.Struct, frozen=True, kw_only=True):
+class RetryTable(msgspec.Struct, frozen=True, kw_only=True):
     """`[retries]`: what a client does after a refusal, a failure or no answer."""
 
     most: Annotated[int, described("Further tries of one request.", ge=0, le=100)] = 0
@@ -63,7 +63,7 @@
     )
 
 
-class Bounds(msgspec.Struct, frozen=True, kw_only=True):
+class HealthTable(msgspec.Struct, frozen=True, kw_only=True):
     """`[health]`: from where on the generator's own numbers don't count."""
 
     late_ms: Annotated[
@@ -133,7 +133,7 @@
 class ShapeTable(msgspec.Struct, frozen=True, kw_only=True):
     """`[[shape]]`: a change of the rate; shapes at one time multiply."""
 
-    kind: Annotated[Kind, described("What kind.")]
+    kind: Annotated[ShapeKind, described("What kind.")]
     from_s: Annotated[float, described("Its start.", ge=0, le=1000000)] = 0.0
     to_s: Annotated[float, described("Its end; 0: that of the run.", ge=0, le=1000000)] = 0.0
     factor: Annotated[float, described("Times the rate.", ge=0, le=100000)] = 1.0
@@ -161,8 +161,8 @@
         int, described("Of all chance; the same seed asks the same.", ge=0, le=9223372036854775807)
     ] = 1
     duration_s: Annotated[float, described("Arrivals come for so long.", gt=0, le=1000000)] = 10.0
-    arrivals: Annotated[Process, described("How they lie in time.")] = Process.POISSON
-    form: Annotated[Form, described("How requests are worded.")] = Form.PLAIN
+    arrivals: Annotated[ArrivalProcess, described("How they lie in time.")] = ArrivalProcess.POISSON
+    form: Annotated[RequestForm, described("How requests are worded.")] = RequestForm.PLAIN
     key_header: Annotated[
         str, described("Header that brings an account's key (plain form).", pattern=r"^[A-Za-z0-9-]{1,64}$")
     ] = "X-Api-Key"
@@ -188,58 +188,60 @@
             "Most tries of each process without an answer; beyond, arrivals are missed.", ge=1, le=10000000
         ),
     ] = 100000
-    retries: Retries = Retries()
-    health: Bounds = Bounds()
+    retries: RetryTable = RetryTable()
+    health: HealthTable = HealthTable()
 
 
 def load(path: Path) -> Scenario:
     """Read and check; FileError with every problem."""
-    out = ProblemCollector(str(path))
-    scenario = decode(Scenario, load_toml(path), out)
+    problems = ProblemCollector(str(path))
+    scenario = decode(Scenario, load_toml(path), problems)
     if scenario is None:
-        raise FileError(out.problems)
-    _check(scenario, out)
-    out.raise_problems()
+        raise FileError(problems.problems)
+    _check(scenario, problems)
+    problems.raise_problems()
     return scenario
 
 
-def _check(scenario: Scenario, out: ProblemCollector) -> None:
+def _check(scenario: Scenario, problems: ProblemCollector) -> None:
     for key, rows in (("target", scenario.target), ("plan", scenario.plan), ("class", scenario.class_)):
         if not rows:
-            out.add(key, "none", "one at least")
+            problems.add(key, "none", "one at least")
     for at, text in enumerate(scenario.target):
         try:
             parse_address(text)
         except ConfigError:
-            out.add(f"target[{at}]", f"found {format_value(text)}", "IP:PORT")
+            problems.add(f"target[{at}]", f"found {format_value(text)}", "IP:PORT")
     for table, named in (("plan", scenario.plan), ("class", scenario.class_)):
         names = [row.name for row in named]
         for at, name in enumerate(names):
             if name in names[:at]:
-                out.add(f"{table}[{at}].name", f"found {format_value(name)} again", "each name once")
+                problems.add(f"{table}[{at}].name", f"found {format_value(name)} again", "each name once")
     plans = {plan.name: plan for plan in scenario.plan}
     for at, shape in enumerate(scenario.shape):
-        _check_shape(f"shape[{at}]", shape, plans, scenario.duration_s, out)
+        _check_shape(f"shape[{at}]", shape, plans, scenario.duration_s, problems)
 
 
 def _check_shape(
-    path: str, shape: ShapeTable, plans: dict[str, PlanTable], duration_s: float, out: ProblemCollector
+    path: str, shape: ShapeTable, plans: dict[str, PlanTable], duration_s: float, problems: ProblemCollector
 ) -> None:
     if shape.to_s and shape.to_s <= shape.from_s:
-        out.add(f"{path}.to_s", f"found {shape.to_s:g}", f"above from_s, {shape.from_s:g}, or 0")
+        problems.add(f"{path}.to_s", f"found {shape.to_s:g}", f"above from_s, {shape.from_s:g}, or 0")
     if shape.from_s >= duration_s:
-        out.add(f"{path}.from_s", f"found {shape.from_s:g}", f"below duration_s, {duration_s:g}")
+        problems.add(f"{path}.from_s", f"found {shape.from_s:g}", f"below duration_s, {duration_s:g}")
     if shape.plan and shape.plan not in plans:
-        out.add(
+        problems.add(
             f"{path}.plan",
             f"found {format_value(shape.plan)}, which is no plan",
             "one of " + ", ".join(plans),
         )
-    elif not shape.plan and shape.kind in (Kind.SURGE, Kind.RUNAWAY):
-        out.add(f"{path}.plan", "missing", "the name of a plan")
-    if shape.kind is Kind.RUNAWAY:
+    elif not shape.plan and shape.kind in (ShapeKind.SURGE, ShapeKind.RUNAWAY):
+        problems.add(f"{path}.plan", "missing", "the name of a plan")
+    if shape.kind is ShapeKind.RUNAWAY:
         if shape.rate <= 0:
-            out.add(f"{path}.rate", f"found {shape.rate:g}", "above 0 for a runaway")
+            problems.add(f"{path}.rate", f"found {shape.rate:g}", "above 0 for a runaway")
         if shape.plan in plans and shape.account >= plans[shape.plan].accounts:
-            most = plans[shape.plan].accounts - 1
-            out.add(f"{path}.account", f"found {shape.account}", f"up to {most}, an account of the plan")
+            last_account = plans[shape.plan].accounts - 1
+            problems.add(
+                f"{path}.account", f"found {shape.account}", f"up to {last_account}, an account of the plan"
+            )
--- a/basaltpoint/load/traces.py
+++ b/basaltpoint/load/traces.py
@@ -16,18 +16,18 @@
 from datetime import datetime
 from typing import BinaryIO
 
-from basaltpoint.load.arrivals import Planned
+from basaltpoint.load.arrivals import PlannedRequest
 from basaltpoint.load.scenario import ClassTable
 
-LONGEST_LINE = 64 * 1024  # bytes; of a longer one nothing is kept
-WINDOW = 10_000  # lines within which times that are out of order are put right
-SHOWN = 10  # bad lines that are told with their number
+MAX_LINE_BYTES = 64 * 1024  # bytes; of a longer one nothing is kept
+REORDER_WINDOW_LINES = 10_000  # lines within which times that are out of order are put right
+MAX_SHOWN_LINES = 10  # bad lines that are told with their number
 
-COMMON = re.compile(
+COMMON_PATTERN = re.compile(
     r"(?P<ip>\S+) \S+ (?P<user>\S+) \[(?P<time>[^\]]+)\] "
     r'"(?P<method>[A-Z]+) (?P<path>\S+)[^"]*" \d{3} (?P<bytes>\d+|-)'
 )
-ENVOY = re.compile(
+ENVOY_PATTERN = re.compile(
     r'\[(?P<time>[^\]]+)\] "(?P<method>[A-Z]+) (?P<path>\S+) [^"]*" \d+ \S+ '
     r'(?P<bytes>\d+) \d+ \d+ \S+ "(?P<ip>[^"]*)"'
 )
@@ -38,76 +38,82 @@
 
 
 @dataclass(slots=True)
-class Import:
+class ImportResult:
     """What became of a log's lines."""
 
     lines: int = 0
     kept: int = 0
-    moved: int = 0  # out of order, put right within the window
+    reordered: int = 0  # out of order, put right within the window
     clamped: int = 0  # out of order beyond it: taken at the time of the line before
-    bad: Counter[str] = field(default_factory=Counter)
+    rejected: Counter[str] = field(default_factory=Counter)
     shown: list[str] = field(default_factory=list)
 
-    def reject(self, why: str) -> None:
-        self.bad[why] += 1
-        if len(self.shown) < SHOWN:
-            self.shown.append(f"line {self.lines}: {why}")
+    def reject(self, reason: str) -> None:
+        self.rejected[reason] += 1
+        if len(self.shown) < MAX_SHOWN_LINES:
+            self.shown.append(f"line {self.lines}: {reason}")
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class TraceRow:
     """One request of a trace."""
 
-    t: float
+    time_s: float
     method: str
     path: str
     account: str = ""
-    cls: str = ""
-    size: int = 0
-
-    def line(self) -> bytes:
-        raw: dict[str, object] = {"t": round(self.t, 6), "method": self.method, "path": self.path}
-        raw |= {k: v for k, v in (("account", self.account), ("class", self.cls), ("bytes", self.size)) if v}
+    class_name: str = ""
+    body_bytes: int = 0
+
+    def to_line(self) -> bytes:
+        raw: dict[str, object] = {"t": round(self.time_s, 6), "method": self.method, "path": self.path}
+        raw |= {
+            k: v
+            for k, v in (("account", self.account), ("class", self.class_name), ("bytes", self.body_bytes))
+            if v
+        }
         return json.dumps(raw).encode() + b"\n"
 
 
-def lines_of(file: BinaryIO, done: Import) -> Iterator[str]:
+def read_lines(file: BinaryIO, result: ImportResult) -> Iterator[str]:
     """The lines of a file; one that is too long is counted and skipped without being held."""
-    while piece := file.readline(LONGEST_LINE + 1):
-        done.lines += 1
-        if len(piece) > LONGEST_LINE and not piece.endswith(b"\n"):
-            while (piece := file.readline(LONGEST_LINE)) and not piece.endswith(b"\n"):
+    while piece := file.readline(MAX_LINE_BYTES + 1):
+        result.lines += 1
+        if len(piece) > MAX_LINE_BYTES and not piece.endswith(b"\n"):
+            while (piece := file.readline(MAX_LINE_BYTES)) and not piece.endswith(b"\n"):
                 pass
-            done.reject(f"longer than {LONGEST_LINE} bytes")
+            result.reject(f"longer than {MAX_LINE_BYTES} bytes")
             continue
         yield piece.decode("utf-8", "replace").rstrip("\r\n")
 
 
-def hashed(account: str, salt: bytes) -> str:
+def hash_account(account: str, salt: bytes) -> str:
     """An account's name as a trace holds it; the same name and salt give the same."""
     return hashlib.blake2b(account.encode(), key=salt[:64], digest_size=8).hexdigest()
 
 
 # --- Formats ---------------------------------------------------------------------------------------
-def _from_log(pattern: re.Pattern[str], when: Callable[[str], float], by: str, line: str) -> Row:
+def _parse_log_line(
+    pattern: re.Pattern[str], parse_time: Callable[[str], float], account_field: str, line: str
+) -> TraceRow:
     match = pattern.match(line)
     if match is None:
         raise TraceError("not of this format")
     try:
-        at = when(match["time"])
+        at = parse_time(match["time"])
     except ValueError:
         raise TraceError(f"no time: {match['time'][:40]!r}") from None
     groups = match.groupdict()
-    who = groups.get(by) or groups["ip"]
+    account = groups.get(account_field) or groups["ip"]
     size = groups["bytes"]
-    sends = match["method"] in ("POST", "PUT", "PATCH")
-    return Row(
+    has_body = match["method"] in ("POST", "PUT", "PATCH")
+    return TraceRow(
         at,
         match["method"],
         match["path"],
-        "" if who == "-" else who,
+        "" if account == "-" else account,
         "",
-        int(size) if sends and size.isdigit() else 0,
+        int(size) if has_body and size.isdigit() else 0,
     )
 
 
@@ -119,17 +125,17 @@
     return datetime.fromisoformat(text).timestamp()
 
 
-def common(line: str, by: str = "user") -> Row:
+def parse_common(line: str, account_field: str = "user") -> TraceRow:
     """A line of the common or combined log format, which nginx writes, too."""
-    return _from_log(COMMON, _common_time, by, line)
+    return _parse_log_line(COMMON_PATTERN, _common_time, account_field, line)
 
 
-def envoy(line: str, by: str = "ip") -> Row:
+def parse_envoy(line: str, account_field: str = "ip") -> TraceRow:
     """A line of Envoy's default access log."""
-    return _from_log(ENVOY, _iso_time, by, line)
+    return _parse_log_line(ENVOY_PATTERN, _iso_time, account_field, line)
 
 
-def own(line: str, by: str = "") -> Row:
+def parse_trace(line: str, account_field: str = "") -> TraceRow:
     """A line of this project's own traces."""
     try:
         raw = json.loads(line)
@@ -145,7 +151,7 @@
     size = raw.get("bytes", 0)
     if isinstance(size, bool) or not isinstance(size, int) or size < 0:
         raise TraceError("bytes is no whole number")
-    return Row(
+    return TraceRow(
         float(raw["t"]),
         raw["method"],
         raw["path"],
@@ -155,73 +161,86 @@
     )
 
 
-FORMATS: dict[str, Callable[..., Row]] = {"common": common, "nginx": common, "envoy": envoy, "own": own}
+FORMATS: dict[str, Callable[..., TraceRow]] = {
+    "common": parse_common,
+    "nginx": parse_common,
+    "envoy": parse_envoy,
+    "own": parse_trace,
+}
 
 
-def read(file: BinaryIO, kind: str, done: Import, by: str | None = None) -> Iterator[Row]:
+def read(
+    file: BinaryIO, log_format: str, result: ImportResult, account_field: str | None = None
+) -> Iterator[TraceRow]:
     """The rows of a log in the order of their times, as far as the window reaches."""
-    parse = FORMATS[kind]
-    heap: list[tuple[float, int, Row]] = []
+    parse = FORMATS[log_format]
+    heap: list[tuple[float, int, TraceRow]] = []
     last, newest = -1e300, -1e300
-    for line in lines_of(file, done):
+    for line in read_lines(file, result):
         if not line.strip():
             continue
         try:
-            row = parse(line, by) if by else parse(line)
+            row = parse(line, account_field) if account_field else parse(line)
         except TraceError as error:
-            done.reject(str(error))
+            result.reject(str(error))
             continue
-        done.kept += 1
-        done.moved += row.t < newest
-        newest = max(newest, row.t)
-        heapq.heappush(heap, (row.t, done.lines, row))
-        if len(heap) > WINDOW:
-            last, row = _pop(heap, last, done)
+        result.kept += 1
+        result.reordered += row.time_s < newest
+        newest = max(newest, row.time_s)
+        heapq.heappush(heap, (row.time_s, result.lines, row))
+        if len(heap) > REORDER_WINDOW_LINES:
+            last, row = _pop(heap, last, result)
             yield row
     while heap:
-        last, row = _pop(heap, last, done)
+        last, row = _pop(heap, last, result)
         yield row
 
 
-def _pop(heap: list[tuple[float, int, Row]], last: float, done: Import) -> tuple[float, Row]:
-    t, _, row = heapq.heappop(heap)
-    if t < last:
-        done.clamped += 1
-        row = Row(last, row.method, row.path, row.account, row.cls, row.size)
-    return row.t, row
+def _pop(
+    heap: list[tuple[float, int, TraceRow]], last_s: float, result: ImportResult
+) -> tuple[float, TraceRow]:
+    time_s, _, row = heapq.heappop(heap)
+    if time_s < last_s:
+        result.clamped += 1
+        row = TraceRow(last_s, row.method, row.path, row.account, row.class_name, row.body_bytes)
+    return row.time_s, row
 
 
-def convert(source: BinaryIO, sink: BinaryIO, kind: str, salt: bytes, by: str | None = None) -> Import:
+def convert(
+    source: BinaryIO, sink: BinaryIO, log_format: str, salt: bytes, account_field: str | None = None
+) -> ImportResult:
     """A log to a trace, its accounts hashed."""
-    done = Import()
-    for row in read(source, kind, done, by):
-        account = hashed(row.account, salt) if row.account else ""
-        sink.write(Row(row.t, row.method, row.path, account, row.cls, row.size).line())
-    return done
+    result = ImportResult()
+    for row in read(source, log_format, result, account_field):
+        account = hash_account(row.account, salt) if row.account else ""
+        sink.write(
+            TraceRow(row.time_s, row.method, row.path, account, row.class_name, row.body_bytes).to_line()
+        )
+    return result
 
 
 # --- Replay ------------------------------------------------------------------------------------------
 def replay(
-    rows: Iterable[Row], factor: float, classes: dict[str, ClassTable], plan: str = "trace"
-) -> Iterator[Planned]:
+    rows: Iterable[TraceRow], factor: float, classes: dict[str, ClassTable], plan: str = "trace"
+) -> Iterator[PlannedRequest]:
     """The trace's arrivals at `factor` times its speed; gaps are kept, shorter by the factor."""
     start: float | None = None
     first = next(iter(classes))
     for number, row in enumerate(rows):
-        start = row.t if start is None else start
-        cls = row.cls if row.cls in classes else _class_of(row, classes, first)
-        yield Planned(
+        start = row.time_s if start is None else start
+        cls = row.class_name if row.class_name in classes else _class_of(row, classes, first)
+        yield PlannedRequest(
             number,
-            (row.t - start) / factor,
+            (row.time_s - start) / factor,
             plan,
             cls,
             row.account or "anonymous",
             row.method,
             row.path,
-            row.size,
+            row.body_bytes,
         )
 
 
-def _class_of(row: Row, classes: dict[str, ClassTable], first: str) -> str:
+def _class_of(row: TraceRow, classes: dict[str, ClassTable], first: str) -> str:
     """The first class with this method, else the first of all."""
     return next((name for name, cls in classes.items() if cls.method == row.method), first)
--- a/basaltpoint/load/wire.py
+++ b/basaltpoint/load/wire.py
@@ -11,12 +11,12 @@
 
 import httptools
 
-from basaltpoint.load.arrivals import Planned
-from basaltpoint.load.driver import Try
-from basaltpoint.load.scenario import ClassTable, Form, Scenario
+from basaltpoint.load.arrivals import PlannedRequest
+from basaltpoint.load.driver import Attempt
+from basaltpoint.load.scenario import ClassTable, RequestForm, Scenario
 
 
-class Wording:
+class RequestFormatter:
     """How a try is written, by the scenario's form."""
 
     def __init__(self, scenario: Scenario, run: str) -> None:
@@ -25,53 +25,53 @@
         self._spread = {plan.name: plan.spread for plan in scenario.plan}
         self._run = run  # goes into ids, so that two runs against one server differ
 
-    def ident(self, one: Try) -> str:
+    def attempt_id(self, attempt: Attempt) -> str:
         """The try's id on the wire and in the ledger."""
-        return f"{self._run}-{one.planned.number}-{one.number}"
+        return f"{self._run}-{attempt.planned.number}-{attempt.number}"
 
-    def message(self, one: Try, now_s: float) -> bytes:
-        planned, cls = one.planned, self._classes[one.planned.cls]
-        rows = [f"{planned.method} {planned.path} HTTP/1.1"]
-        if self._scenario.form is Form.PLATFORM:
-            rows += self._platform(one, cls, now_s)
+    def format_request(self, attempt: Attempt, now_s: float) -> bytes:
+        planned, cls = attempt.planned, self._classes[attempt.planned.class_name]
+        lines = [f"{planned.method} {planned.path} HTTP/1.1"]
+        if self._scenario.form is RequestForm.PLATFORM:
+            lines += self._platform_headers(attempt, cls, now_s)
         else:
-            rows += ["Host: load", f"{self._scenario.key_header}: {planned.account}"]
-            rows.append(f"{self._scenario.id_header}: {self.ident(one)}")
+            lines += ["Host: load", f"{self._scenario.key_header}: {planned.account}"]
+            lines.append(f"{self._scenario.id_header}: {self.attempt_id(attempt)}")
         if cls.key_header:
-            rows.append(f"{cls.key_header}: {self._run}-{planned.number}")
+            lines.append(f"{cls.key_header}: {self._run}-{planned.number}")
         if planned.body_bytes or planned.method in ("POST", "PUT", "PATCH"):
-            rows.append(f"Content-Length: {planned.body_bytes}")
-        return "\r\n".join([*rows, "", ""]).encode() + b"x" * planned.body_bytes
+            lines.append(f"Content-Length: {planned.body_bytes}")
+        return "\r\n".join([*lines, "", ""]).encode() + b"x" * planned.body_bytes
 
-    def _platform(self, one: Try, cls: ClassTable, now_s: float) -> list[str]:
-        planned = one.planned
+    def _platform_headers(self, attempt: Attempt, cls: ClassTable, now_s: float) -> list[str]:
+        planned = attempt.planned
         spread = self._spread.get(planned.plan, 1)
         return [
             "Host: backend.local",
-            f"Req-Id: {self.ident(one)}",
-            f"Req-Kind: {planned.cls}",
+            f"Req-Id: {self.attempt_id(attempt)}",
+            f"Req-Kind: {planned.class_name}",
             f"X-Tier: {planned.plan}",
-            f"X-Api-Key: {customer(planned):016x}",
-            f"Req-Deadline: {max(0.001, one.give_up_s - now_s):.3f}",
+            f"X-Api-Key: {customer_number(planned):016x}",
+            f"Req-Deadline: {max(0.001, attempt.give_up_s - now_s):.3f}",
             f"X-Call-Terms: units={cls.units},spread={spread},first=0",
         ]
 
 
-def customer(planned: Planned) -> int:
+def customer_number(planned: PlannedRequest) -> int:
     """A number below 2**33 for an account's name, as the platform's form wants it."""
     return int.from_bytes(hashlib.blake2b(planned.account.encode(), digest_size=8).digest()) % (1 << 33)
 
 
-class Link(asyncio.Protocol):
+class Connection(asyncio.Protocol):
     """One connection."""
 
-    def __init__(self, links: Links) -> None:
-        self._links = links
+    def __init__(self, pool: ConnectionPool) -> None:
+        self._pool = pool
         self._parser = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
         self._retry_after: float | None = None
         self._head_only = False
-        self._begun = False  # some of the answer has come
+        self._response_begun = False  # some of the answer has come
         self.ident: int | None = None  # of the try that is out on it
         self.label = ""  # that of the last try, as the ledger has it
         self.closed = False
@@ -83,7 +83,7 @@
         assert self._transport
         self.label = label
         self.ident, self._retry_after, self._head_only = ident, None, head_only
-        self._begun = False
+        self._response_begun = False
         self._transport.write(raw)
 
     def abort(self) -> None:
@@ -93,11 +93,11 @@
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        self._begun = True
+        self._response_begun = True
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
-            self._broken()
+            self._fail()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if name.lower() == b"retry-after":
@@ -108,92 +108,92 @@
 
     def on_headers_complete(self) -> None:
         if self._head_only and self._parser.get_status_code() >= 200:
-            self._whole(keep=False)  # the parser would wait for a body that never comes
+            self._response_complete(keep_alive=False)  # the parser would wait for a body that never comes
 
     def on_message_complete(self) -> None:
         if self._parser.get_status_code() >= 200 and not self._head_only:
-            self._whole(self._parser.should_keep_alive())
+            self._response_complete(self._parser.should_keep_alive())
 
-    def _whole(self, keep: bool) -> None:
+    def _response_complete(self, keep_alive: bool) -> None:
         ident, self.ident = self.ident, None
         code, after = self._parser.get_status_code(), self._retry_after
         if ident is None:
-            self._links.on_stray(self.label)
+            self._pool.on_extra_response(self.label)
             self.abort()
             return
-        if keep:
-            self._links.free.append(self)
+        if keep_alive:
+            self._pool.free.append(self)
         else:
             self.abort()
-        self._links.on_answer(ident, code, after)
+        self._pool.on_response(ident, code, after)
 
-    def _broken(self) -> None:
+    def _fail(self) -> None:
         ident, self.ident = self.ident, None
         self.abort()
         if ident is not None:
-            self._links.on_broken(ident, self._begun)
+            self._pool.on_lost(ident, self._response_begun)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
-        self._links.lost(self)
-        self._broken()
+        self._pool.connection_closed(self)
+        self._fail()
         del self._parser
 
 
-class Links:
+class ConnectionPool:
     """The connections of a worker to its targets, bounded; targets take new connections in turn."""
 
     def __init__(
         self,
         targets: list[tuple[str, int]],
-        most: int,
-        on_answer: Callable[[int, int, float | None], None],
-        on_broken: Callable[[int, bool], None],
-        on_stray: Callable[[str], None],
+        max_connections: int,
+        on_response: Callable[[int, int, float | None], None],
+        on_lost: Callable[[int, bool], None],
+        on_extra_response: Callable[[str], None],
     ) -> None:
         self._targets = targets
-        self._turn = 0
-        self._most = most
-        self.on_answer, self.on_broken, self.on_stray = on_answer, on_broken, on_stray
-        self.free: deque[Link] = deque()
-        self.open = 0
-        self._links: set[Link] = set()
-
-    def take(self) -> Link | None:
+        self._next_target = 0
+        self._max_connections = max_connections
+        self.on_response, self.on_lost, self.on_extra_response = on_response, on_lost, on_extra_response
+        self.free: deque[Connection] = deque()
+        self.open_count = 0
+        self._connections: set[Connection] = set()
+
+    def take_free(self) -> Connection | None:
         """A connection that is free now."""
         while self.free:
-            link = self.free.pop()
-            if not link.closed:
-                return link
+            connection = self.free.pop()
+            if not connection.closed:
+                return connection
         return None
 
     @property
-    def full(self) -> bool:
-        return self.open >= self._most
+    def is_full(self) -> bool:
+        return self.open_count >= self._max_connections
 
-    async def connect(self) -> Link:
+    async def connect(self) -> Connection:
         """Another connection; OSError where there can be none."""
-        self._turn += 1
-        self.open += 1
-        link = Link(self)
+        self._next_target += 1
+        self.open_count += 1
+        connection = Connection(self)
         try:
             await asyncio.get_running_loop().create_connection(
-                lambda: link, *self._targets[self._turn % len(self._targets)]
+                lambda: connection, *self._targets[self._next_target % len(self._targets)]
             )
         except BaseException:
-            self.open -= 1
+            self.open_count -= 1
             raise
-        if link.closed:  # lost before it was ours
-            self.open -= 1
+        if connection.closed:  # lost before it was ours
+            self.open_count -= 1
             raise ConnectionResetError(errno.ECONNRESET, "the connection broke at its start")
-        self._links.add(link)
-        return link
+        self._connections.add(connection)
+        return connection
 
-    def lost(self, link: Link) -> None:
-        if link in self._links:
-            self._links.discard(link)
-            self.open -= 1
+    def connection_closed(self, connection: Connection) -> None:
+        if connection in self._connections:
+            self._connections.discard(connection)
+            self.open_count -= 1
 
     def close(self) -> None:
-        for link in list(self._links):
-            link.abort()
+        for connection in list(self._connections):
+            connection.abort()
--- a/basaltpoint/load/worker.py
+++ b/basaltpoint/load/worker.py
@@ -17,19 +17,19 @@
 
 from basaltpoint.config.address import parse_address
 from basaltpoint.load import arrivals, scenario, traces
-from basaltpoint.load.arrivals import Planned
-from basaltpoint.load.driver import Driver, GiveUp, Try
-from basaltpoint.load.health import Watch
+from basaltpoint.load.arrivals import PlannedRequest
+from basaltpoint.load.driver import AbandonAttempt, Attempt, Driver
+from basaltpoint.load.health import HealthMonitor
 from basaltpoint.load.scenario import Scenario
 from basaltpoint.load.stats import Stats
-from basaltpoint.load.wire import Link, Links, Wording
+from basaltpoint.load.wire import Connection, ConnectionPool, RequestFormatter
 
-BEAT_S = 0.005  # between looks at whether the loop turns
-NO_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
+TURN_CHECK_INTERVAL_S = 0.005  # between looks at whether the loop turns
+LOCAL_RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class WorkerTask:
     """What this process has to do."""
 
     scenario: str
@@ -42,17 +42,17 @@
     ledger: str = ""
 
 
-class Recording(Stats):
+class LedgerStats(Stats):
     """Figures, and the ledger's lines where one is kept."""
 
     def __init__(self, run: str, ledger: BinaryIO | None) -> None:
         super().__init__()
         self._run, self._ledger = run, ledger
 
-    def tried(self, request: int, number: int, answers: int, hung_up: bool) -> None:
-        self.note(f"{self._run}-{request}-{number}", answers, hung_up)
+    def record_attempt(self, request: int, number: int, answers: int, hung_up: bool) -> None:
+        self.write_ledger(f"{self._run}-{request}-{number}", answers, hung_up)
 
-    def note(self, ident: str, answers: int, hung_up: bool) -> None:
+    def write_ledger(self, ident: str, answers: int, hung_up: bool) -> None:
         if self._ledger:
             raw = {"ident": ident, "answers": answers, "hung_up": hung_up}
             self._ledger.write(json.dumps(raw).encode() + b"\n")
@@ -61,60 +61,70 @@
 class Worker:
     """The driver's shell."""
 
-    def __init__(self, setup: Scenario, requests: Iterator[Planned], part: Part, stats: Recording) -> None:
-        bounds = setup.health
+    def __init__(
+        self, settings: Scenario, requests: Iterator[PlannedRequest], task: WorkerTask, stats: LedgerStats
+    ) -> None:
+        health_limits = settings.health
         self.stats = stats
-        self.watch = Watch(bounds.late_ms / 1000, bounds.stall_ms / 1000, bounds.steal)
-        classes = {cls.name: cls for cls in setup.class_}
-        seed = setup.seed * 1009 + part.part
-        self.driver = Driver(requests, classes, setup.retries, self.watch, stats, seed, setup.in_flight)
-        self._start = part.start
-        self._wording = Wording(setup, part.run)
-        targets = [parse_address(text) for text in setup.target]
-        turned = part.part % len(targets)
-        self._links = Links(
-            targets[turned:] + targets[:turned], setup.connections, self._answered, self._broken, self._stray
+        self.health = HealthMonitor(
+            health_limits.late_ms / 1000, health_limits.stall_ms / 1000, health_limits.steal
         )
-        self._out: dict[int, Link] = {}
+        classes = {cls.name: cls for cls in settings.class_}
+        seed = settings.seed * 1009 + task.part
+        self.driver = Driver(
+            requests, classes, settings.retries, self.health, stats, seed, settings.in_flight
+        )
+        self._start = task.start
+        self._formatter = RequestFormatter(settings, task.run)
+        targets = [parse_address(text) for text in settings.target]
+        first_target = task.part % len(targets)
+        self._pool = ConnectionPool(
+            targets[first_target:] + targets[:first_target],
+            settings.connections,
+            self._response_received,
+            self._connection_lost,
+            self._extra_response,
+        )
+        self._busy_connections: dict[int, Connection] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = 0.0  # of the loop: a handle that is due at once tells no time
         self._tasks: set[asyncio.Task[None]] = set()
         self._ended = asyncio.Event()
-        self._machine = machine_times()
-        self._looked = 0.0
+        self._host_times = host_cpu_times()
+        self._last_report_s = 0.0
 
-    def now(self) -> float:
+    def now_s(self) -> float:
         return monotonic() - self._start
 
     async def run(self) -> None:
         """Until every request is over."""
         loop = asyncio.get_running_loop()
-        await asyncio.sleep(max(0.0, -self.now()))
-        self._looked = self.now()
-        beat = loop.create_task(self._beats())
+        await asyncio.sleep(max(0.0, -self.now_s()))
+        self._last_report_s = self.now_s()
+        beat = loop.create_task(self._run_turn_checks())
         self._tick()
         await self._ended.wait()
         beat.cancel()
-        self._links.close()
-        self.stats.spells = self.watch.spells
+        self._pool.close()
+        self.stats.unsound_intervals = self.health.intervals
 
-    async def _beats(self) -> None:
+    async def _run_turn_checks(self) -> None:
         while True:
-            now = self.now()
-            self.watch.beat(now)
-            if now - self._looked >= 1.0:
-                self._look(now)
-            await asyncio.sleep(BEAT_S)
+            now = self.now_s()
+            self.health.record_turn(now)
+            if now - self._last_report_s >= 1.0:
+                self._report_progress(now)
+            await asyncio.sleep(TURN_CHECK_INTERVAL_S)
 
-    def _look(self, now: float) -> None:
+    def _report_progress(self, now: float) -> None:
         """Once a second: what others took of the machine, and a line of progress."""
-        times = machine_times()
-        total = sum(times) - sum(self._machine)
+        times = host_cpu_times()
+        total = sum(times) - sum(self._host_times)
         if total > 0 and len(times) > 7:
-            self.watch.stolen(self._looked, now, (times[7] - self._machine[7]) / total)
-        self._machine, self._looked = times, now
-        ends = {"asked": self.driver.asked, "open": self.driver.in_flight, "at": round(now, 1)}
-        for row in self.stats.ends.values():
+            self.health.record_steal(self._last_report_s, now, (times[7] - self._host_times[7]) / total)
+        self._host_times, self._last_report_s = times, now
+        ends = {"asked": self.driver.started_requests, "open": self.driver.in_flight, "at": round(now, 1)}
+        for row in self.stats.outcomes.values():
             for name, count in row.items():
                 ends[name] = ends.get(name, 0) + count
         print(json.dumps({"progress": ends}), flush=True)
@@ -122,81 +132,83 @@
     # --- The driver's turns ------------------------------------------------------------------------
     def _tick(self) -> None:
         self._timer = None
-        for action in self.driver.tick(self.now()):
-            if isinstance(action, Try):
-                self._send(action)
+        for action in self.driver.tick(self.now_s()):
+            if isinstance(action, Attempt):
+                self._start_attempt(action)
             else:
-                self._give_up(action)
-        self._arm()
+                self._abandon(action)
+        self._schedule_tick()
 
-    def _arm(self) -> None:
+    def _schedule_tick(self) -> None:
         """Be called when the driver is next due; a turn that is due now follows at once."""
-        if self.driver.done:
+        if self.driver.is_finished:
             self._ended.set()
             return
         due = self.driver.next_s
         if due is None:
             return  # connections that come up will go on
         loop = asyncio.get_running_loop()
-        when = loop.time() + max(0.0, due - self.now())
+        when = loop.time() + max(0.0, due - self.now_s())
         if self._timer is None or when < self._timer_at:
             if self._timer:
                 self._timer.cancel()
             self._timer_at, self._timer = when, loop.call_at(when, self._tick)
 
-    def _send(self, one: Try) -> None:
-        link = self._links.take()
-        if link is not None:
-            self._write(link, one)
-        elif self._links.full:
-            self.driver.missed(self.now(), one.ident, "all connections are in use")
+    def _start_attempt(self, attempt: Attempt) -> None:
+        connection = self._pool.take_free()
+        if connection is not None:
+            self._write(connection, attempt)
+        elif self._pool.is_full:
+            self.driver.attempt_missed(self.now_s(), attempt.ident, "all connections are in use")
         else:
-            task = asyncio.get_running_loop().create_task(self._connect(one))
+            task = asyncio.get_running_loop().create_task(self._connect(attempt))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _connect(self, one: Try) -> None:
+    async def _connect(self, attempt: Attempt) -> None:
         try:
-            link = await self._links.connect()
+            connection = await self._pool.connect()
         except OSError as error:
-            if error.errno in NO_DESCRIPTORS:
-                self.driver.missed(self.now(), one.ident, error.strerror or "no descriptor")
+            if error.errno in LOCAL_RESOURCE_ERRORS:
+                self.driver.attempt_missed(self.now_s(), attempt.ident, error.strerror or "no descriptor")
             else:
-                self.driver.broken(self.now(), one.ident)
+                self.driver.connection_lost(self.now_s(), attempt.ident)
         else:
-            if self.driver.waits(one.ident):
-                self._write(link, one)
+            if self.driver.is_open(attempt.ident):
+                self._write(connection, attempt)
             else:
-                self._links.free.append(link)
-        self._arm()
-
-    def _write(self, link: Link, one: Try) -> None:
-        now = self.now()
-        self._out[one.ident] = link
-        message = self._wording.message(one, now)
-        link.send(one.ident, self._wording.ident(one), message, one.planned.method == "HEAD")
-        self.driver.sent(self.now(), one.ident)
+                self._pool.free.append(connection)
+        self._schedule_tick()
+
+    def _write(self, connection: Connection, attempt: Attempt) -> None:
+        now = self.now_s()
+        self._busy_connections[attempt.ident] = connection
+        message = self._formatter.format_request(attempt, now)
+        connection.send(
+            attempt.ident, self._formatter.attempt_id(attempt), message, attempt.planned.method == "HEAD"
+        )
+        self.driver.attempt_sent(self.now_s(), attempt.ident)
 
-    def _give_up(self, one: GiveUp) -> None:
-        if link := self._out.pop(one.ident, None):
-            link.abort()
+    def _abandon(self, action: AbandonAttempt) -> None:
+        if connection := self._busy_connections.pop(action.ident, None):
+            connection.abort()
 
-    def _answered(self, ident: int, code: int, after: float | None) -> None:
-        self._out.pop(ident, None)
-        self.driver.answered(self.now(), ident, code, after)
-        self._arm()
+    def _response_received(self, ident: int, code: int, retry_after_s: float | None) -> None:
+        self._busy_connections.pop(ident, None)
+        self.driver.response_received(self.now_s(), ident, code, retry_after_s)
+        self._schedule_tick()
 
-    def _broken(self, ident: int, begun: bool) -> None:
-        self._out.pop(ident, None)
-        self.driver.broken(self.now(), ident, begun)
-        self._arm()
+    def _connection_lost(self, ident: int, response_begun: bool) -> None:
+        self._busy_connections.pop(ident, None)
+        self.driver.connection_lost(self.now_s(), ident, response_begun)
+        self._schedule_tick()
 
-    def _stray(self, label: str) -> None:
-        self.stats.odd(label, "a second answer")
-        self.stats.note(label, 1, False)
+    def _extra_response(self, label: str) -> None:
+        self.stats.record_anomaly(label, "a second answer")
+        self.stats.write_ledger(label, 1, False)
 
 
-def machine_times() -> list[int]:
+def host_cpu_times() -> list[int]:
     """The machine's times by kind, in ticks; the eighth is what others took (proc(5), steal)."""
     try:
         return [int(field) for field in Path("/proc/stat").read_text().split("\n", 1)[0].split()[1:9]]
@@ -204,21 +216,21 @@
         return []
 
 
-def requests_of(setup: Scenario, part: Part) -> Iterator[Planned]:
+def assigned_requests(settings: Scenario, task: WorkerTask) -> Iterator[PlannedRequest]:
     """This process's share of the scenario's arrivals, or of a trace."""
-    if not part.trace:
-        return arrivals.share_of(arrivals.planned(setup), part.part, part.parts)
-    classes = {cls.name: cls for cls in setup.class_}
-    source = open(part.trace, "rb")  # noqa: SIM115, it is read as the run goes on
-    rows = traces.read(source, "own", traces.Import())
-    return arrivals.share_of(traces.replay(rows, part.factor, classes), part.part, part.parts)
-
-
-async def _play(part: Part) -> Stats:
-    setup = scenario.load(Path(part.scenario))
-    ledger = open(part.ledger, "ab", buffering=1 << 16) if part.ledger else None  # noqa: SIM115
-    stats = Recording(part.run, ledger)
-    worker = Worker(setup, requests_of(setup, part), part, stats)
+    if not task.trace:
+        return arrivals.worker_share(arrivals.planned_requests(settings), task.part, task.parts)
+    classes = {cls.name: cls for cls in settings.class_}
+    source = open(task.trace, "rb")  # noqa: SIM115, it is read as the run goes on
+    rows = traces.read(source, "own", traces.ImportResult())
+    return arrivals.worker_share(traces.replay(rows, task.factor, classes), task.part, task.parts)
+
+
+async def _run_task(task: WorkerTask) -> Stats:
+    settings = scenario.load(Path(task.scenario))
+    ledger = open(task.ledger, "ab", buffering=1 << 16) if task.ledger else None  # noqa: SIM115
+    stats = LedgerStats(task.run, ledger)
+    worker = Worker(settings, assigned_requests(settings, task), task, stats)
     gc.freeze()
     await worker.run()
     if ledger:
@@ -228,8 +240,8 @@
 
 def main() -> int:
     """A part's description on standard input, its progress and figures on standard output."""
-    part = Part(**json.loads(sys.stdin.readline()))
+    task = WorkerTask(**json.loads(sys.stdin.readline()))
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        stats = runner.run(_play(part))
+        stats = runner.run(_run_task(task))
     print(json.dumps({"stats": stats.pack()}), flush=True)
     return 0
--- a/basaltpoint/rehearsal/checks.py
+++ b/basaltpoint/rehearsal/checks.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from basaltpoint.load.ledger import Attempt
+from basaltpoint.load.ledger import ServerAttempt
 from basaltpoint.rehearsal.events import Finding, Life, Saw, Told
 from basaltpoint.rehearsal.faults import Fault, Kind
 
@@ -147,7 +147,7 @@
 
 
 def late_sends(
-    told: Sequence[Told], attempts: Iterable[Attempt], faults: Sequence[Fault], replicas: Sequence[str]
+    told: Sequence[Told], attempts: Iterable[ServerAttempt], faults: Sequence[Fault], replicas: Sequence[str]
 ) -> tuple[int, list[Finding]]:
     """Sends to a server whose drain was acknowledged longer ago than the bound: all of them, and those by
     limiters that a replica reached all the while. Times of faults are of the same clock as the others."""
--- a/basaltpoint/rehearsal/play.py
+++ b/basaltpoint/rehearsal/play.py
@@ -16,9 +16,9 @@
 import tomli_w
 
 from basaltpoint.load import coordinator, scenario
-from basaltpoint.load.arrivals import key_of, planned
-from basaltpoint.load.command import read_asked, read_attempts
-from basaltpoint.load.ledger import Attempt, audit
+from basaltpoint.load.arrivals import account_key, planned_requests
+from basaltpoint.load.command import read_ledger, read_server_log
+from basaltpoint.load.ledger import ServerAttempt, audit
 from basaltpoint.rehearsal import checks
 from basaltpoint.rehearsal.events import Finding, Life, Told
 from basaltpoint.rehearsal.faults import SYSTEM, among, shift
@@ -45,7 +45,7 @@
         {
             "name": f"{plan.name}-{n}",
             "plan": plan.name,
-            "keys": ["sha256:" + hashlib.sha256(key_of(plan, n).encode()).hexdigest()],
+            "keys": ["sha256:" + hashlib.sha256(account_key(plan, n).encode()).hexdigest()],
         }
         for plan in load.plan
         for n in range(plan.accounts)
@@ -73,7 +73,7 @@
     for plan in made.load.plan:
         row = plans.get(plan.name, {"rate": RATE, "burst": BURST})
         for n in range(plan.accounts):
-            sent, allowed = attempts[key_of(plan, n)], row["burst"] + row["rate"] * seconds
+            sent, allowed = attempts[account_key(plan, n)], row["burst"] + row["rate"] * seconds
             found[f"{plan.name}-{n}"] = {"allowed": allowed, "sent": sent, "over": max(0.0, sent - allowed)}
     return found
 
@@ -156,7 +156,7 @@
                     server.terminate()
                     await server.wait()
         # The servers' logs are whole only now.
-        attempts = [row for log in self.folder.glob("s*.jsonl") for row in read_attempts(log)]
+        attempts = [row for log in self.folder.glob("s*.jsonl") for row in read_server_log(log)]
         sent = self._sent(asking.result(), attempts)
         # Clients that repeat go on after the load's end; what they are let have then counts, too.
         last = max((attempt.came_s for attempt in attempts), default=self._began) - self._began
@@ -230,15 +230,15 @@
         await coordinator.run(path, made, lambda told: None, ledger=self.folder / "ledger.jsonl")
         return made
 
-    def _audit(self, attempts: list[Attempt]) -> tuple[dict[str, int], list[dict[str, Any]]]:
+    def _audit(self, attempts: list[ServerAttempt]) -> tuple[dict[str, int], list[dict[str, Any]]]:
         """Clients' side against servers': by request, over all its tries; and what must not be."""
         path = self.folder / "ledger.jsonl"
-        asked = read_asked(path) if path.exists() else []
+        asked = read_ledger(path) if path.exists() else []
         answered: Counter[str] = Counter()
         for one in asked:
             answered[one.ident.rpartition("-")[0]] += one.answers > 0
         found = [one for one in audit(asked, attempts) if one.kind != "lost"]
-        findings = [finding(0.0, one.kind, (), f"{one.ident}: {one.what}") for one in found]
+        findings = [finding(0.0, one.kind, (), f"{one.ident}: {one.detail}") for one in found]
         none = sum(not count for count in answered.values())
         counts = {
             "asked": len(answered), "answered": len(answered) - none, "none": none,
@@ -246,15 +246,15 @@
         }  # fmt: skip
         return counts, findings
 
-    def _per_second(self, made: scenario.Scenario | None, attempts: list[Attempt]) -> list[list[int]]:
+    def _per_second(self, made: scenario.Scenario | None, attempts: list[ServerAttempt]) -> list[list[int]]:
         """By second of the play: requests meant to begin in it, those of them answered, sends to servers."""
         path, seconds = self.folder / "ledger.jsonl", math.ceil(self.made.fleet.seconds)
         if made is None or not path.exists():
             return []
-        answered = {one.ident.split("-")[1] for one in read_asked(path) if one.answers}
+        answered = {one.ident.split("-")[1] for one in read_ledger(path) if one.answers}
         rows = [[second, 0, 0, 0] for second in range(seconds)]
-        for one in planned(made):
-            row = rows[min(int(one.at_s), seconds - 1)]
+        for one in planned_requests(made):
+            row = rows[min(int(one.intended_s), seconds - 1)]
             row[1] += 1
             row[2] += str(one.number) in answered
         for attempt in attempts:
@@ -262,11 +262,11 @@
                 rows[second][3] += 1
         return rows
 
-    def _sent(self, made: scenario.Scenario | None, attempts: list[Attempt]) -> Counter[str]:
+    def _sent(self, made: scenario.Scenario | None, attempts: list[ServerAttempt]) -> Counter[str]:
         """Attempts at the servers, by account's key."""
         if made is None:
             return Counter()
-        account = {str(one.number): one.account for one in planned(made)}
+        account = {str(one.number): one.account for one in planned_requests(made)}
         return Counter(account.get(row.ident.split("-")[1], "") for row in attempts)
 
     # --- Faults -----------------------------------------------------------------------------------------
--- a/basaltpoint/rehearsal/soak/records.py
+++ b/basaltpoint/rehearsal/soak/records.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from basaltpoint.standins.discovery import Change
+from basaltpoint.standins.discovery import ListChange
 
 
 @dataclass(slots=True)
@@ -109,7 +109,7 @@
     arrivals: list[Arrival] = field(default_factory=list)
     lives: list[Life] = field(default_factory=list)
     agents: dict[str, list[tuple[float, AgentRecord]]] = field(default_factory=dict)
-    changes: Sequence[Change] = ()
+    changes: Sequence[ListChange] = ()
     slow_start: SlowStart | None = None
     starts: list[ServerStart] = field(default_factory=list)
     lags: list[tuple[float, float]] = field(default_factory=list)  # when, and how late the driver was
--- a/basaltpoint/rehearsal/soak/run.py
+++ b/basaltpoint/rehearsal/soak/run.py
@@ -140,7 +140,7 @@
         await agent.start()
         self._all_agents.append(agent)
         self.agents[limiter.name] = agent
-        self.record.agents.setdefault(limiter.name, []).append((monotonic(), AgentRecord(agent.told)))
+        self.record.agents.setdefault(limiter.name, []).append((monotonic(), AgentRecord(agent.versions)))
         return agent
 
     async def run(self) -> Verdict:
@@ -160,7 +160,7 @@
         self.record.changes = self.registry.changes
         for limiter in self.limiters:
             agent = await self._agent(limiter)
-            limiter.configure(agent.address, self.registry.known_at(1))
+            limiter.configure(agent.address, self.registry.list_at(1))
             await limiter.start()
         async with asyncio.timeout(READY_S):
             await asyncio.gather(*(limiter.up() for limiter in self.limiters))
@@ -269,14 +269,14 @@
             limiter.signal(signal.SIGCONT)
         elif kind is Kind.LIMITER_RELOAD:
             agent = await self._agent(limiter)
-            limiter.configure(agent.address, self.registry.known_at(self.registry.version))
+            limiter.configure(agent.address, self.registry.list_at(self.registry.version))
             limiter.signal(signal.SIGHUP)
         else:
             if kind is Kind.LIMITER_TERM:
                 limiter.signal(signal.SIGTERM)
                 await limiter.ended(LONGEST_S + KILL_S)
             # The page on starts: the list as this limiter last had it, so as of its process's end.
-            known = self.registry.known_at(self.agents[limiter.name].version)
+            known = self.registry.list_at(self.agents[limiter.name].version)
             await limiter.kill()
             if kind is Kind.LIMITER_KILL:
                 await asyncio.sleep(self.rng.uniform(*KILLED_S))
@@ -294,7 +294,7 @@
         await asyncio.sleep(length)
         for agent in agents:
             if fault.kind is Kind.AGENT_DOWN:
-                agent.come_back()
+                agent.restore_discovery()
             elif fault.kind in (Kind.AGENT_SLOW, Kind.AGENT_REFUSES, Kind.LIST_PIECES):
                 agent.faults = AgentFaults(down=agent.faults.down)
 
@@ -306,28 +306,28 @@
             agent.faults.down = True
         await asyncio.sleep(fault.for_s * OUTAGE_FACTOR)
         for agent in agents:
-            agent.come_back()
+            agent.restore_discovery()
 
     def _begin_with(self, agent: Agent, kind: Kind) -> None:
         match kind:
             case Kind.AGENT_DOWN:
                 agent.faults.down = True
             case Kind.AGENT_SLOW:
-                agent.faults.first_word_s = SLOW_S
+                agent.faults.response_delay_s = SLOW_S
             case Kind.AGENT_REFUSES:
                 agent.faults.status = 503
             case Kind.WATCH_RESET:
                 agent.reset_watches()
             case Kind.WATCH_MUTE:
-                agent.mute_watches()
+                agent.silence_watches()
                 for rows in self.record.agents.values():
                     for _, row in rows:
-                        if row.had is agent.told:
+                        if row.had is agent.versions:
                             row.muted_at.append(monotonic())
             case Kind.LIST_TORN:
-                agent.faults.tear = True
+                agent.faults.truncate_next_list = True
             case Kind.LIST_PIECES:
-                agent.faults.piece = 200
+                agent.faults.chunk_bytes = 200
 
     async def _strike_one_server(self, fault: Fault) -> None:
         server = self.rng.choice(self.servers)
@@ -342,17 +342,17 @@
         fresh = self._server()
         self.servers.remove(server)
         self.servers.append(fresh)
-        self.registry.change(server.entry("leaving"))
+        self.registry.apply_change(server.entry("leaving"))
         await fresh.start()
         fresh.born_ms = time.time() * 1000
         self._started_cold(fresh)
         await asyncio.sleep(3.0)
-        self.registry.change(server.entry("left"))
+        self.registry.apply_change(server.entry("left"))
         await asyncio.sleep(1.0)
         await server.crash()
 
     def _started_cold(self, server: PlatformServer) -> None:
-        version = self.registry.change(server.entry())
+        version = self.registry.apply_change(server.entry())
         self.record.starts.append(ServerStart(server.name, monotonic(), version))
 
     async def _strike_servers(self, fault: Fault) -> None:
--- a/basaltpoint/standins/command.py
+++ b/basaltpoint/standins/command.py
@@ -12,10 +12,10 @@
 import uvloop
 
 from basaltpoint.config.address import ConfigError, parse_address
-from basaltpoint.standins.server import Behaviour, SharedKeys, StandIn
+from basaltpoint.standins.server import ServerBehaviour, SharedIdempotencyKeys, StandInServer
 
 
-def service(text: str) -> Callable[[random.Random], float]:
+def parse_service_time(text: str) -> Callable[[random.Random], float]:
     """`fixed:MS`, `exp:MS` (its mean) or `uniform:MS,MS`."""
     kind, _, rest = text.partition(":")
     try:
@@ -31,7 +31,7 @@
     raise argparse.ArgumentTypeError(f"{text!r}; allowed: fixed:MS, exp:MS, uniform:MS,MS")
 
 
-def stall(text: str) -> tuple[float, float]:
+def parse_stall(text: str) -> tuple[float, float]:
     """`FROM:LENGTH` in seconds."""
     try:
         start, length = (float(part) for part in text.split(":"))
@@ -40,7 +40,7 @@
     return start, start + length
 
 
-def part(text: str) -> float:
+def parse_fraction(text: str) -> float:
     """A number from 0 to 1."""
     try:
         value = float(text)
@@ -57,12 +57,16 @@
     parser.add_argument("--name", default="standin")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--workers", type=int, default=16, help="requests served at once")
-    parser.add_argument("--service", type=service, default="fixed:10", help="fixed:MS, exp:MS, uniform:MS,MS")
-    parser.add_argument("--errors", type=part, default=0.0, help="part that ends in 500")
-    parser.add_argument("--resets", type=part, default=0.0, help="part whose connection breaks")
-    parser.add_argument("--stall", type=stall, action="append", default=[], help="FROM:LENGTH, seconds")
+    parser.add_argument(
+        "--service", type=parse_service_time, default="fixed:10", help="fixed:MS, exp:MS, uniform:MS,MS"
+    )
+    parser.add_argument("--errors", type=parse_fraction, default=0.0, help="part that ends in 500")
+    parser.add_argument("--resets", type=parse_fraction, default=0.0, help="part whose connection breaks")
+    parser.add_argument("--stall", type=parse_stall, action="append", default=[], help="FROM:LENGTH, seconds")
     parser.add_argument("--cold", type=float, default=0.0, help="seconds until it is warm")
-    parser.add_argument("--cold-from", type=part, default=0.2, help="part of its speed at its start")
+    parser.add_argument(
+        "--cold-from", type=parse_fraction, default=0.2, help="part of its speed at its start"
+    )
     parser.add_argument("--drain", type=float, help="declines what is new from this second on")
     parser.add_argument("--once", default="/corrections", help="paths beginning so must not run twice")
     parser.add_argument("--keys", type=Path, help="folder by which servers drop each other's repeats")
@@ -76,16 +80,16 @@
     except ConfigError as error:
         print(error)
         return 2
-    behaviour = Behaviour(
+    behaviour = ServerBehaviour(
         workers=args.workers,
-        service_s=args.service,
-        errors=args.errors,
-        resets=args.resets,
+        draw_service_s=args.service,
+        error_fraction=args.errors,
+        reset_fraction=args.resets,
         stalls=tuple(args.stall),
-        cold_s=args.cold,
-        cold_from=max(0.01, args.cold_from),
-        drain_s=args.drain,
-        once=args.once,
+        warm_up_s=args.cold,
+        cold_speed_fraction=max(0.01, args.cold_from),
+        drain_after_s=args.drain,
+        once_prefix=args.once,
     )
 
     async def serve() -> None:
@@ -93,8 +97,8 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             asyncio.get_running_loop().add_signal_handler(number, stop.set)
         log = open(args.log, "wb", buffering=1 << 16) if args.log else None  # noqa: SIM115
-        keys = SharedKeys(args.keys) if args.keys else None
-        server = StandIn(behaviour, args.seed, args.name, log, 0 if log else 1_000_000, keys)
+        keys = SharedIdempotencyKeys(args.keys) if args.keys else None
+        server = StandInServer(behaviour, args.seed, args.name, log, 0 if log else 1_000_000, keys)
         await server.start(host, port)
         print(server.address, flush=True)
         await stop.wait()
--- a/basaltpoint/standins/server.py
+++ b/basaltpoint/standins/server.py
@@ -17,30 +17,30 @@
 
 import httptools
 
-IDENTS = ("x-load-id", "req-id")  # headers that bring the id of the try that an attempt belongs to
+ID_HEADERS = ("x-load-id", "req-id")  # headers that bring the id of the try that an attempt belongs to
 
 
 @dataclass(slots=True)
-class Behaviour:
+class ServerBehaviour:
     """How it serves. Changed while it runs, it holds from the next request on."""
 
     workers: int = 4  # requests served at once; further ones wait in order
-    service_s: Callable[[random.Random], float] = lambda rng: 0.01  # of each request's work
+    draw_service_s: Callable[[random.Random], float] = lambda rng: 0.01  # of each request's work
     body: bytes = b"ok\n"
-    code: int = 200
-    errors: float = 0.0  # part of the requests that end in 500, their work done
-    resets: float = 0.0  # part whose connection breaks instead, their work done
+    status_code: int = 200
+    error_fraction: float = 0.0  # part of the requests that end in 500, their work done
+    reset_fraction: float = 0.0  # part whose connection breaks instead, their work done
     healthy: bool = True  # what /health says
     key_window_s: float = 5.0  # how long a repeat under a key is dropped
-    once: str = "/corrections"  # requests whose path begins so must never run twice
+    once_prefix: str = "/corrections"  # requests whose path begins so must never run twice
     stalls: tuple[tuple[float, float], ...] = ()  # from, to: seconds from its start in which nothing ends
-    cold_s: float = 0.0  # after its start it is slower, evenly less so up to this
-    cold_from: float = 0.2  # part of its speed at its start
-    drain_s: float | None = None  # from then on it declines what is new (503, Srv-Declined)
+    warm_up_s: float = 0.0  # after its start it is slower, evenly less so up to this
+    cold_speed_fraction: float = 0.2  # part of its speed at its start
+    drain_after_s: float | None = None  # from then on it declines what is new (503, Srv-Declined)
 
 
 @dataclass(slots=True)
-class Seen:
+class ReceivedRequest:
     """One request that came whole. Times are seconds of the monotonic clock; `ended_s` None: it is out."""
 
     ident: str
@@ -60,32 +60,32 @@
 @dataclass(slots=True)
 class _Job:
     connection: _Connection
-    seen: Seen
-    keep: bool
+    request: ReceivedRequest
+    keep_alive: bool
 
 
-class Keys:
+class IdempotencyKeys:
     """Which keys have come, and when: the memory by which servers drop repeats."""
 
     def __init__(self) -> None:
-        self._came: dict[str, float] = {}
+        self._received_s: dict[str, float] = {}
 
-    def repeat(self, key: str, now: float, window_s: float) -> bool:
+    def is_repeat(self, key: str, now: float, window_s: float) -> bool:
         """Whether the key came within the window; if not, it has come now."""
-        if now - self._came.get(key, -math.inf) < window_s:
+        if now - self._received_s.get(key, -math.inf) < window_s:
             return True
-        self._came[key] = now
+        self._received_s[key] = now
         return False
 
 
-class SharedKeys(Keys):
+class SharedIdempotencyKeys(IdempotencyKeys):
     """The same for servers that are processes: a file for each key in a folder of theirs."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__()
         self._folder = folder
 
-    def repeat(self, key: str, now: float, window_s: float) -> bool:
+    def is_repeat(self, key: str, now: float, window_s: float) -> bool:
         path = self._folder / hashlib.sha256(key.encode()).hexdigest()
         try:
             os.close(os.open(path, os.O_CREAT | os.O_EXCL | os.O_WRONLY))
@@ -96,27 +96,27 @@
         return False
 
 
-class StandIn:
+class StandInServer:
     """One server; `seen` logs every request but health checks, and `log` gets a line for each that ended."""
 
     def __init__(
         self,
-        behaviour: Behaviour | None = None,
+        behaviour: ServerBehaviour | None = None,
         seed: int = 1,
         name: str = "standin",
         log: BinaryIO | None = None,
-        keep: int = 1_000_000,
-        keys: Keys | None = None,
+        max_requests: int = 1_000_000,
+        keys: IdempotencyKeys | None = None,
     ) -> None:
         """`keep`: most requests that `seen` holds; a log has them all. `keys`: shared by servers that drop
         each other's repeats."""
-        self.behaviour = behaviour or Behaviour()
+        self.behaviour = behaviour or ServerBehaviour()
         self.name = name
         self.rng = random.Random(seed)
-        self.seen: deque[Seen] = deque(maxlen=keep)
+        self.requests: deque[ReceivedRequest] = deque(maxlen=max_requests)
         self.busy = 0
         self.waiting: deque[_Job] = deque()
-        self.keys = keys or Keys()
+        self.keys = keys or IdempotencyKeys()
         self.address = ""
         self.started_s = 0.0
         self.connections: set[_Connection] = set()
@@ -139,79 +139,86 @@
             connection.abort()
 
     # --- Time ---------------------------------------------------------------------------------
-    def age(self) -> float:
+    def age_s(self) -> float:
         return monotonic() - self.started_s
 
-    def work_s(self, seen: Seen) -> float:
+    def service_time_s(self, request: ReceivedRequest) -> float:
         """How long a request's work takes from now on, stalls included."""
-        behaviour, age = self.behaviour, self.age()
-        wait = 0.0 if seen.repeat else behaviour.service_s(self.rng)
-        if age < behaviour.cold_s:
-            wait /= behaviour.cold_from + (1.0 - behaviour.cold_from) * age / behaviour.cold_s
+        behaviour, age_s = self.behaviour, self.age_s()
+        duration_s = 0.0 if request.repeat else behaviour.draw_service_s(self.rng)
+        if age_s < behaviour.warm_up_s:
+            duration_s /= (
+                behaviour.cold_speed_fraction
+                + (1.0 - behaviour.cold_speed_fraction) * age_s / behaviour.warm_up_s
+            )
         for start, end in behaviour.stalls:
-            if age + wait >= start and age < end:
-                wait += end - max(age, start)
-        return wait
+            if age_s + duration_s >= start and age_s < end:
+                duration_s += end - max(age_s, start)
+        return duration_s
 
     # --- Requests -----------------------------------------------------------------------------
-    def came(
-        self, connection: _Connection, method: str, path: str, headers: dict[str, str], keep: bool
+    def request_received(
+        self, connection: _Connection, method: str, path: str, headers: dict[str, str], keep_alive: bool
     ) -> None:
         """A request has come whole."""
         if path == "/health":
-            connection.answer(200 if self.behaviour.healthy else 503, b"", keep)
+            connection.respond(200 if self.behaviour.healthy else 503, b"", keep_alive)
             return
         now, key = monotonic(), headers.get("idempotency-key", "")
-        ident = next((headers[name] for name in IDENTS if name in headers), "")
-        seen = Seen(ident, self.name, now, method, path, key)
-        seen.via = headers.get("via", "").rpartition(" ")[2]
-        seen.once = path.startswith(self.behaviour.once)
-        self.seen.append(seen)
-        if self.behaviour.drain_s is not None and self.age() >= self.behaviour.drain_s:
-            self._end(_Job(connection, seen, keep), 503, b"Srv-Declined: 1\r\n")
+        ident = next((headers[name] for name in ID_HEADERS if name in headers), "")
+        request = ReceivedRequest(ident, self.name, now, method, path, key)
+        request.via = headers.get("via", "").rpartition(" ")[2]
+        request.once = path.startswith(self.behaviour.once_prefix)
+        self.requests.append(request)
+        if self.behaviour.drain_after_s is not None and self.age_s() >= self.behaviour.drain_after_s:
+            self._respond(_Job(connection, request, keep_alive), 503, b"Srv-Declined: 1\r\n")
             return
-        seen.repeat = bool(key) and self.keys.repeat(key, now, self.behaviour.key_window_s)
-        self.waiting.append(_Job(connection, seen, keep))
-        self._work()
+        request.repeat = bool(key) and self.keys.is_repeat(key, now, self.behaviour.key_window_s)
+        self.waiting.append(_Job(connection, request, keep_alive))
+        self._start_jobs()
 
-    def _work(self) -> None:
+    def _start_jobs(self) -> None:
         while self.waiting and self.busy < self.behaviour.workers:
             job = self.waiting.popleft()
             if job.connection.closed:
-                self._gone(job)
+                self._end_without_response(job)
                 continue
             self.busy += 1
-            job.seen.ran = True
-            asyncio.get_running_loop().call_later(self.work_s(job.seen), self._done, job)
+            job.request.ran = True
+            asyncio.get_running_loop().call_later(self.service_time_s(job.request), self._job_finished, job)
 
-    def _done(self, job: _Job) -> None:
+    def _job_finished(self, job: _Job) -> None:
         self.busy -= 1
         if job.connection.closed:
-            self._gone(job)
-        elif self.rng.random() < self.behaviour.resets:
-            self._gone(job)
+            self._end_without_response(job)
+        elif self.rng.random() < self.behaviour.reset_fraction:
+            self._end_without_response(job)
             job.connection.abort()
         else:
-            self._end(job, 500 if self.rng.random() < self.behaviour.errors else self.behaviour.code)
-        self._work()
-
-    def _end(self, job: _Job, code: int, headers: bytes = b"") -> None:
-        job.seen.ended_s, job.seen.code = monotonic(), code
-        self._write(job.seen)
-        job.connection.answer(code, self.behaviour.body, job.keep, job.seen.method == "HEAD", headers)
+            self._respond(
+                job, 500 if self.rng.random() < self.behaviour.error_fraction else self.behaviour.status_code
+            )
+        self._start_jobs()
+
+    def _respond(self, job: _Job, code: int, headers: bytes = b"") -> None:
+        job.request.ended_s, job.request.code = monotonic(), code
+        self._write_log(job.request)
+        job.connection.respond(
+            code, self.behaviour.body, job.keep_alive, job.request.method == "HEAD", headers
+        )
 
-    def _gone(self, job: _Job) -> None:
+    def _end_without_response(self, job: _Job) -> None:
         """Nobody is there to answer; the attempt was over when its connection ended."""
-        job.seen.ended_s = job.connection.closed_s or monotonic()
-        self._write(job.seen)
+        job.request.ended_s = job.connection.closed_s or monotonic()
+        self._write_log(job.request)
 
-    def _write(self, seen: Seen) -> None:
+    def _write_log(self, request: ReceivedRequest) -> None:
         if self._log:
-            self._log.write(json.dumps(asdict(seen)).encode() + b"\n")
+            self._log.write(json.dumps(asdict(request)).encode() + b"\n")
 
 
 class _Connection(asyncio.Protocol):
-    def __init__(self, server: StandIn) -> None:
+    def __init__(self, server: StandInServer) -> None:
         self._server = server
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
@@ -249,20 +256,20 @@
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_message_complete(self) -> None:
-        method, keep = self._parser.get_method().decode(), self._parser.should_keep_alive()
-        self._server.came(self, method, self._url.decode("latin-1"), self._headers, keep)
+        method, keep_alive = self._parser.get_method().decode(), self._parser.should_keep_alive()
+        self._server.request_received(self, method, self._url.decode("latin-1"), self._headers, keep_alive)
 
-    def answer(
-        self, code: int, body: bytes, keep: bool, head_only: bool = False, headers: bytes = b""
+    def respond(
+        self, code: int, body: bytes, keep_alive: bool, head_only: bool = False, headers: bytes = b""
     ) -> None:
         if self._transport is None or self._transport.is_closing():
             return
-        end = b"" if keep else b"Connection: close\r\n"
+        end = b"" if keep_alive else b"Connection: close\r\n"
         head = b"HTTP/1.1 %d X\r\nContent-Length: %d\r\nServer: %s\r\n" % (
             code,
             len(body),
             self._server.name.encode(),
         )
         self._transport.write(head + headers + end + b"\r\n" + (b"" if head_only else body))
-        if not keep:
+        if not keep_alive:
             self._transport.close()
--- a/basaltpoint/store/client.py
+++ b/basaltpoint/store/client.py
@@ -19,16 +19,21 @@
 
 log = logging.getLogger(__name__)
 
-ANSWER_S = 3.0  # for one answer; then another replica is asked the same
+MAX_RESPONSE_WAIT_S = 3.0  # for one answer; then another replica is asked the same
 # While anything waits, a replica is asked this often whether it is there: one that stands still keeps its
 # connections, and looks like one that is slow. Smaller costs messages, larger adds to each such fault.
-LOOK_S = 0.2
-SILENT_S = 0.5  # with nothing heard for so long, another is asked; doubled with each round that heard nothing
-CONNECT_S = (
+LIVENESS_CHECK_INTERVAL_S = 0.2
+SILENCE_TIMEOUT_S = (
+    0.5  # with nothing heard for so long, another is asked; doubled with each round that heard nothing
+)
+CONNECT_TIMEOUT_RANGE_S = (
     0.5,
     GREETING_TIMEOUT_S,
 )  # for a connection, at first and at most: doubled with each round of all replicas
-AGAIN_S = (0.02, 0.1)  # first and longest wait between two tries: a new leader is there within a second
+RETRY_DELAY_RANGE_S = (
+    0.02,
+    0.1,
+)  # first and longest wait between two tries: a new leader is there within a second
 
 
 class StoreError(Exception):
@@ -61,16 +66,16 @@
         self._endpoints = list(endpoints)
         self._cluster, self._tls = cluster, tls
         self._link: Link | None = None
-        self._waits: dict[int, Callable[[Any], None]] = {}
-        self._ident = 0
-        self._at = -1  # the first is asked first
-        self._connecting = asyncio.Lock()  # bound to the loop of its first use
-        self._ordered = asyncio.Lock()
-        self._heard = 0.0  # loop time of the last frame over the connection
-        self._looking: asyncio.Task[None] | None = None
-        self._failed = 0  # connections in a row that did not come up
-        self._quiet = 0  # and of those that did, how many said nothing
-        self._session = self._number = 0
+        self._pending: dict[int, Callable[[Any], None]] = {}
+        self._last_ident = 0
+        self._endpoint_index = -1  # the first is asked first
+        self._connect_lock = asyncio.Lock()  # bound to the loop of its first use
+        self._command_lock = asyncio.Lock()
+        self._last_frame_s = 0.0  # loop time of the last frame over the connection
+        self._liveness_task: asyncio.Task[None] | None = None
+        self._failed_connects = 0  # connections in a row that did not come up
+        self._silent_connections = 0  # and of those that did, how many said nothing
+        self._session = self._command_number = 0
         self.revision = 0  # of the latest answer
 
     # --- Connection ---------------------------------------------------------------------------
@@ -78,123 +83,137 @@
         return True
 
     def frame_received(self, link: Link, frame: p.AnyFrame) -> None:
-        self._heard, self._quiet = asyncio.get_running_loop().time(), 0
-        if link is self._link and (wait := self._waits.get(getattr(frame, "ident", 0))):
+        self._last_frame_s, self._silent_connections = asyncio.get_running_loop().time(), 0
+        if link is self._link and (wait := self._pending.get(getattr(frame, "ident", 0))):
             wait(frame)
 
     def link_closed(self, link: Link) -> None:
         if link is self._link:
             self._link = None
-            waits, self._waits = self._waits, {}
+            waits, self._pending = self._pending, {}
             for wait in waits.values():
                 wait(None)
 
-    async def _connected(self) -> Link:
+    async def _get_connection(self) -> Link:
         """The connection, a new one where there is none. OSError, TimeoutError."""
-        async with self._connecting:
+        async with self._connect_lock:
             if self._link is not None:
                 return self._link
-            self._at = (self._at + 1) % len(self._endpoints)
-            to = self._endpoints[self._at]
+            self._endpoint_index = (self._endpoint_index + 1) % len(self._endpoints)
+            endpoint = self._endpoints[self._endpoint_index]
             greeting = Greeting(PROTOCOL_VERSION, self._cluster)
-            local = "/" in to.address
-            least, most = CONNECT_S
-            bound = min(most, least * 2 ** (self._failed // len(self._endpoints)))
-            self._failed += 1
-            async with asyncio.timeout(bound):
+            is_local = "/" in endpoint.address
+            min_timeout_s, max_timeout_s = CONNECT_TIMEOUT_RANGE_S
+            timeout_s = min(
+                max_timeout_s, min_timeout_s * 2 ** (self._failed_connects // len(self._endpoints))
+            )
+            self._failed_connects += 1
+            async with asyncio.timeout(timeout_s):
                 link = await connect(
-                    lambda: Link(self, greeting, local, p.STORE_PROTOCOL, self._tls is None),
-                    to.address,
-                    to.name,
+                    lambda: Link(self, greeting, is_local, p.STORE_PROTOCOL, self._tls is None),
+                    endpoint.address,
+                    endpoint.name,
                     self._tls,
                 )
-            self._failed = 0
+            self._failed_connects = 0
             self._link = link
-            self._heard = asyncio.get_running_loop().time()
+            self._last_frame_s = asyncio.get_running_loop().time()
             return link
 
-    def _look(self) -> None:
+    def _start_liveness_checks(self) -> None:
         """Look after the replica that is asked, for as long as anything waits for it."""
-        if self._looking is None or self._looking.done():
-            self._looking = asyncio.get_running_loop().create_task(self._look_on())
+        if self._liveness_task is None or self._liveness_task.done():
+            self._liveness_task = asyncio.get_running_loop().create_task(self._check_liveness())
 
-    async def _look_on(self) -> None:
+    async def _check_liveness(self) -> None:
         loop = asyncio.get_running_loop()
-        while self._waits and (link := self._link) is not None:
-            asked = loop.time()
-            if self._heard < asked - LOOK_S:
+        while self._pending and (link := self._link) is not None:
+            checked_at = loop.time()
+            if self._last_frame_s < checked_at - LIVENESS_CHECK_INTERVAL_S:
                 link.send(p.GetStatus(0))  # answered once the replica is current: a sign of life, and no more
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(LIVENESS_CHECK_INTERVAL_S)
             # What this process slept through is no silence of the other's: it is asked first.
-            late = loop.time() - asked > 2 * LOOK_S
-            if late:
-                self._heard = loop.time()
+            was_paused = loop.time() - checked_at > 2 * LIVENESS_CHECK_INTERVAL_S
+            if was_paused:
+                self._last_frame_s = loop.time()
                 continue
-            bound = min(ANSWER_S, SILENT_S * 2 ** (self._quiet // len(self._endpoints)))
-            if len(self._endpoints) > 1 and link is self._link and loop.time() - self._heard > bound:
-                self._quiet += 1
+            silence_timeout_s = min(
+                MAX_RESPONSE_WAIT_S,
+                SILENCE_TIMEOUT_S * 2 ** (self._silent_connections // len(self._endpoints)),
+            )
+            if (
+                len(self._endpoints) > 1
+                and link is self._link
+                and loop.time() - self._last_frame_s > silence_timeout_s
+            ):
+                self._silent_connections += 1
                 log.info("store: the replica that was asked keeps silent; another is asked")
                 link.close()
 
-    def drop(self) -> None:
+    def disconnect(self) -> None:
         """Go to another replica at the next request."""
         if self._link:
             self._link.close()
 
     def close(self) -> None:
-        if self._looking:
-            self._looking.cancel()
-        self.drop()
+        if self._liveness_task:
+            self._liveness_task.cancel()
+        self.disconnect()
 
-    async def _once(self, make: Callable[[int], Frame], answer_s: float) -> Any:
+    async def _send_once(self, make_frame: Callable[[int], Frame], timeout_s: float) -> Any:
         """One try; None where it failed."""
         try:
-            link = await self._connected()
+            link = await self._get_connection()
         except (OSError, TimeoutError):
             return None
-        self._ident += 1
-        ident, done = self._ident, asyncio.get_running_loop().create_future()
-        self._waits[ident] = lambda frame: None if done.done() else done.set_result(frame)
-        self._look()
+        self._last_ident += 1
+        ident, response = self._last_ident, asyncio.get_running_loop().create_future()
+        self._pending[ident] = lambda frame: None if response.done() else response.set_result(frame)
+        self._start_liveness_checks()
         try:
-            if not link.send(make(ident)):
+            if not link.send(make_frame(ident)):
                 link.close()
                 return None
-            async with asyncio.timeout(answer_s):
-                return await done
+            async with asyncio.timeout(timeout_s):
+                return await response
         except TimeoutError:
             link.close()  # it hangs, or lost the answer: the next one is another's
             return None
         finally:
-            self._waits.pop(ident, None)
+            self._pending.pop(ident, None)
 
-    async def _ask(self, make: Callable[[int], Frame], good: Callable[[Any], bool], within_s: float) -> Any:
+    async def _request(
+        self, make_frame: Callable[[int], Frame], is_final: Callable[[Any], bool], within_s: float
+    ) -> Any:
         """Ask until a good answer comes; UnavailableError after `within_s`."""
         loop = asyncio.get_running_loop()
-        end, (wait, longest) = loop.time() + within_s, AGAIN_S
+        deadline, (delay_s, max_delay_s) = loop.time() + within_s, RETRY_DELAY_RANGE_S
         text = "no replica answers"
-        while (left := end - loop.time()) > 0:
-            frame = await self._once(make, min(ANSWER_S, left))
-            if frame is not None and good(frame):
+        while (remaining_s := deadline - loop.time()) > 0:
+            frame = await self._send_once(make_frame, min(MAX_RESPONSE_WAIT_S, remaining_s))
+            if frame is not None and is_final(frame):
                 return frame
             if isinstance(frame, p.CommandResponse):
                 text = frame.result.text
-                self.drop()
+                self.disconnect()
             elif frame is not None:
                 text = "the replicas have no leader"
-                self.drop()
-            await asyncio.sleep(min(wait * random.uniform(0.5, 1), max(0.0, end - loop.time())))
-            wait = min(longest, wait * 2)
+                self.disconnect()
+            await asyncio.sleep(min(delay_s * random.uniform(0.5, 1), max(0.0, deadline - loop.time())))
+            delay_s = min(max_delay_s, delay_s * 2)
         raise UnavailableError(f"{text}; tried for {within_s:g} s")
 
     # --- Commands ---------------------------------------------------------------------------
-    async def do(self, action: kv.Action, within_s: float = 10.0) -> Result:
+    async def execute(self, action: kv.Action, within_s: float = 10.0) -> Result:
         """Have a command applied, once. StoreError tells what is refused; UnavailableError: not known."""
-        async with self._ordered:
+        async with self._command_lock:
             if not self._session:
-                self._session, self._number = (await self._command(kv.OpenSession(), 0, 0, within_s)).ident, 0
-            self._number += 1
-            result = await self._command(action, self._session, self._number, within_s)
+                self._session, self._command_number = (
+                    (await self._execute_command(kv.OpenSession(), 0, 0, within_s)).ident,
+                    0,
+                )
+            self._command_number += 1
+            result = await self._execute_command(action, self._session, self._command_number, within_s)
         if result.error == "session":
             self._session = 0
             raise UnavailableError(result.text)
@@ -202,7 +221,7 @@
             raise StoreError(result.error, result.text)
         return result
 
-    async def _command(self, action: kv.Action, session: int, number: int, within_s: float) -> Result:
+    async def _execute_command(self, action: kv.Action, session: int, number: int, within_s: float) -> Result:
         command = kv.Command(action, session, number)
 
         def good(frame: Any) -> bool:
@@ -211,120 +230,122 @@
                 "unknown",
             )
 
-        frame = await self._ask(lambda ident: p.ExecuteCommand(ident, command), good, within_s)
+        frame = await self._request(lambda ident: p.ExecuteCommand(ident, command), good, within_s)
         result: Result = frame.result
         self.revision = max(self.revision, result.revision)
         return result
 
-    async def txn(
-        self, ops: Sequence[Put | Delete], checks: Sequence[Check] = (), within_s: float = 10.0
+    async def transaction(
+        self, operations: Sequence[Put | Delete], checks: Sequence[Check] = (), within_s: float = 10.0
     ) -> Result:
         """Where all checks hold, all operations together; StoreError `check` where one does not."""
-        return await self.do(kv.Transaction(tuple(checks), tuple(ops)), within_s)
+        return await self.execute(kv.Transaction(tuple(checks), tuple(operations)), within_s)
 
     async def put(self, key: str, value: bytes, lease: int = 0, within_s: float = 10.0) -> Result:
-        return await self.txn([Put(key, value, lease)], within_s=within_s)
+        return await self.transaction([Put(key, value, lease)], within_s=within_s)
 
     async def delete(self, key: str, prefix: bool = False, within_s: float = 10.0) -> Result:
-        return await self.txn([Delete(key, prefix)], within_s=within_s)
+        return await self.transaction([Delete(key, prefix)], within_s=within_s)
 
-    async def grant(self, ttl_ms: int, within_s: float = 10.0) -> int:
-        return (await self.do(kv.GrantLease(ttl_ms), within_s)).ident
+    async def grant_lease(self, ttl_ms: int, within_s: float = 10.0) -> int:
+        return (await self.execute(kv.GrantLease(ttl_ms), within_s)).ident
 
-    async def renew(self, lease: int, within_s: float = 10.0) -> None:
+    async def renew_lease(self, lease: int, within_s: float = 10.0) -> None:
         """StoreError `lease` where it has ended."""
-        await self.do(kv.RenewLease(lease), within_s)
+        await self.execute(kv.RenewLease(lease), within_s)
 
     # --- Reads ---------------------------------------------------------------------------
-    async def range(
+    async def get_range(
         self, prefix: str, *, local: bool = False, exact: bool = False, within_s: float = 10.0
     ) -> tuple[dict[str, Value], int]:
         """All under a prefix, and the revision that it is of at least; a watch goes on from the next.
 
         `local`: what the replica has, which may be old. Changes between two pages show in the watch.
         """
-        found: dict[str, Value] = {}
+        values: dict[str, Value] = {}
         after, revision = "", 0
         while True:
-            page = await self._page(p.Get(0, prefix, after, local, exact), within_s)
-            found.update(page.values)
+            page = await self._get_page(p.Get(0, prefix, after, local, exact), within_s)
+            values.update(page.values)
             revision = revision or page.revision
             if not page.more:
                 self.revision = max(self.revision, page.revision)
-                return found, revision
+                return values, revision
             after = list(page.values)[-1]
 
-    async def _page(self, get: p.Get, within_s: float) -> p.Page:
+    async def _get_page(self, get: p.Get, within_s: float) -> p.Page:
         def make(ident: int) -> Frame:
             return p.Get(ident, get.prefix, get.after, get.local, get.exact)
 
-        page: p.Page = await self._ask(make, lambda f: isinstance(f, p.Page) and not f.error, within_s)
+        page: p.Page = await self._request(make, lambda f: isinstance(f, p.Page) and not f.error, within_s)
         return page
 
     async def get(self, key: str, *, local: bool = False, within_s: float = 10.0) -> Value | None:
-        return (await self.range(key, local=local, exact=True, within_s=within_s))[0].get(key)
+        return (await self.get_range(key, local=local, exact=True, within_s=within_s))[0].get(key)
 
     async def watch(self, prefix: str, revision: int) -> AsyncIterator[tuple[list[Event], int]]:
         """Changes from a revision on, with the revision up to which they are all; for ever, over any replica.
 
         CompactedError where some are not held any more: read all anew, and watch from there.
         """
-        told = revision - 1
-        wait, longest = AGAIN_S
+        delivered_revision = revision - 1
+        delay_s, max_delay_s = RETRY_DELAY_RANGE_S
         while True:
-            async with aclosing(self._follow(prefix, told + 1)) as frames:
+            async with aclosing(self._watch_connection(prefix, delivered_revision + 1)) as frames:
                 async for frame in frames:
-                    wait = AGAIN_S[0]
+                    delay_s = RETRY_DELAY_RANGE_S[0]
                     if frame.compacted:
                         raise CompactedError(frame.compacted)
                     # A replica that is behind tells an older revision; what was told stays told.
-                    events = [event for event in frame.events if event.revision > told]
-                    told = max(told, frame.revision)
-                    if events or frame.revision >= told:
-                        yield events, told
-            await asyncio.sleep(wait)
-            wait = min(longest, wait * 2)
-
-    async def _follow(self, prefix: str, revision: int) -> AsyncGenerator[p.WatchEvents, None]:
+                    events = [event for event in frame.events if event.revision > delivered_revision]
+                    delivered_revision = max(delivered_revision, frame.revision)
+                    if events or frame.revision >= delivered_revision:
+                        yield events, delivered_revision
+            await asyncio.sleep(delay_s)
+            delay_s = min(max_delay_s, delay_s * 2)
+
+    async def _watch_connection(self, prefix: str, revision: int) -> AsyncGenerator[p.WatchEvents, None]:
         """One watch of one connection, to its end."""
         try:
-            link = await self._connected()
+            link = await self._get_connection()
         except (OSError, TimeoutError):
             return
-        self._ident += 1
-        ident = self._ident
+        self._last_ident += 1
+        ident = self._last_ident
         frames: asyncio.Queue[Any] = asyncio.Queue()
-        self._waits[ident] = frames.put_nowait
-        self._look()
+        self._pending[ident] = frames.put_nowait
+        self._start_liveness_checks()
         link.send(p.Watch(ident, prefix, revision))
         try:
             while (frame := await frames.get()) is not None:
                 yield frame
         finally:
-            self._waits.pop(ident, None)
+            self._pending.pop(ident, None)
             link.send(p.CancelWatch(ident))
 
     # --- Operators' ---------------------------------------------------------------------------
     async def status(self, within_s: float = 5.0) -> p.ReplicaStatus:
         """How the replica stands that is asked."""
-        found: p.ReplicaStatus = await self._ask(
+        found: p.ReplicaStatus = await self._request(
             p.GetStatus, lambda f: isinstance(f, p.ReplicaStatus), within_s
         )
         return found
 
-    async def dump(self, within_s: float = 30.0) -> bytes:
+    async def dump_state(self, within_s: float = 30.0) -> bytes:
         """The whole state, current: what `restore` makes a cluster of."""
         data, total = b"", -1
         while len(data) != total:
             offset = len(data)
-            part = await self._ask(partial(p.DumpState, offset=offset), _dumped, within_s)
-            if offset and part.total_bytes != total:  # another replica, or another state: begin anew
+            chunk = await self._request(partial(p.DumpState, offset=offset), _is_dump_chunk, within_s)
+            if offset and chunk.total_bytes != total:  # another replica, or another state: begin anew
                 data, total = b"", -1
                 continue
-            data, total = data + part.data, part.total_bytes
+            data, total = data + chunk.data, chunk.total_bytes
         return data
 
-    async def change(self, what: str, name: str, address: str = "", within_s: float = 10.0) -> Result:
+    async def change_membership(
+        self, action: str, name: str, address: str = "", within_s: float = 10.0
+    ) -> Result:
         """Add a learner, promote it to a voter, remove a member. StoreError says what stands against it.
 
         Asked again where its effect is not known; done where the membership is as asked for by then.
@@ -332,7 +353,7 @@
 
         def reached(standing: p.ReplicaStatus) -> bool:
             member = standing.membership.find(name)
-            match what:
+            match action:
                 case "add":
                     return member is not None and member.address == address
                 case "promote":
@@ -340,61 +361,68 @@
                 case _:
                     return member is None
 
-        return await self._operate(
-            lambda ident: p.ChangeMembership(ident, what, name, address), reached, within_s
+        return await self._run_operation(
+            lambda ident: p.ChangeMembership(ident, action, name, address), reached, within_s
         )
 
-    async def transfer(self, name: str, within_s: float = 10.0) -> Result:
+    async def transfer_leadership(self, name: str, within_s: float = 10.0) -> Result:
         """Hand the leadership to a voter; asked again where its effect is not known."""
-        return await self._operate(lambda ident: p.TransferLeadership(ident, name), _never, within_s)
+        return await self._run_operation(
+            lambda ident: p.TransferLeadership(ident, name), _not_reached, within_s
+        )
 
-    async def snapshot(self, within_s: float = 10.0) -> Result:
+    async def take_snapshot(self, within_s: float = 10.0) -> Result:
         """Have the replica that is asked compact its log."""
-        return await self._operate(p.TakeSnapshot, _never, within_s)
+        return await self._run_operation(p.TakeSnapshot, _not_reached, within_s)
 
-    async def _operate(
-        self, make: Callable[[int], Frame], reached: Callable[[p.ReplicaStatus], bool], within_s: float
+    async def _run_operation(
+        self,
+        make_frame: Callable[[int], Frame],
+        is_reached: Callable[[p.ReplicaStatus], bool],
+        within_s: float,
     ) -> Result:
         """Have an operation carried out; StoreError where it is refused and `reached` finds it undone."""
-        end = asyncio.get_running_loop().time() + within_s
-        in_doubt = 0  # tries that may have taken effect: all but those told that nothing was begun
+        deadline = asyncio.get_running_loop().time() + within_s
+        possibly_applied = 0  # tries that may have taken effect: all but those told that nothing was begun
 
         def counted(ident: int) -> Frame:
-            nonlocal in_doubt
-            in_doubt += 1
-            return make(ident)
+            nonlocal possibly_applied
+            possibly_applied += 1
+            return make_frame(ident)
 
         def final(frame: Any) -> bool:
-            nonlocal in_doubt
+            nonlocal possibly_applied
             if not isinstance(frame, p.CommandResponse):
                 return False
-            in_doubt -= frame.result.error not in ("", "unknown")
+            possibly_applied -= frame.result.error not in ("", "unknown")
             return frame.result.error not in ("unavailable", "unknown")
 
-        result: Result = (await self._ask(counted, final, within_s)).result
+        result: Result = (await self._request(counted, final, within_s)).result
         if not result.error:
             return result
-        left = end - asyncio.get_running_loop().time()
-        if in_doubt and left > 0 and reached(await self._current_standing(left)):
+        remaining_s = deadline - asyncio.get_running_loop().time()
+        if possibly_applied and remaining_s > 0 and is_reached(await self._current_status(remaining_s)):
             return Result(result.revision)
         raise StoreError(result.error, result.text)
 
-    async def _current_standing(self, within_s: float) -> p.ReplicaStatus:
+    async def _current_status(self, within_s: float) -> p.ReplicaStatus:
         """How a replica stands that has applied all that was committed when this was called."""
-        end = asyncio.get_running_loop().time() + within_s
+        deadline = asyncio.get_running_loop().time() + within_s
         while True:
-            left = end - asyncio.get_running_loop().time()
-            await self._page(p.Get(0, "", "", False, True), left)  # answered once the replica is current
-            proven = self._link
-            standing = await self.status(left)
-            if proven is not None and self._link is proven:
-                return standing
+            remaining_s = deadline - asyncio.get_running_loop().time()
+            await self._get_page(
+                p.Get(0, "", "", False, True), remaining_s
+            )  # answered once the replica is current
+            current_link = self._link
+            status = await self.status(remaining_s)
+            if current_link is not None and self._link is current_link:
+                return status
 
 
-def _never(standing: p.ReplicaStatus) -> bool:
+def _not_reached(status: p.ReplicaStatus) -> bool:
     """For operations that may be repeated: a refusal says all."""
     return False
 
 
-def _dumped(frame: Any) -> bool:
+def _is_dump_chunk(frame: Any) -> bool:
     return isinstance(frame, p.DumpChunk) and not frame.error
--- a/basaltpoint/store/command.py
+++ b/basaltpoint/store/command.py
@@ -28,9 +28,11 @@
 
 log = logging.getLogger("basaltpoint")
 
-CRASH = "BASALTPOINT_STORE_CRASH"  # POINT:COUNT, for tests: SIGKILL when it is reached so often
-TRANSFER_S = 1.0  # for a transfer of the leadership, before it is asked for again
-CAUGHT_UP_S = 60.0  # for a new member to catch up, by default
+CRASH_POINT_VARIABLE = (
+    "BASALTPOINT_STORE_CRASH"  # POINT:COUNT, for tests: SIGKILL when it is reached so often
+)
+TRANSFER_RETRY_INTERVAL_S = 1.0  # for a transfer of the leadership, before it is asked for again
+DEFAULT_CATCH_UP_TIMEOUT_S = 60.0  # for a new member to catch up, by default
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -41,7 +43,7 @@
         name: str, text: str, act: Callable[[Client, argparse.Namespace], Awaitable[int]]
     ) -> argparse.ArgumentParser:
         made = commands.add_parser(name, help=text)
-        add_common(made)
+        add_client_arguments(made)
         made.set_defaults(act=act)
         return made
 
@@ -53,7 +55,7 @@
         "restore", help="make the folder of a first replica of a new cluster from a backup"
     )
     restore.add_argument("backup", type=Path)
-    add_common(restore)
+    add_client_arguments(restore)
     restore.set_defaults(act=None)
     command("status", "how the replica stands that is asked", _status)
     command("members", "who belongs to the cluster", _members)
@@ -61,9 +63,11 @@
     add.add_argument("name")
     add.add_argument("address", help="HOST:PORT at which the others reach it")
     add.add_argument("--learner", action="store_true", help="leave it a learner")
-    add.add_argument("--wait", type=float, default=CAUGHT_UP_S, metavar="S", help="for it to catch up")
+    add.add_argument(
+        "--wait", type=float, default=DEFAULT_CATCH_UP_TIMEOUT_S, metavar="S", help="for it to catch up"
+    )
     command("remove", "remove a replica", _remove).add_argument("name")
-    command("transfer", "hand the leadership to a replica", transfer).add_argument("name")
+    command("transfer", "hand the leadership to a replica", transfer_leadership).add_argument("name")
     snapshot = command("snapshot", "compact the log; with FILE also write a backup of the cluster", _snapshot)
     snapshot.add_argument("file", type=Path, nargs="?")
     get = command("get", "print keys and values; exit code 1 where there is none", _get)
@@ -84,7 +88,7 @@
     watch.add_argument("--revision", type=int, help="from a revision on; without it, from now")
 
 
-def add_common(parser: argparse.ArgumentParser) -> None:
+def add_client_arguments(parser: argparse.ArgumentParser) -> None:
     """What each command that asks the store takes."""
     parser.add_argument(
         "--config",
@@ -106,14 +110,14 @@
         return run_replica(storage, args.embedded)
     if args.store_command == "restore":
         return _restore(storage, args.backup)
-    return ask(storage, args)
+    return run_with_client(storage, args)
 
 
-def ask(storage: StoreSettings, args: argparse.Namespace) -> int:
+def run_with_client(storage: StoreSettings, args: argparse.Namespace) -> int:
     """Have a command's `act` done with a client; the exit code: 1 where the store refuses."""
 
-    async def act() -> int:
-        client = setting.client(storage)
+    async def run_act() -> int:
+        client = setting.create_client(storage)
         try:
             code: int = await args.act(client, args)
             return code
@@ -121,7 +125,7 @@
             client.close()
 
     try:
-        return asyncio.run(act())
+        return asyncio.run(run_act())
     except (StoreError, CompactedError) as error:
         print(error, file=sys.stderr)
         return 1
@@ -130,18 +134,18 @@
 
 
 # --- A replica ---------------------------------------------------------------------------
-def crash_point(text: str) -> CrashPoint:
+def crash_point(specification: str) -> CrashPoint:
     """Ends the process at a named point, as a power failure would; only for tests."""
-    if not text:
+    if not specification:
         return no_crash_point
-    name, _, count = text.partition(":")
-    left = int(count or 1)
+    name, _, count = specification.partition(":")
+    remaining = int(count or 1)
 
     def point(reached: str) -> None:
-        nonlocal left
+        nonlocal remaining
         if reached == name:
-            left -= 1
-            if left == 0:
+            remaining -= 1
+            if remaining == 0:
                 os.kill(os.getpid(), signal.SIGKILL)
 
     return point
@@ -154,7 +158,9 @@
         log.error("store.name: missing; allowed: the replica's name")
         return 2
     try:
-        replica = Replica(setting.replica(storage), crash_point(os.environ.get(CRASH, "")))
+        replica = Replica(
+            setting.replica_settings(storage), crash_point(os.environ.get(CRASH_POINT_VARIABLE, ""))
+        )
     except (FolderError, CorruptionError, OSError) as error:
         log.error("store: %s", error)
         return 1
@@ -177,7 +183,7 @@
     await replica.start()
     where = f"at {replica.address}" if replica.address else "on this host"
     log.info(
-        "store: replica %s of cluster %s listens %s", replica.setting.name, replica.setting.cluster, where
+        "store: replica %s of cluster %s listens %s", replica.settings.name, replica.settings.cluster, where
     )
     await stop.wait()
     replica.close()
@@ -185,15 +191,21 @@
 
 def _restore(storage: StoreSettings, path: Path) -> int:
     try:
-        held = backup.read(path)
+        saved = backup.read(path)
         backup.restore(
-            held, storage.folder, storage.table.cluster, storage.table.name, setting.initial(storage)
+            saved,
+            storage.folder,
+            storage.table.cluster,
+            storage.table.name,
+            setting.initial_membership(storage),
         )
     except (backup.BackupError, FolderError, CorruptionError, OSError) as error:
         print(error, file=sys.stderr)
         return 1
     table = storage.table
-    print(f"{storage.folder}: replica {table.name} of cluster {table.cluster}, {len(held.state.values)} keys")
+    print(
+        f"{storage.folder}: replica {table.name} of cluster {table.cluster}, {len(saved.state.values)} keys"
+    )
     return 0
 
 
@@ -217,30 +229,30 @@
 
 
 async def _members(client: Client, args: argparse.Namespace) -> int:
-    found = await client.status(args.within)
-    for member in found.membership.members:
+    status = await client.status(args.within)
+    for member in status.membership.members:
         kind = "voter" if member.voter else "learner"
-        lead = " leader" if member.name == found.leader else ""
-        held = (
-            f" holds {found.match_indexes[member.name]} of {found.last_index}"
-            if member.name in found.match_indexes
+        leader_text = " leader" if member.name == status.leader else ""
+        match_text = (
+            f" holds {status.match_indexes[member.name]} of {status.last_index}"
+            if member.name in status.match_indexes
             else ""
         )
-        print(f"{member.name} {member.address or '-'} {kind}{lead}{held}")
+        print(f"{member.name} {member.address or '-'} {kind}{leader_text}{match_text}")
     return 0
 
 
 async def _add(client: Client, args: argparse.Namespace) -> int:
-    await client.change("add", args.name, args.address, args.within)
+    await client.change_membership("add", args.name, args.address, args.within)
     print(f"{args.name} is a learner")
     if args.learner:
         return 0
-    end = time.monotonic() + args.wait
+    deadline = time.monotonic() + args.wait
     while True:
         try:
-            await client.change("promote", args.name, within_s=args.within)
+            await client.change_membership("promote", args.name, within_s=args.within)
         except StoreError as error:
-            if error.error != "refused" or time.monotonic() > end:
+            if error.error != "refused" or time.monotonic() > deadline:
                 print(f"{args.name} stays a learner: {error}", file=sys.stderr)
                 return 1
             await asyncio.sleep(0.1)
@@ -250,64 +262,66 @@
 
 
 async def _remove(client: Client, args: argparse.Namespace) -> int:
-    await client.change("remove", args.name, within_s=args.within)
+    await client.change_membership("remove", args.name, within_s=args.within)
     print(f"{args.name} is removed")
     return 0
 
 
-async def transfer(client: Client, args: argparse.Namespace) -> int:
+async def transfer_leadership(client: Client, args: argparse.Namespace) -> int:
     """Hand the leadership to a replica and wait until it leads; the exit code."""
-    end = time.monotonic() + args.within
-    asked = float("-inf")
+    deadline = time.monotonic() + args.within
+    last_request_s = float("-inf")
     while True:
         # A leader gives a transfer up that is not done within an election's time: it is asked for again.
-        if time.monotonic() - asked > TRANSFER_S:
-            await client.transfer(args.name, args.within)
-            asked = time.monotonic()
+        if time.monotonic() - last_request_s > TRANSFER_RETRY_INTERVAL_S:
+            await client.transfer_leadership(args.name, args.within)
+            last_request_s = time.monotonic()
         leader = (await client.status(args.within)).leader
         if leader == args.name:
             print(f"{args.name} leads")
             return 0
-        if time.monotonic() > end:
+        if time.monotonic() > deadline:
             print(f"{leader or 'nobody'} leads still", file=sys.stderr)
             return 1
         await asyncio.sleep(0.02)
 
 
 async def _snapshot(client: Client, args: argparse.Namespace) -> int:
-    await client.snapshot(args.within)
+    await client.take_snapshot(args.within)
     if args.file is None:
         print("the log is being compacted")
         return 0
     cluster = (await client.status(args.within)).cluster
-    held = backup.write(args.file, cluster, await client.dump(args.within))
+    saved = backup.write(args.file, cluster, await client.dump_state(args.within))
     print(
-        f"{args.file}: {len(held.state.values)} keys at revision {held.state.revision} of cluster {cluster}"
+        f"{args.file}: {len(saved.state.values)} keys at revision {saved.state.revision} of cluster {cluster}"
     )
     return 0
 
 
 # --- Keys ---------------------------------------------------------------------------
 async def _get(client: Client, args: argparse.Namespace) -> int:
-    found, _ = await client.range(args.key, local=args.local, exact=not args.prefix, within_s=args.within)
-    for key, value in found.items():
+    values, _ = await client.get_range(
+        args.key, local=args.local, exact=not args.prefix, within_s=args.within
+    )
+    for key, value in values.items():
         if args.prefix:
             print(f"{key} {value.modified_revision} ", end="", flush=True)
         sys.stdout.buffer.write(value.value + b"\n")
         sys.stdout.buffer.flush()
-    return 0 if found else 1
+    return 0 if values else 1
 
 
 async def _put(client: Client, args: argparse.Namespace) -> int:
     value = sys.stdin.buffer.read() if args.value == "-" else args.value.encode()
     checks = [] if args.revision is None else [Check(args.key, args.revision)]
-    result = await client.txn([Put(args.key, value)], checks, args.within)
+    result = await client.transaction([Put(args.key, value)], checks, args.within)
     print(f"revision {result.revision}")
     return 0
 
 
 async def _delete(client: Client, args: argparse.Namespace) -> int:
-    result = await client.txn([Delete(args.key, args.prefix)], within_s=args.within)
+    result = await client.transaction([Delete(args.key, args.prefix)], within_s=args.within)
     print(f"revision {result.revision}")
     return 0
 
@@ -315,7 +329,7 @@
 async def _watch(client: Client, args: argparse.Namespace) -> int:
     revision = args.revision
     if revision is None:
-        revision = (await client.range("", exact=True, within_s=args.within))[1] + 1
+        revision = (await client.get_range("", exact=True, within_s=args.within))[1] + 1
     async for events, _ in client.watch(args.prefix, revision):
         for event in events:
             text = "removed" if event.value is None else event.value.value.decode(errors="replace")
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -21,7 +21,7 @@
 sys.path.insert(0, str(ROOT))
 
 from basaltpoint.load import coordinator, report, scenario  # noqa: E402
-from basaltpoint.load.command import read_asked, read_attempts  # noqa: E402
+from basaltpoint.load.command import read_ledger, read_server_log  # noqa: E402
 from basaltpoint.load.ledger import audit  # noqa: E402
 
 STALLED = {"stall.toml": ["--stall", "10:2"]}
@@ -72,10 +72,10 @@
         for process in (limiter, *servers):
             process.send_signal(signal.SIGTERM)
             process.wait()
-    findings = audit(read_asked(folder / "ledger"), [row for log in logs for row in read_attempts(log)])
+    findings = audit(read_ledger(folder / "ledger"), [row for log in logs for row in read_server_log(log)])
     print(f"\n{path.name}\n{report.text(made)}\naudit: {len(findings)} findings")
     for one in findings:
-        print(f"  {one.kind}: {one.ident}: {one.what}")
+        print(f"  {one.kind}: {one.ident}: {one.detail}")
 
 
 def main() -> None:
--- a/benchmarks/servers.py
+++ b/benchmarks/servers.py
@@ -152,7 +152,7 @@
         ]
         for number, entry in enumerate(changes):
             await asyncio.sleep(max(0.0, begun + CHANGING_S * number / len(changes) - monotonic()))
-            self.registry.change(entry)
+            self.registry.apply_change(entry)
 
     async def replaced(self) -> None:
         """One list names none of the servers before."""
@@ -165,11 +165,11 @@
         self.agent.faults.down = True
         await asyncio.sleep(OUTAGE_S)
         await self._replace(self._rng.sample(list(self.registry.entries.values()), self.servers // 10))
-        self.agent.come_back()
+        self.agent.restore_discovery()
 
     async def _replace(self, old: list[dict[str, Any]]) -> None:
         fresh = [await self.server() for _ in old]
-        self.registry.change(*(entry | {"health": "left"} for entry in old), *fresh)
+        self.registry.apply_change(*(entry | {"health": "left"} for entry in old), *fresh)
 
     # --- The run ---------------------------------------------------------------------------------------
     async def play(self, changes: Callable[[Day], Work]) -> Need:
@@ -183,7 +183,7 @@
         }
         record = Record(soak.GRACE_S, soak.WINDOW_S, soak.LONGEST_S)
         limiter = Limiter(0, self.folder, settings, record, False)
-        limiter.configure(self.agent.address, self.registry.known_at(1))
+        limiter.configure(self.agent.address, self.registry.list_at(1))
         await limiter.start()
         try:
             async with asyncio.timeout(READY_S):
@@ -210,7 +210,7 @@
         watcher.cancel()
         self.need.cpu_s = _cpu_s(process)
         self.need.memory_mb = _peak_mb(process)
-        self.need.list_kb = self.agent.written / 1000
+        self.need.list_kb = self.agent.list_bytes_written / 1000
 
     def _begin(self, work: Work) -> None:
         task = asyncio.create_task(work)
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -159,14 +159,14 @@
         client = made.client()
         for at in range(64):
             await client.put(f"big{at}", bytes(1 << 20), within_s=60)
-        await client.snapshot()
+        await client.take_snapshot()
         await asyncio.sleep(2)
         made.names = names
         made.write(names[3], join=True)
         made.start(names[3])
         await asyncio.sleep(1.0)
         began = time.perf_counter()
-        await client.change("add", names[3], made.addresses[names[3]])
+        await client.change_membership("add", names[3], made.addresses[names[3]])
         await _there(made, names[3], client)
         took = time.perf_counter() - began
         bare = time.perf_counter()
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -21,7 +21,7 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from basaltpoint.standins.server import Behaviour, StandIn  # noqa: E402
+from basaltpoint.standins.server import ServerBehaviour, StandInServer  # noqa: E402
 
 LENGTH_S = 12.0
 DRAIN_S = 5.0  # after the start
@@ -110,7 +110,7 @@
     await asyncio.gather(*tasks)
 
 
-def table(servers: list[StandIn], drained: bool) -> list[str]:
+def table(servers: list[StandInServer], drained: bool) -> list[str]:
     """What is known so far, for the screen."""
     lines = [f"{'account':18} {'asked':>6} {'served':>7} {'quota':>6} {'shed':>5} {'failed':>6}  median ms"]
     for a in ACCOUNTS:
@@ -123,12 +123,14 @@
     lines.append("")
     for number, server in enumerate(servers):
         state = "drained" if drained and number == 0 else ""
-        corrections = sum("corrections" in seen.path for seen in server.seen)
-        lines.append(f"{server.name:4} {len(server.seen):6} requests, {corrections:4} corrections  {state}")
+        corrections = sum("corrections" in seen.path for seen in server.requests)
+        lines.append(
+            f"{server.name:4} {len(server.requests):6} requests, {corrections:4} corrections  {state}"
+        )
     return lines
 
 
-async def show(servers: list[StandIn], start: float, drained: asyncio.Event) -> None:
+async def show(servers: list[StandInServer], start: float, drained: asyncio.Event) -> None:
     """The live table; on a terminal it is drawn in place."""
     live, drawn = sys.stdout.isatty(), 0
     while True:
@@ -159,8 +161,8 @@
     servers = []
     text = (ROOT / "examples/demo.toml").read_text()
     for number in (1, 2, 3):
-        behaviour = Behaviour(workers=8, service_s=lambda rng: rng.expovariate(1 / 0.02))
-        servers.append(StandIn(behaviour, seed=number, name=f"s{number}"))
+        behaviour = ServerBehaviour(workers=8, draw_service_s=lambda rng: rng.expovariate(1 / 0.02))
+        servers.append(StandInServer(behaviour, seed=number, name=f"s{number}"))
         await servers[-1].start()
         text = text.replace(f"127.0.0.1:900{number}", servers[-1].address)
     address, file = free_address(), folder / "demo.toml"
@@ -197,16 +199,16 @@
     return summary(servers, drain_at)
 
 
-def summary(servers: list[StandIn], drain_at: float) -> int:
+def summary(servers: list[StandInServer], drain_at: float) -> int:
     """What happened, and whether it is what should have."""
     print("\nAt the end:\n")
     print("\n".join(table(servers, True)))
-    late = [seen.came_s - drain_at for seen in servers[0].seen if seen.came_s > drain_at + 0.25]
-    strays = sum("corrections" in seen.path for server in servers[:2] for seen in server.seen)
+    late = [seen.came_s - drain_at for seen in servers[0].requests if seen.came_s > drain_at + 0.25]
+    strays = sum("corrections" in seen.path for server in servers[:2] for seen in server.requests)
     unanswered = sum(account.outcomes["none"] for account in ACCOUNTS)
     twice = sum(
         count > 1
-        for count in Counter(s.path + s.key for server in servers for s in server.seen if s.key).values()
+        for count in Counter(s.path + s.key for server in servers for s in server.requests if s.key).values()
     )
     print(f"\nrequests to the drained server later than 250 ms after the reload: {len(late)}")
     print(f"corrections outside their pool: {strays}; keyed requests seen twice: {twice}")
--- a/tests/storeprocs.py
+++ b/tests/storeprocs.py
@@ -18,7 +18,7 @@
 
 from basaltpoint.links.transport import Tls
 from basaltpoint.store.client import Client, Endpoint, StoreError
-from basaltpoint.store.command import CRASH
+from basaltpoint.store.command import CRASH_POINT_VARIABLE
 
 
 def free_ports(count: int) -> list[int]:
@@ -93,7 +93,7 @@
                     ],
                     stdout=out,
                     stderr=out,
-                    env={**os.environ, CRASH: crash, **self.environment.get(name, {})},
+                    env={**os.environ, CRASH_POINT_VARIABLE: crash, **self.environment.get(name, {})},
                 )
 
     def kill(self, name: str, number: int = signal.SIGKILL) -> None:
--- a/tests/test_incident_drain_after_restart.py
+++ b/tests/test_incident_drain_after_restart.py
@@ -68,7 +68,7 @@
             agent = Agent(registry, random.Random(1))
             await agent.start()
             try:
-                await limiter.start(agent.address, registry.known_at(1))
+                await limiter.start(agent.address, registry.list_at(1))
                 await limiter.up()
                 async with continuous_requests(limiter):
                     await until(lambda: len(first.at) > 5 and len(second.at) > 5)
@@ -94,10 +94,10 @@
         one: Backend,
     ) -> None:
         await limiter.kill()
-        registry.change(host("a", one.address, "leaving"))
+        registry.apply_change(host("a", one.address, "leaving"))
         await until(lambda: agent.version == 2)
-        agent.faults.first_word_s = (FIRST_RESPONSE_DELAY_S, FIRST_RESPONSE_DELAY_S)
-        await limiter.start(agent.address, registry.known_at(1))
+        agent.faults.response_delay_s = (FIRST_RESPONSE_DELAY_S, FIRST_RESPONSE_DELAY_S)
+        await limiter.start(agent.address, registry.list_at(1))
         await asyncio.sleep(FIRST_RESPONSE_DELAY_S + 0.5)  # past the agent's first word
         served = len(second.at)
         await until(lambda: len(second.at) > served + 5)
@@ -119,11 +119,11 @@
         second: Arrivals,
         one: Backend,
     ) -> None:
-        agent.faults.first_word_s = (FIRST_RESPONSE_DELAY_S, FIRST_RESPONSE_DELAY_S)
+        agent.faults.response_delay_s = (FIRST_RESPONSE_DELAY_S, FIRST_RESPONSE_DELAY_S)
         agent.reset_watches()
-        registry.change(host("a", one.address, "leaving"))
+        registry.apply_change(host("a", one.address, "leaving"))
         await until(lambda: agent.version == 2)
-        told = agent.told[-1][0]
+        told = agent.versions[-1][0]
         await asyncio.sleep(FIRST_RESPONSE_DELAY_S + 0.5)
         served = len(second.at)
         await until(lambda: len(second.at) > served + 5)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -15,20 +15,20 @@
 
 from basaltpoint.config.decode import FileError
 from basaltpoint.load import arrivals, compare, report, scenario
-from basaltpoint.load.arrivals import Planned
-from basaltpoint.load.driver import Driver, End, GiveUp, Record, Try
-from basaltpoint.load.health import Spell, Watch, merged
+from basaltpoint.load.arrivals import PlannedRequest
+from basaltpoint.load.driver import AbandonAttempt, Attempt, Driver, Outcome, RequestRecord
+from basaltpoint.load.health import HealthMonitor, UnsoundInterval, merge_intervals
 from basaltpoint.load.scenario import (
+    ArrivalProcess,
     Backoff,
     ClassTable,
-    Kind,
     PlanTable,
-    Process,
-    Retries,
+    RetryTable,
     Scenario,
+    ShapeKind,
     ShapeTable,
 )
-from basaltpoint.load.stats import Stats, quantiles_ms
+from basaltpoint.load.stats import Stats, percentiles_ms
 
 READ = ClassTable(name="read", aim_ms=100.0, timeout_ms=60_000.0)
 FIX = ClassTable(name="fix", method="POST", path="/corrections/{n}", once=True, timeout_ms=1000.0)
@@ -46,51 +46,51 @@
 
 # --- Arrivals ----------------------------------------------------------------------------------------
 def test_the_same_seed_asks_the_same_and_processes_share_it() -> None:
-    one = told(class_=(READ, FIX), arrivals=Process.POISSON)
-    whole = list(arrivals.planned(one))
-    assert whole == list(arrivals.planned(one))
-    assert whole != list(arrivals.planned(told(class_=(READ, FIX), seed=2)))
-    parts = [list(arrivals.share_of(arrivals.planned(one), part, 3)) for part in range(3)]
+    one = told(class_=(READ, FIX), arrivals=ArrivalProcess.POISSON)
+    whole = list(arrivals.planned_requests(one))
+    assert whole == list(arrivals.planned_requests(one))
+    assert whole != list(arrivals.planned_requests(told(class_=(READ, FIX), seed=2)))
+    parts = [list(arrivals.worker_share(arrivals.planned_requests(one), part, 3)) for part in range(3)]
     assert sorted((p for part in parts for p in part), key=lambda p: p.number) == whole
-    assert [p.at_s for p in whole] == sorted(p.at_s for p in whole)
+    assert [p.intended_s for p in whole] == sorted(p.intended_s for p in whole)
     assert abs(len(whole) - 1000) < 4 * math.sqrt(1000)
 
 
 def test_constant_arrivals_follow_the_integral_of_the_rate() -> None:
-    ramp = ShapeTable(kind=Kind.RAMP, factor=3.0)
-    one = told(arrivals=Process.CONSTANT, shape=(ramp,))
-    times = [p.at_s for p in arrivals.planned(one)]
+    ramp = ShapeTable(kind=ShapeKind.RAMP, factor=3.0)
+    one = told(arrivals=ArrivalProcess.CONSTANT, shape=(ramp,))
+    times = [p.intended_s for p in arrivals.planned_requests(one)]
     assert len(times) in (1999, 2000)  # 100 to 300 a second over 10 s
     for number in (1, 500, 1999):
         t = times[number - 1]
         assert abs(100 * t + 10 * t * t - number) < 0.5
-    plain = [p.at_s for p in arrivals.planned(told(arrivals=Process.CONSTANT))]
+    plain = [p.intended_s for p in arrivals.planned_requests(told(arrivals=ArrivalProcess.CONSTANT))]
     assert all(abs(t - (n + 1) / 100) < 2e-3 for n, t in enumerate(plain))
 
 
-@pytest.mark.parametrize("process", list(Process))
-def test_shapes(process: Process) -> None:
+@pytest.mark.parametrize("process", list(ArrivalProcess))
+def test_shapes(process: ArrivalProcess) -> None:
     plans = (PlanTable(name="a", accounts=10, rate=200.0), PlanTable(name="b", accounts=10, rate=200.0))
     shapes = (
-        ShapeTable(kind=Kind.SURGE, plan="a", from_s=4.0, to_s=6.0, factor=5.0),
-        ShapeTable(kind=Kind.RUNAWAY, plan="b", account=3, from_s=5.0, to_s=7.0, rate=400.0),
-        ShapeTable(kind=Kind.STEP, from_s=9.0, factor=0.0),
+        ShapeTable(kind=ShapeKind.SURGE, plan="a", from_s=4.0, to_s=6.0, factor=5.0),
+        ShapeTable(kind=ShapeKind.RUNAWAY, plan="b", account=3, from_s=5.0, to_s=7.0, rate=400.0),
+        ShapeTable(kind=ShapeKind.STEP, from_s=9.0, factor=0.0),
     )
-    asked = list(arrivals.planned(told(plan=plans, shape=shapes, arrivals=process)))
-    count = Counter((p.plan, int(p.at_s)) for p in asked)
+    asked = list(arrivals.planned_requests(told(plan=plans, shape=shapes, arrivals=process)))
+    count = Counter((p.plan, int(p.intended_s)) for p in asked)
     assert count["a", 1] > 140 and count["a", 5] > 5 * 140 and count["a", 9] == 0
     assert count["b", 5] > 140 + 300 and count["b", 8] < 270
-    runaway = sum(p.account == "b-3" for p in asked if 5 <= p.at_s < 7)
+    runaway = sum(p.account == "b-3" for p in asked if 5 <= p.intended_s < 7)
     assert abs(runaway - 800 - 40) < 160
 
 
 def test_skew_and_sine() -> None:
     plan = PlanTable(name="a", accounts=100, rate=1000.0, skew=1.0)
-    wave = ShapeTable(kind=Kind.SINE, factor=3.0, period_s=10.0)
-    asked = list(arrivals.planned(told(plan=(plan,), shape=(wave,))))
+    wave = ShapeTable(kind=ShapeKind.SINE, factor=3.0, period_s=10.0)
+    asked = list(arrivals.planned_requests(told(plan=(plan,), shape=(wave,))))
     by = Counter(p.account for p in asked)
     assert 1.4 < by["a-0"] / by["a-1"] < 2.8 and by["a-0"] > 20 * by.get("a-99", 1) / 2
-    seconds = Counter(int(p.at_s) for p in asked)
+    seconds = Counter(int(p.intended_s) for p in asked)
     assert seconds[4] > 2 * seconds[0] and seconds[5] > 2 * seconds[9]
 
 
@@ -102,7 +102,7 @@
         self,
         service: Callable[[], float],
         stalls: tuple[tuple[float, float], ...] = (),
-        code: Callable[[Try], tuple[int, float | None]] = lambda one: (200, None),
+        code: Callable[[Attempt], tuple[int, float | None]] = lambda one: (200, None),
     ) -> None:
         self.service, self.stalls, self.code = service, stalls, code
 
@@ -131,21 +131,21 @@
         return at
 
     beat = 0.0
-    while not driver.done:
+    while not driver.is_finished:
         due = [
             beat,
             *([answers[0][0]] if answers else []),
             *([driver.next_s] if driver.next_s is not None else []),
         ]
         now = awake(min(due))
-        driver._watch.beat(now)
+        driver._health.record_turn(now)
         beat = max(beat, now + 0.005) if now >= beat else beat
         for action in driver.tick(now):
-            if isinstance(action, GiveUp):
+            if isinstance(action, AbandonAttempt):
                 answers = [row for row in answers if row[1] != action.ident]
                 heapq.heapify(answers)
                 continue
-            driver.sent(now, action.ident)
+            driver.attempt_sent(now, action.ident)
             if broken and action.planned.number in broken:
                 heapq.heappush(answers, (now + 0.001, action.ident, 0, None))
             else:
@@ -155,9 +155,9 @@
         while answers and answers[0][0] <= now:
             _, ident, code, after = heapq.heappop(answers)
             if code:
-                driver.answered(now, ident, code, after)
+                driver.response_received(now, ident, code, after)
             else:
-                driver.broken(now, ident)
+                driver.connection_lost(now, ident)
 
 
 class Kept(Stats):
@@ -165,54 +165,54 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.records: list[Record] = []
+        self.records: list[RequestRecord] = []
         self.tries: Counter[tuple[int, int]] = Counter()
         self.answers: Counter[tuple[int, int]] = Counter()
 
-    def record(self, record: Record) -> None:
-        super().record(record)
+    def record_request(self, record: RequestRecord) -> None:
+        super().record_request(record)
         self.records.append(record)
 
-    def tried(self, request: int, number: int, answers: int, hung_up: bool) -> None:
+    def record_attempt(self, request: int, number: int, answers: int, hung_up: bool) -> None:
         self.tries[request, number] += 1
         self.answers[request, number] += answers
 
 
 def drive(
-    one: Scenario, server: Server, requests: Iterator[Planned] | None = None, **rest: object
+    one: Scenario, server: Server, requests: Iterator[PlannedRequest] | None = None, **rest: object
 ) -> tuple[Kept, Driver]:
     kept = Kept()
-    watch = Watch(one.health.late_ms / 1000, one.health.stall_ms / 1000, one.health.steal)
+    watch = HealthMonitor(one.health.late_ms / 1000, one.health.stall_ms / 1000, one.health.steal)
     classes = {cls.name: cls for cls in one.class_}
     driver = Driver(
-        requests or arrivals.planned(one), classes, one.retries, watch, kept, one.seed, one.in_flight
+        requests or arrivals.planned_requests(one), classes, one.retries, watch, kept, one.seed, one.in_flight
     )
     simulate(driver, server, **rest)  # type: ignore[arg-type]
-    kept.spells = watch.spells
+    kept.unsound_intervals = watch.intervals
     return kept, driver
 
 
 def test_a_stall_of_two_seconds_delays_two_thousand_requests() -> None:
     """Not one: each that was due meanwhile waited, for what was left of the stall."""
     plan = PlanTable(name="team", accounts=10, rate=1000.0)
-    one = told(plan=(plan,), arrivals=Process.CONSTANT)
+    one = told(plan=(plan,), arrivals=ArrivalProcess.CONSTANT)
     kept, _ = drive(one, Server(lambda: 0.001, stalls=((4.0, 6.0),)))
     assert len(kept.records) in (9999, 10_000)
     delayed = [r for r in kept.records if r.latency_s > 0.0015]
     assert abs(len(delayed) - 2000) <= 2
     for record in delayed:
-        assert abs(record.planned.at_s + record.latency_s - 6.0) < 1e-6
+        assert abs(record.planned.intended_s + record.latency_s - 6.0) < 1e-6
     # Evenly from 0 to 2 s, so their median is 1 s; half of the stall's seconds' requests are beyond it.
     waits = sorted(r.latency_s for r in delayed)
     assert abs(waits[1000] - 1.0) < 0.003 and waits[-1] <= 2.001
     assert kept.latency[""].get_value_at_percentile(90) / 1e6 == pytest.approx(1.0, abs=0.01)
-    ends = Counter(r.end for r in kept.records)
-    assert abs(ends[End.LATE] - 1900) <= 2  # all but those due within the aim of its end
+    ends = Counter(r.outcome for r in kept.records)
+    assert abs(ends[Outcome.LATE] - 1900) <= 2  # all but those due within the aim of its end
     worst = report.summary(kept, "x")["worst"]
     assert worst["asked"] >= 9000
     second = report.summary(kept, "x")["seconds"][4]
     assert abs(second["late"] - 1000) <= 2
-    assert not kept.spells
+    assert not kept.unsound_intervals
 
 
 def test_percentiles_match_a_known_distribution() -> None:
@@ -222,100 +222,104 @@
     random.Random(5).shuffle(times)
     left = iter(times)
     plan = PlanTable(name="team", accounts=10, rate=5000.0)
-    one = told(plan=(plan,), arrivals=Process.CONSTANT)
+    one = told(plan=(plan,), arrivals=ArrivalProcess.CONSTANT)
     kept, _ = drive(one, Server(lambda: next(left, mean)))
-    found = quantiles_ms(kept.latency[""])
+    found = percentiles_ms(kept.latency[""])
     for name, part in (("p50", 0.5), ("p99", 0.99), ("p99.9", 0.999)):
         assert abs(found[name] + mean * 1000 * math.log(1 - part)) < 3.0, name
 
 
 def test_the_generators_own_sleep_is_flagged_and_counted_in_full() -> None:
     plan = PlanTable(name="team", accounts=10, rate=1000.0)
-    one = told(plan=(plan,), arrivals=Process.CONSTANT)
+    one = told(plan=(plan,), arrivals=ArrivalProcess.CONSTANT)
     kept, driver = drive(one, Server(lambda: 0.001), asleep=((3.0, 3.3),))
-    (spell,) = kept.spells
+    (spell,) = kept.unsound_intervals
     assert abs(spell.from_s - 3.0) < 0.006 and spell.to_s == 3.3
-    assert driver.asked == len(kept.records) >= 9999  # nothing was thinned
+    assert driver.started_requests == len(kept.records) >= 9999  # nothing was thinned
     late = [r for r in kept.records if r.latency_s > 0.1]
-    assert 195 <= len(late) <= 205 and all(not r.sound for r in late)
-    unsound = [r for r in kept.records if not r.sound]
-    assert all(2.99 < r.planned.at_s + r.latency_s < 3.32 for r in unsound)
-    assert quantiles_ms(kept.sound)["max"] < 20.0 < quantiles_ms(kept.latency[""])["max"]
+    assert 195 <= len(late) <= 205 and all(not r.is_sound for r in late)
+    unsound = [r for r in kept.records if not r.is_sound]
+    assert all(2.99 < r.planned.intended_s + r.latency_s < 3.32 for r in unsound)
+    assert percentiles_ms(kept.sound)["max"] < 20.0 < percentiles_ms(kept.latency[""])["max"]
     # The time from the true start is short: it alone would have hidden the sleep.
-    assert quantiles_ms(kept.service)["p99.9"] < 5.0
-    assert quantiles_ms(kept.lateness)["max"] > 290.0
+    assert percentiles_ms(kept.service)["p99.9"] < 5.0
+    assert percentiles_ms(kept.lateness)["max"] > 290.0
 
 
 def test_retries_wait_as_stated() -> None:
     tries: dict[int, list[float]] = {}
 
-    def code(one: Try) -> tuple[int, float | None]:
+    def code(one: Attempt) -> tuple[int, float | None]:
         tries.setdefault(one.planned.number, []).append(one.intended_s)
         return 429, 2.0
 
-    def gaps(retries: Retries) -> list[list[float]]:
+    def gaps(retries: RetryTable) -> list[list[float]]:
         tries.clear()
         kept, _ = drive(told(retries=retries, duration_s=1.0), Server(lambda: 0.0, code=code))
-        assert all(r.end is End.REFUSED and r.tries == retries.most + 1 for r in kept.records)
+        assert all(r.outcome is Outcome.REFUSED and r.attempts == retries.most + 1 for r in kept.records)
         assert set(kept.tries.values()) == {1}
         return [[b - a for a, b in pairwise(row)] for row in tries.values()]
 
-    for row in gaps(Retries(most=3, backoff=Backoff.EXPONENTIAL, wait_ms=100.0, honour=0.0)):
+    for row in gaps(RetryTable(most=3, backoff=Backoff.EXPONENTIAL, wait_ms=100.0, honour=0.0)):
         assert all(0.05 * 2**n <= gap <= 0.1 * 2**n + 1e-9 for n, gap in enumerate(row))
-    for row in gaps(Retries(most=2, wait_ms=100.0, honour=1.0)):
+    for row in gaps(RetryTable(most=2, wait_ms=100.0, honour=1.0)):
         assert all(gap > 2.0 - 1e-6 for gap in row)
-    honest = sum(row[0] > 2.0 - 1e-6 for row in gaps(Retries(most=1, wait_ms=100.0, honour=0.5)))
+    honest = sum(row[0] > 2.0 - 1e-6 for row in gaps(RetryTable(most=1, wait_ms=100.0, honour=0.5)))
     assert 25 < honest < 75
-    for row in gaps(Retries(most=2, backoff=Backoff.NONE, honour=0.0)):
+    for row in gaps(RetryTable(most=2, backoff=Backoff.NONE, honour=0.0)):
         assert row == [0.0, 0.0]
 
 
 def test_the_wait_for_a_retry_counts_from_the_first_intended_start() -> None:
-    def code(one: Try) -> tuple[int, float | None]:
+    def code(one: Attempt) -> tuple[int, float | None]:
         return (200, None) if one.number else (503, 1.0)
 
-    kept, _ = drive(told(retries=Retries(most=1)), Server(lambda: 0.01, code=code))
-    assert all(r.end is End.LATE and r.latency_s > 1.0 and r.service_s < 0.02 for r in kept.records)
+    kept, _ = drive(told(retries=RetryTable(most=1)), Server(lambda: 0.01, code=code))
+    assert all(r.outcome is Outcome.LATE and r.latency_s > 1.0 and r.service_s < 0.02 for r in kept.records)
     assert all(r.answers == 2 for r in kept.records)
 
 
 def test_no_client_repeats_what_must_run_once_and_may_have() -> None:
-    def code(one: Try) -> tuple[int, float | None]:
+    def code(one: Attempt) -> tuple[int, float | None]:
         return (429, None) if one.planned.number % 2 else (0, None)
 
-    kept, _ = drive(told(class_=(FIX,), retries=Retries(most=3)), Server(lambda: 0.0, code=code))
+    kept, _ = drive(told(class_=(FIX,), retries=RetryTable(most=3)), Server(lambda: 0.0, code=code))
     by = {r.planned.number: r for r in kept.records}
-    assert all(r.tries == (4 if n % 2 else 1) for n, r in by.items())
-    assert all(r.end is (End.REFUSED if n % 2 else End.NONE) for n, r in by.items())
-    assert kept.odd_total == sum(r.end is End.NONE for r in kept.records) > 0
-    kept, _ = drive(told(class_=(FIX,), retries=Retries(most=3)), Server(lambda: 0.0), broken={3, 5})
-    assert {r.planned.number: (r.tries, r.end) for r in kept.records if r.planned.number in (3, 5)} == {
-        3: (1, End.FAILED),
-        5: (1, End.FAILED),
+    assert all(r.attempts == (4 if n % 2 else 1) for n, r in by.items())
+    assert all(r.outcome is (Outcome.REFUSED if n % 2 else Outcome.NONE) for n, r in by.items())
+    assert kept.anomaly_count == sum(r.outcome is Outcome.NONE for r in kept.records) > 0
+    kept, _ = drive(told(class_=(FIX,), retries=RetryTable(most=3)), Server(lambda: 0.0), broken={3, 5})
+    assert {
+        r.planned.number: (r.attempts, r.outcome) for r in kept.records if r.planned.number in (3, 5)
+    } == {
+        3: (1, Outcome.FAILED),
+        5: (1, Outcome.FAILED),
     }
 
 
 def test_what_can_not_be_sent_is_missed_and_counted() -> None:
     one = told(in_flight=10)
     kept, driver = drive(one, Server(lambda: 1.0))
-    ends = Counter(r.end for r in kept.records)
-    assert ends[End.MISSED] > 500 and sum(ends.values()) == driver.asked
+    ends = Counter(r.outcome for r in kept.records)
+    assert ends[Outcome.MISSED] > 500 and sum(ends.values()) == driver.started_requests
     row = report.summary(kept, "x")["total"]
-    assert row["asked"] == driver.asked and row["missed"] == ends[End.MISSED]
+    assert row["asked"] == driver.started_requests and row["missed"] == ends[Outcome.MISSED]
 
 
 # --- Health ------------------------------------------------------------------------------------------
 def test_spells() -> None:
-    watch = Watch(0.02, 0.05, 0.1)
+    watch = HealthMonitor(0.02, 0.05, 0.1)
     for beat in (0.0, 0.01, 0.02, 0.32, 0.33):
-        watch.beat(beat)
-    watch.sent(0.10, 0.33)  # was due in the spell: the same one
-    assert [(s.from_s, s.to_s) for s in watch.spells] == [(0.02, 0.33)]
-    assert watch.sound(0.34, 0.5) and not watch.sound(0.0, 0.03) and not watch.sound(0.1, 0.2)
-    watch.stolen(1.0, 2.0, 0.05)
-    watch.stolen(2.0, 3.0, 0.5)
-    assert [s.from_s for s in watch.spells] == [0.02, 2.0]
-    joined = merged([watch.spells, [Spell(0.3, 0.4, "x"), Spell(5.0, 6.0, "y")]])
+        watch.record_turn(beat)
+    watch.record_send(0.10, 0.33)  # was due in the spell: the same one
+    assert [(s.from_s, s.to_s) for s in watch.intervals] == [(0.02, 0.33)]
+    assert watch.is_sound(0.34, 0.5) and not watch.is_sound(0.0, 0.03) and not watch.is_sound(0.1, 0.2)
+    watch.record_steal(1.0, 2.0, 0.05)
+    watch.record_steal(2.0, 3.0, 0.5)
+    assert [s.from_s for s in watch.intervals] == [0.02, 2.0]
+    joined = merge_intervals(
+        [watch.intervals, [UnsoundInterval(0.3, 0.4, "x"), UnsoundInterval(5.0, 6.0, "y")]]
+    )
     assert [(s.from_s, s.to_s) for s in joined] == [(0.02, 0.4), (2.0, 3.0), (5.0, 6.0)]
 
 
@@ -335,8 +339,8 @@
     for part in range(3):
         kept = Stats()
         for record in whole.records[part::3]:
-            kept.record(record)
-        joined.join(json.loads(json.dumps(kept.pack())))
+            kept.record_request(record)
+        joined.merge(json.loads(json.dumps(kept.pack())))
     a, b = report.summary(whole, "x"), report.summary(joined, "x")
     for key in ("total", "by", "latency_ms", "worst", "seconds", "percentiles"):
         assert a[key] == b[key], key
@@ -366,10 +370,10 @@
         assert [one.name for one in found] == ["in time, part", "p99 ms"]
         return found[1]
 
-    assert p99(100, 150, 5).sure
-    assert sum(p99(100, 100, 5).sure for _ in range(40)) <= 8
+    assert p99(100, 150, 5).is_significant
+    assert sum(p99(100, 100, 5).is_significant for _ in range(40)) <= 8
     few = p99(100, 150, 2)
-    assert few.low is None and not few.sure and "too few runs" in compare.text([few])
+    assert few.low is None and not few.is_significant and "too few runs" in compare.text([few])
 
 
 # --- Scenario files ------------------------------------------------------------------------------------
