--- a/tests/test_load_run.py
+++ b/tests/test_load_run.py
@@ -17,10 +17,10 @@
 from standalone import KEY, config, standalone
 
 from basaltpoint.load import coordinator, report, scenario
-from basaltpoint.load.command import read_asked, read_attempts
+from basaltpoint.load.command import read_ledger, read_server_log
 from basaltpoint.load.ledger import audit
 from basaltpoint.load.stats import Stats
-from basaltpoint.standins.server import Behaviour, Keys, SharedKeys, StandIn
+from basaltpoint.standins.server import IdempotencyKeys, ServerBehaviour, SharedIdempotencyKeys, StandInServer
 
 ROOT = Path(__file__).parent.parent
 
@@ -42,14 +42,14 @@
 @pytest.mark.parametrize("processes", [1, 3])
 def test_every_arrival_is_asked_once_and_counted(tmp_path: Path, processes: int) -> None:
     async def test() -> None:
-        server = StandIn(Behaviour(workers=1000, service_s=lambda rng: 0.005))
+        server = StandInServer(ServerBehaviour(workers=1000, draw_service_s=lambda rng: 0.005))
         await server.start()
         path = written(tmp_path, server.address, f"processes = {processes}")
         stats = await play(path, ledger=tmp_path / "ledger")
         made = report.summary(stats, "x")
-        idents = [seen.ident for seen in server.seen]
+        idents = [seen.ident for seen in server.requests]
         assert made["total"]["served"] == made["total"]["asked"] == len(idents) == len(set(idents)) > 300
-        asked = read_asked(tmp_path / "ledger")
+        asked = read_ledger(tmp_path / "ledger")
         assert sorted(one.ident for one in asked) == sorted(idents)
         assert all(one.answers == 1 for one in asked)
         server.stop()
@@ -61,23 +61,23 @@
     """SIGSTOP for 300 ms: the run flags that spell, and loses nothing."""
 
     async def test() -> None:
-        server = StandIn(Behaviour(workers=1000, service_s=lambda rng: 0.001))
+        server = StandInServer(ServerBehaviour(workers=1000, draw_service_s=lambda rng: 0.001))
         await server.start()
         path = written(
             tmp_path, server.address, rest='[health]\nstall_ms = 150\nlate_ms = 150\n[[class]]\nname = "r"\n'
         )
         pids: list[int] = []
         task = asyncio.create_task(play(path, started=pids.extend))
-        while not server.seen:
+        while not server.requests:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.5)
         os.kill(pids[0], signal.SIGSTOP)
         await asyncio.sleep(0.3)
         os.kill(pids[0], signal.SIGCONT)
         stats = await task
-        assert any(spell.to_s - spell.from_s >= 0.25 for spell in stats.spells)
+        assert any(spell.to_s - spell.from_s >= 0.25 for spell in stats.unsound_intervals)
         made = report.summary(stats, "x")
-        assert made["total"]["asked"] == len(server.seen)
+        assert made["total"]["asked"] == len(server.requests)
         assert made["lateness_ms"]["max"] >= 150
         server.stop()
 
@@ -88,7 +88,7 @@
     """Descriptors run out: what could not be sent is missed, counted, and no verdict is given."""
 
     async def test() -> None:
-        server = StandIn(Behaviour(workers=1000, service_s=lambda rng: 1.0))
+        server = StandInServer(ServerBehaviour(workers=1000, draw_service_s=lambda rng: 1.0))
         await server.start()
         path = written(tmp_path, server.address, rate=400.0)
 
@@ -113,13 +113,16 @@
     """Errors, resets, a drain and a surge: every try one answer, no correction twice, never two at once."""
 
     async def test() -> None:
-        servers, logs, keys = [], [], Keys()
+        servers, logs, keys = [], [], IdempotencyKeys()
         for number in range(3):
             logs.append((tmp_path / f"s{number}.log").open("wb"))
-            behaviour = Behaviour(
-                workers=20, service_s=lambda rng: rng.expovariate(200), errors=0.02, resets=0.02
+            behaviour = ServerBehaviour(
+                workers=20,
+                draw_service_s=lambda rng: rng.expovariate(200),
+                error_fraction=0.02,
+                reset_fraction=0.02,
             )
-            servers.append(StandIn(behaviour, seed=number, name=f"s{number}", log=logs[-1], keys=keys))
+            servers.append(StandInServer(behaviour, seed=number, name=f"s{number}", log=logs[-1], keys=keys))
             await servers[-1].start()
         addresses = [server.address for server in servers]
         text = config(*addresses, rate="rate = 150\nburst = 100")
@@ -135,7 +138,7 @@
             path = written(tmp_path, "{}:{}".format(*rig.limiter.address), top, rest)
             path.write_text(path.read_text().replace("duration_s = 2.0\n", "", 1))
             task = asyncio.create_task(play(path, ledger=tmp_path / "ledger"))
-            while sum(len(server.seen) for server in servers) < 200:
+            while sum(len(server.requests) for server in servers) < 200:
                 await asyncio.sleep(0.01)
             rig.reload(config(*addresses, rate="rate = 150\nburst = 100", drain=(0,)))
             told = asyncio.get_running_loop().time()
@@ -144,8 +147,8 @@
         for server, log in zip(servers, logs, strict=True):
             server.stop()
             log.close()
-        asked = read_asked(tmp_path / "ledger")
-        attempts = [row for number in range(3) for row in read_attempts(tmp_path / f"s{number}.log")]
+        asked = read_ledger(tmp_path / "ledger")
+        attempts = [row for number in range(3) for row in read_server_log(tmp_path / f"s{number}.log")]
         assert audit(asked, attempts, {"s0": told}) == []
         total = report.summary(stats, "x")["total"]
         assert total["refused"] > 0 and total["served"] > 200 and total["none"] == 0
@@ -203,12 +206,12 @@
     run(test())
     process.terminate()
     assert process.wait() == 0
-    rows = read_attempts(log)
+    rows = read_server_log(log)
     assert rows and all(row.server == "s9" and row.ran and row.ended_s for row in rows)
 
 
 def test_servers_that_share_keys_drop_each_others_repeats(tmp_path: Path) -> None:
-    one, other = SharedKeys(tmp_path), SharedKeys(tmp_path)
-    assert not one.repeat("k", 10.0, 5.0) and other.repeat("k", 12.0, 5.0)
-    assert not other.repeat("k", 16.0, 5.0) and one.repeat("k", 20.0, 5.0)
-    assert not one.repeat("other", 12.0, 5.0)
+    one, other = SharedIdempotencyKeys(tmp_path), SharedIdempotencyKeys(tmp_path)
+    assert not one.is_repeat("k", 10.0, 5.0) and other.is_repeat("k", 12.0, 5.0)
+    assert not other.is_repeat("k", 16.0, 5.0) and one.is_repeat("k", 20.0, 5.0)
+    assert not one.is_repeat("other", 12.0, 5.0)
--- a/tests/test_membership_lease.py
+++ b/tests/test_membership_lease.py
@@ -210,12 +210,12 @@
 
     async def drain(self) -> None:
         """The first server begins to drain, and the agent has it."""
-        version = self.agent.registry.change(host("a", self.one.address, "leaving"))
+        version = self.agent.registry.apply_change(host("a", self.one.address, "leaving"))
         await until(lambda: self.agent.version == version)
 
     async def drain_while_down(self) -> None:
         """The same, which the agent learns only when it comes back."""
-        self.agent.registry.change(host("a", self.one.address, "leaving"))
+        self.agent.registry.apply_change(host("a", self.one.address, "leaving"))
 
     async def holds_back(self) -> None:
         """Nothing is sent to any server, and clients are told that a retry is harmless."""
@@ -283,7 +283,7 @@
         await made.serves()
         assert (await made.client.ask(b"GET /up HTTP/1.1\r\n\r\n")).code == 200
 
-    play(story, first_word_s=(0.3, 0.3))
+    play(story, response_delay_s=(0.3, 0.3))
 
 
 async def lapsed(made: Scene) -> None:
@@ -316,7 +316,7 @@
 def test_a_watch_that_is_reset() -> None:
     async def story(made: Scene) -> None:
         await confirmed(made)
-        made.agent.faults.first_word_s = (0.5, 0.5)
+        made.agent.faults.response_delay_s = (0.5, 0.5)
         made.agent.reset_watches()
         await made.drain()
         await lapsed(made)
@@ -333,7 +333,7 @@
 
     async def story(made: Scene) -> None:
         await confirmed(made)
-        made.agent.faults.tear = True
+        made.agent.faults.truncate_next_list = True
         await made.drain()
         await lapsed(made)
         await made.holds_back()
@@ -345,7 +345,7 @@
 def test_a_list_in_pieces_is_no_loss_where_they_come_quickly() -> None:
     async def story(made: Scene) -> None:
         await confirmed(made)
-        made.agent.faults.piece = 120
+        made.agent.faults.chunk_bytes = 120
         await made.drain()
         await until(lambda: made.rig.watch.seq == 2)
         await made.serves()
@@ -402,7 +402,7 @@
 
     async def story(made: Scene) -> None:
         await confirmed(made)
-        made.agent.mute_watches()
+        made.agent.silence_watches()
         made.agent.faults.status = 503
         await made.drain()
         await lapsed(made)
@@ -443,7 +443,7 @@
         for _ in range(3):
             assert await made.code() == 200
 
-    play(story, first_word_s=(60.0, 60.0))
+    play(story, response_delay_s=(60.0, 60.0))
 
 
 def test_a_write_that_was_held_up_beyond_a_stall_is_counted_and_logged(
@@ -491,13 +491,13 @@
     async def story(made: Scene) -> None:
         await confirmed(made)
         made.agent.faults.down = True
-        made.agent.mute_watches()
+        made.agent.silence_watches()
         await until(lambda: made.rig.limiter.guard.lease_expires_at == math.inf)
         assert await made.code() == 200  # it serves on alone
         await made.drain_while_down()
-        made.agent.faults.first_word_s = (0.8, 0.8)  # that the next calls must wait for
+        made.agent.faults.response_delay_s = (0.8, 0.8)  # that the next calls must wait for
         made.agent.reset_watches()
-        made.agent.come_back()
+        made.agent.restore_discovery()
         async with asyncio.timeout(0.5):
             await lapsed(made)
         await made.holds_back()
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -11,7 +11,7 @@
 
 from basaltpoint.cli import main
 from basaltpoint.config.decode import FileError
-from basaltpoint.load.ledger import Attempt
+from basaltpoint.load.ledger import ServerAttempt
 from basaltpoint.peers.messages import MemberRecord
 from basaltpoint.peers.state_machine import MembershipStateMachine
 from basaltpoint.rehearsal import checks, probe, scenario
@@ -162,7 +162,7 @@
 
     def late(came_s: float, *faults: Fault, server: str = "s1") -> tuple[int, int]:
         count, found = checks.late_sends(
-            told, [Attempt("c-1-1", server, came_s, None, True, via="l2")], faults, ["r1", "r2"]
+            told, [ServerAttempt("c-1-1", server, came_s, None, True, via="l2")], faults, ["r1", "r2"]
         )
         return count, len(found)
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -22,9 +22,9 @@
     SlowStart,
 )
 from basaltpoint.rehearsal.soak.run import Options, Soak, report
-from basaltpoint.standins.discovery import Change
+from basaltpoint.standins.discovery import ListChange
 
-LEAVES = Change(2, 10.0, {"host": "s", "health": "leaving"})
+LEAVES = ListChange(2, 10.0, {"host": "s", "health": "leaving"})
 
 
 def record(**changes: Any) -> Record:
--- a/tests/test_store_changes.py
+++ b/tests/test_store_changes.py
@@ -84,27 +84,27 @@
 @pytest.mark.parametrize("first", [UNKNOWN, (LOST, "")])
 def test_a_removal_of_unknown_effect_is_found_done(tmp_path: Path, first: tuple[str, str]) -> None:
     replica = ScriptedReplica([first, GONE], ["r0", "r1", "r2"])
-    with_client(tmp_path, replica, lambda client: client.change("remove", "r3"))
+    with_client(tmp_path, replica, lambda client: client.change_membership("remove", "r3"))
     assert replica.asked == 2
 
 
 @pytest.mark.parametrize("first", [UNKNOWN, (LOST, "")])
 def test_a_removal_of_unknown_effect_is_asked_anew(tmp_path: Path, first: tuple[str, str]) -> None:
     replica = ScriptedReplica([first, UNAVAILABLE, UNKNOWN, GRANTED], ["r0", "r1", "r2", "r3"])
-    with_client(tmp_path, replica, lambda client: client.change("remove", "r3"))
+    with_client(tmp_path, replica, lambda client: client.change_membership("remove", "r3"))
     assert replica.asked == 4
 
 
 def test_an_addition_of_unknown_effect_is_found_done(tmp_path: Path) -> None:
     replica = ScriptedReplica([UNKNOWN, THERE], ["r0", "r1", "r2", "r3"])
-    with_client(tmp_path, replica, lambda client: client.change("add", "r3", "r3:1"))
+    with_client(tmp_path, replica, lambda client: client.change_membership("add", "r3", "r3:1"))
     assert replica.asked == 2
 
 
 def test_an_addition_is_refused_where_the_name_has_another_address(tmp_path: Path) -> None:
     async def add(client: Client) -> None:
         with pytest.raises(StoreError, match="r3 is a member already"):
-            await client.change("add", "r3", "elsewhere:1")
+            await client.change_membership("add", "r3", "elsewhere:1")
 
     replica = ScriptedReplica([UNKNOWN, THERE], ["r0", "r1", "r2", "r3"])
     with_client(tmp_path, replica, add)
@@ -116,14 +116,14 @@
 ) -> None:
     async def remove(client: Client) -> None:
         with pytest.raises(StoreError, match="r3 is no member"):
-            await client.change("remove", "r3")
+            await client.change_membership("remove", "r3")
 
     with_client(tmp_path, ScriptedReplica([*before, GONE], ["r0", "r1", "r2"]), remove)
 
 
 def test_a_transfer_of_unknown_effect_is_asked_anew(tmp_path: Path) -> None:
     replica = ScriptedReplica([UNKNOWN, UNAVAILABLE, GRANTED], ["r0", "r1"])
-    with_client(tmp_path, replica, lambda client: client.transfer("r1"))
+    with_client(tmp_path, replica, lambda client: client.transfer_leadership("r1"))
     assert replica.asked == 3
 
 
@@ -132,9 +132,9 @@
 ) -> None:
     replica = ScriptedReplica([GRANTED, GRANTED], ["r0", "r1"])
     replica.transfers_needed = 2
-    monkeypatch.setattr(command, "TRANSFER_S", 0.05)
+    monkeypatch.setattr(command, "TRANSFER_RETRY_INTERVAL_S", 0.05)
     args = argparse.Namespace(name="r1", within=5.0)
-    with_client(tmp_path, replica, lambda client: command.transfer(client, args))
+    with_client(tmp_path, replica, lambda client: command.transfer_leadership(client, args))
     assert capsys.readouterr().out == "r1 leads\n"
     assert replica.asked == 2
 
@@ -142,7 +142,7 @@
 def test_a_change_that_stays_unknown_is_told_so(tmp_path: Path) -> None:
     async def remove(client: Client) -> None:
         with pytest.raises(StoreError) as error:
-            await client.change("remove", "r3", within_s=0.3)
+            await client.change_membership("remove", "r3", within_s=0.3)
         assert error.value.error == "unavailable" and "leadership changed" in str(error.value)
 
     with_client(tmp_path, ScriptedReplica([UNKNOWN] * 100, ["r0", "r1", "r2", "r3"]), remove)
--- a/tests/test_store_daemon.py
+++ b/tests/test_store_daemon.py
@@ -35,9 +35,9 @@
 from basaltpoint.daemon.store_follower import StartError
 from basaltpoint.interface import Plan, QuotaStatus
 from basaltpoint.load import coordinator, scenario
-from basaltpoint.load.command import read_asked, read_attempts
+from basaltpoint.load.command import read_ledger, read_server_log
 from basaltpoint.load.ledger import audit
-from basaltpoint.standins.server import Behaviour, SharedKeys, StandIn
+from basaltpoint.standins.server import ServerBehaviour, SharedIdempotencyKeys, StandInServer
 from basaltpoint.store import setting
 from basaltpoint.store.client import Client, UnavailableError
 from basaltpoint.system.timestamps import Timestamp
@@ -91,7 +91,7 @@
 
 def store_of(rig: StandaloneFixture) -> Client:
     assert rig.limiter.keeper
-    return setting.client(rig.limiter.keeper.storage)
+    return setting.create_client(rig.limiter.keeper.storage)
 
 
 # --- One node ------------------------------------------------------------------------------------------
@@ -359,8 +359,10 @@
         keys.mkdir()
         for number in range(3):
             logs.append((tmp_path / f"s{number}.log").open("wb"))
-            behaviour = Behaviour(workers=64, service_s=lambda rng: rng.expovariate(1 / 0.01))
-            server = StandIn(behaviour, name=f"s{number}", keys=SharedKeys(keys), log=logs[-1])
+            behaviour = ServerBehaviour(workers=64, draw_service_s=lambda rng: rng.expovariate(1 / 0.01))
+            server = StandInServer(
+                behaviour, name=f"s{number}", keys=SharedIdempotencyKeys(keys), log=logs[-1]
+            )
             await server.start()
             servers.append(server)
         addresses = [server.address for server in servers]
@@ -379,7 +381,7 @@
             )
             client, acknowledged = made.client(), dict[str, bytes]()
             told: dict[str, float] = {}
-            await until(lambda: min(len(server.seen) for server in servers) > 10)
+            await until(lambda: min(len(server.requests) for server in servers) > 10)
             for turn, name in enumerate(made.names):
                 made.kill(name)
                 for at in range(5):
@@ -392,15 +394,15 @@
                 made.start(name)
                 await asyncio.sleep(0.5)
             stats = await task
-            found, _ = await client.range("own/", within_s=PATIENCE_S)
+            found, _ = await client.get_range("own/", within_s=PATIENCE_S)
             assert found.keys() == acknowledged.keys()
             await until(lambda: rig.is_idle)
             client.close()
         for server, log in zip(servers, logs, strict=True):
             server.stop()
             log.close()
-        asked = read_asked(tmp_path / "ledger")
-        attempts = [row for number in range(3) for row in read_attempts(tmp_path / f"s{number}.log")]
+        asked = read_ledger(tmp_path / "ledger")
+        attempts = [row for number in range(3) for row in read_server_log(tmp_path / f"s{number}.log")]
         assert len(asked) > 300 and stats is not None
         assert audit(asked, attempts, told) == []
         assert any(row.server == "s0" for row in attempts)
@@ -438,7 +440,7 @@
                 assert await ask(rig, 6) == [200] * 6
                 store = store_of(rig)
                 async with asyncio.timeout(PATIENCE_S):
-                    while not (await store.range("balance/basaltpoint/one"))[0]:
+                    while not (await store.get_range("balance/basaltpoint/one"))[0]:
                         await asyncio.sleep(0.02)
                 await asyncio.sleep(0.3)
                 store.close()
--- a/tests/test_store_replicas.py
+++ b/tests/test_store_replicas.py
@@ -21,7 +21,7 @@
 from basaltpoint.links.transport import Link, connect
 from basaltpoint.store import protocol as p
 from basaltpoint.store.client import Client, Endpoint, StoreError, UnavailableError
-from basaltpoint.store.replica import Replica, Setting
+from basaltpoint.store.replica import Replica, ReplicaSettings
 from basaltpoint.store.state_machine import Check, CompactedError, Put
 
 SMALL = "snapshot_entries = 20"
@@ -72,7 +72,7 @@
 
     async def check(self, client: Client) -> None:
         """All that was acknowledged is there; only a command under way may have gone further."""
-        found, _ = await client.range(self.name + "/", within_s=PATIENCE_S)
+        found, _ = await client.get_range(self.name + "/", within_s=PATIENCE_S)
         held = {key: value.value for key, value in found.items()}
         for key, value in self.acked.items():
             assert int(held[key]) >= int(value), f"{key}: {value!r} was acknowledged, {held[key]!r} is there"
@@ -273,7 +273,7 @@
         with pytest.raises(CompactedError) as error:
             async for _ in local.watch("", revision + 1):
                 raise AssertionError("told of a part as if it were all")
-        values, at = await local.range("")
+        values, at = await local.get_range("")
         assert values["a"].value == b"69" and error.value.oldest_revision <= at + 1
         await local.put("a", b"last")
         async for events, _ in local.watch("", at + 1):
@@ -400,7 +400,7 @@
         made.start()
         await made.leader()
         client = made.local("r0")
-        values, now = await client.range("k", within_s=PATIENCE_S)
+        values, now = await client.get_range("k", within_s=PATIENCE_S)
         assert {key: value.value for key, value in values.items()} == {
             f"k{at}": b"%d" % at for at in range(30)
         }
@@ -473,7 +473,7 @@
 
 def test_a_frame_that_is_too_long_or_no_frame_ends_the_connection(tmp_path: Path) -> None:
     async def story() -> None:
-        replica = Replica(Setting("a", "c", tmp_path / "a", initial=_alone("a")), seed=1)
+        replica = Replica(ReplicaSettings("a", "c", tmp_path / "a", initial_membership=_alone("a")), seed=1)
         await replica.start()
         for raw in (
             b"\xff\xff\xff\xff",
@@ -489,7 +489,7 @@
         client = Client([Endpoint(str(tmp_path / "a" / "socket"))], "c")
         big = [Put(f"k{at}", bytes(1 << 20)) for at in range(5)]
         with pytest.raises(StoreError, match=r"found a command of 5242890 bytes; allowed: 4194304"):
-            await client.txn(big)
+            await client.transaction(big)
         client.close()
         replica.close()
 
@@ -503,14 +503,14 @@
 # --- Folders ------------------------------------------------------------
 def test_a_folder_serves_one_process_one_cluster_and_one_name(tmp_path: Path) -> None:
     async def story() -> None:
-        replica = Replica(Setting("a", "c", tmp_path / "a", initial=_alone("a")))
+        replica = Replica(ReplicaSettings("a", "c", tmp_path / "a", initial_membership=_alone("a")))
         with pytest.raises(Exception, match="another process uses this folder"):
-            Replica(Setting("a", "c", tmp_path / "a"))
+            Replica(ReplicaSettings("a", "c", tmp_path / "a"))
         replica.close()
         with pytest.raises(Exception, match="found the cluster 'c'; allowed: 'd'"):
-            Replica(Setting("a", "d", tmp_path / "a"))
+            Replica(ReplicaSettings("a", "d", tmp_path / "a"))
         with pytest.raises(Exception, match="found the name 'a'; allowed: 'b'"):
-            Replica(Setting("b", "c", tmp_path / "a"))
+            Replica(ReplicaSettings("b", "c", tmp_path / "a"))
 
     asyncio.run(story())
 
@@ -569,7 +569,7 @@
             held, revision = (int(value.value), value.modified_revision) if value else (0, 0)
             try:
                 put = Put("n", b"%d" % (held + 1))
-                await client.txn([put], [Check("n", revision)], within_s=PATIENCE_S)
+                await client.transaction([put], [Check("n", revision)], within_s=PATIENCE_S)
                 done += 1
             except StoreError as error:
                 assert error.error == "check"
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -10,35 +10,35 @@
 import pytest
 
 from basaltpoint.load import ledger, traces
-from basaltpoint.load.ledger import Asked, Attempt, audit
+from basaltpoint.load.ledger import ClientAttempt, ServerAttempt, audit
 from basaltpoint.load.scenario import ClassTable
-from basaltpoint.load.traces import Import, Row, TraceError
+from basaltpoint.load.traces import ImportResult, TraceError, TraceRow
 
 NGINX = '10.0.0.7 - ann [01/Dec/2026:09:00:{:02d} +0000] "GET /series/{} HTTP/1.1" 200 512 "-" "curl/8"'
 ENVOY = '[2026-12-01T09:00:01.250Z] "POST /observations HTTP/1.1" 200 - 42 17 12 11 "10.0.0.9" "curl" "id" "host" "up"'
 
 
 def test_formats() -> None:
-    row = traces.common(NGINX.format(5, 1))
-    assert (row.method, row.path, row.account, row.size) == ("GET", "/series/1", "ann", 0)
-    assert traces.common(NGINX.format(5, 1), "ip").account == "10.0.0.7"
+    row = traces.parse_common(NGINX.format(5, 1))
+    assert (row.method, row.path, row.account, row.body_bytes) == ("GET", "/series/1", "ann", 0)
+    assert traces.parse_common(NGINX.format(5, 1), "ip").account == "10.0.0.7"
     assert (
-        traces.common('h - - [01/Dec/2026:10:00:00 +0100] "PUT /x HTTP/1.0" 201 -').t
-        == traces.common(NGINX.format(0, 1)).t
+        traces.parse_common('h - - [01/Dec/2026:10:00:00 +0100] "PUT /x HTTP/1.0" 201 -').time_s
+        == traces.parse_common(NGINX.format(0, 1)).time_s
     )
-    row = traces.envoy(ENVOY)
-    assert (row.method, row.path, row.account, row.size) == ("POST", "/observations", "10.0.0.9", 42)
-    assert row.t % 1 == 0.25
-    assert traces.own('{"t": 1.5, "method": "GET", "path": "/", "class": "read"}') == Row(
+    row = traces.parse_envoy(ENVOY)
+    assert (row.method, row.path, row.account, row.body_bytes) == ("POST", "/observations", "10.0.0.9", 42)
+    assert row.time_s % 1 == 0.25
+    assert traces.parse_trace('{"t": 1.5, "method": "GET", "path": "/", "class": "read"}') == TraceRow(
         1.5, "GET", "/", "", "read"
     )
     for parse, line in (
-        (traces.common, "rubbish"),
-        (traces.common, NGINX.format(5, 1).replace("Dec", "Dez")),
-        (traces.own, "[]"),
-        (traces.own, '{"t": 1, "method": "GET"}'),
-        (traces.own, '{"t": "1", "method": "GET", "path": "/"}'),
-        (traces.own, '{"t": 1, "method": "GET", "path": "/", "bytes": -1}'),
+        (traces.parse_common, "rubbish"),
+        (traces.parse_common, NGINX.format(5, 1).replace("Dec", "Dez")),
+        (traces.parse_trace, "[]"),
+        (traces.parse_trace, '{"t": 1, "method": "GET"}'),
+        (traces.parse_trace, '{"t": "1", "method": "GET", "path": "/"}'),
+        (traces.parse_trace, '{"t": 1, "method": "GET", "path": "/", "bytes": -1}'),
     ):
         with pytest.raises(TraceError):
             parse(line)
@@ -47,21 +47,24 @@
 def test_bad_lines_are_counted_and_reported_and_the_rest_is_kept() -> None:
     lines = [NGINX.format(n, n) for n in range(5)]
     lines[2:2] = ["rubbish", "x" * 1_000_000, ""]
-    counts = Import()
+    counts = ImportResult()
     rows = list(traces.read(io.BytesIO("\n".join(lines).encode()), "nginx", counts))
     assert [row.path for row in rows] == [f"/series/{n}" for n in range(5)]
-    assert (counts.lines, counts.kept) == (8, 5) and sum(counts.bad.values()) == 2
-    assert counts.shown == ["line 3: not of this format", f"line 4: longer than {traces.LONGEST_LINE} bytes"]
+    assert (counts.lines, counts.kept) == (8, 5) and sum(counts.rejected.values()) == 2
+    assert counts.shown == [
+        "line 3: not of this format",
+        f"line 4: longer than {traces.MAX_LINE_BYTES} bytes",
+    ]
 
 
 def test_times_out_of_order_are_sorted_within_the_window(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(traces, "WINDOW", 10)
+    monkeypatch.setattr(traces, "REORDER_WINDOW_LINES", 10)
     times = [0, 1, 3, 2, 4, 5, 7, 6, *range(8, 40), 9.5]
     source = "\n".join(json.dumps({"t": t, "method": "GET", "path": "/"}) for t in times)
-    counts = Import()
+    counts = ImportResult()
     rows = list(traces.read(io.BytesIO(source.encode()), "own", counts))
-    assert [row.t for row in rows] == sorted(row.t for row in rows) and len(rows) == len(times)
-    assert (counts.moved, counts.clamped) == (3, 1)
+    assert [row.time_s for row in rows] == sorted(row.time_s for row in rows) and len(rows) == len(times)
+    assert (counts.reordered, counts.clamped) == (3, 1)
 
 
 def test_accounts_are_hashed_with_the_salt() -> None:
@@ -102,7 +105,7 @@
 
 
 def test_memory_does_not_grow_with_the_log(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(traces, "WINDOW", 500)
+    monkeypatch.setattr(traces, "REORDER_WINDOW_LINES", 500)
 
     class Null(io.BytesIO):
         def write(self, data: object) -> int:
@@ -124,12 +127,12 @@
         for name, m in (("read", "GET"), ("put", "PUT"), ("fix", "POST"))
     }
     rows = [
-        Row(100.0, "GET", "/a"),
-        Row(110.0, "PUT", "/b", "acc", "", 7),
-        Row(160.0, "POST", "/c", "", "fix"),
+        TraceRow(100.0, "GET", "/a"),
+        TraceRow(110.0, "PUT", "/b", "acc", "", 7),
+        TraceRow(160.0, "POST", "/c", "", "fix"),
     ]
     planned = list(traces.replay(rows, 10.0, classes))
-    assert [(p.at_s, p.cls, p.account) for p in planned] == [
+    assert [(p.intended_s, p.class_name, p.account) for p in planned] == [
         (0.0, "read", "anonymous"),
         (1.0, "put", "acc"),
         (6.0, "fix", "anonymous"),
@@ -141,23 +144,23 @@
     """The driver sends every request at its time, on a simulated clock."""
     from test_load import Server, drive, told
 
-    def rows() -> Iterator[Row]:
+    def rows() -> Iterator[TraceRow]:
         for n in range(100_000):
-            yield Row(n / 1000 + (n % 7) / 10_000, "GET", f"/{n}")
+            yield TraceRow(n / 1000 + (n % 7) / 10_000, "GET", f"/{n}")
 
     scenario = told(duration_s=1000.0)
     classes = {cls.name: cls for cls in scenario.class_}
     results, driver = drive(scenario, Server(lambda: 0.002), requests=traces.replay(rows(), 10.0, classes))
-    assert driver.asked == len(results.records) == 100_000
-    last_s = max(record.planned.at_s for record in results.records)
-    assert abs(last_s - 10.0) < 0.01 and not results.spells
+    assert driver.started_requests == len(results.records) == 100_000
+    last_s = max(record.planned.intended_s for record in results.records)
+    assert abs(last_s - 10.0) < 0.01 and not results.unsound_intervals
 
 
 # --- The ledger ------------------------------------------------------------------------------------------
 def attempt(
     ident: str, received_s: float, ended_s: float | None, server: str = "s1", **rest: object
-) -> Attempt:
-    return Attempt(ident, server, received_s, ended_s, ran=bool(rest.pop("ran", True)), **rest)  # type: ignore[arg-type]
+) -> ServerAttempt:
+    return ServerAttempt(ident, server, received_s, ended_s, ran=bool(rest.pop("ran", True)), **rest)  # type: ignore[arg-type]
 
 
 VALID_ATTEMPTS = [
@@ -169,7 +172,12 @@
     attempt("c", 0.3, 0.4, key="k", repeat=True),  # discarded by its key
     attempt("d", 5.2, 5.3, "s3"),
 ]
-REQUESTS = [Asked("a", 1), Asked("b", 1), Asked("c", 1), Asked("d", 0, hung_up=True)]
+REQUESTS = [
+    ClientAttempt("a", 1),
+    ClientAttempt("b", 1),
+    ClientAttempt("c", 1),
+    ClientAttempt("d", 0, hung_up=True),
+]
 
 
 def test_a_valid_ledger_has_no_findings() -> None:
@@ -179,8 +187,8 @@
 @pytest.mark.parametrize(
     ("kind", "asked", "attempts"),
     [
-        ("lost", [Asked("x", 0)], []),
-        ("doubled", [Asked("x", 2)], []),
+        ("lost", [ClientAttempt("x", 0)], []),
+        ("doubled", [ClientAttempt("x", 2)], []),
         ("two at once", [], [attempt("x", 0.0, 1.0), attempt("x", 0.9, 1.1, "s2")]),
         ("two at once", [], [attempt("x", 0.0, None), attempt("x", 9.0, 9.1, "s2")]),
         (
@@ -193,7 +201,9 @@
         ("late drain", [], [attempt("x", 5.26, 5.3, "s3")]),
     ],
 )
-def test_each_injected_fault_is_found(kind: str, asked: list[Asked], attempts: list[Attempt]) -> None:
+def test_each_injected_fault_is_found(
+    kind: str, asked: list[ClientAttempt], attempts: list[ServerAttempt]
+) -> None:
     (found,) = audit([*REQUESTS, *asked], [*VALID_ATTEMPTS, *attempts], {"s3": 5.0})
     assert found.kind == kind and found.ident == "x"
-    assert ledger.GRACE_S == 0.25
+    assert ledger.DRAIN_GRACE_S == 0.25
