--- a/basaltpoint/handover/__init__.py
+++ b/basaltpoint/handover/__init__.py
@@ -1,1 +1,1 @@
-"""What one process leaves to the next, and who owns what while both live."""
+"""Passes state and connections from a process to its successor; both share the limits meanwhile."""
--- a/basaltpoint/handover/link.py
+++ b/basaltpoint/handover/link.py
@@ -1,6 +1,6 @@
-"""The local socket between the two processes of an upgrade: documents and client connections pass over it.
+"""The local socket between the two processes of an upgrade, which carries documents and client connections.
 
-A thin shell: what is in a document, and who may do what meanwhile, is decided elsewhere.
+This module does I/O only. Its callers decide what a document contains and in which order a handover runs.
 """
 
 from __future__ import annotations
@@ -19,22 +19,21 @@
 
 log = logging.getLogger(__name__)
 
-MAX_MESSAGE_BYTES = 48 * 1024  # bytes of a document in one message; the system takes some 200 KB at a time
-MAX_DOCUMENT_BYTES = (
-    64 << 20
-)  # bytes of a document; a million accounts would not pass, and more is no state of ours
-DOCUMENT_TIMEOUT_S = 1.0  # for the older process's document; the start goes on without it
-RETRY_DELAY_S = 0.01  # where the machine has no room for a message
-MAX_PATH_BYTES = 100  # bytes; what the system takes for a local socket's name
+MAX_MESSAGE_BYTES = 48 * 1024  # part of a document in one message; the kernel buffers about 200 KB per socket
+MAX_DOCUMENT_BYTES = 64 << 20  # the state of a million accounts would exceed it; no valid document is larger
+DOCUMENT_TIMEOUT_S = 1.0  # for the predecessor's document; after it the process starts without the document
+RETRY_DELAY_S = 0.01  # after the kernel had no memory for a message
+MAX_PATH_BYTES = 100  # a little below the kernel's limit for the path of a local socket
+# The first byte of each message.
 DOCUMENT_PART, DOCUMENT_END, CONNECTION, REQUEST_COMPLETED = b"m", b"d", b"c", b"e"
 
 
 def socket_path(folder: str | None, name: str) -> str | None:
-    """Where a limiter of that name can be reached by its next process; None where it can't."""
+    """The path at which a limiter of that name is reached by its successor; None if there can be none."""
     if not folder:
         return None
-    safe = "".join(c if c.isalnum() or c in "-_." else "_" for c in name)
-    path = os.path.join(folder, f"basaltpoint.{safe}.handover")
+    safe_name = "".join(c if c.isalnum() or c in "-_." else "_" for c in name)
+    path = os.path.join(folder, f"basaltpoint.{safe_name}.handover")
     if len(os.fsencode(path)) > MAX_PATH_BYTES:
         log.warning("no handover: the path %s is too long for a local socket", path)
         return None
@@ -42,24 +41,28 @@
 
 
 def connect_to_predecessor(path: str) -> tuple[socket.socket, bytes] | None:
-    """Ask the older process what it knows: the connection to it and its document; None where none answers."""
+    """Connects to the predecessor and reads its document; returns both, or None if no process answers."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
         sock.settimeout(DOCUMENT_TIMEOUT_S)
         sock.connect(path)
-        parts, size, end = [], 0, time.monotonic() + DOCUMENT_TIMEOUT_S
-        while time.monotonic() < end and size <= MAX_DOCUMENT_BYTES:
+        parts, size, deadline = [], 0, time.monotonic() + DOCUMENT_TIMEOUT_S
+        while time.monotonic() < deadline and size <= MAX_DOCUMENT_BYTES:
             message = sock.recv(MAX_MESSAGE_BYTES + 1)
             if message[:1] not in (DOCUMENT_PART, DOCUMENT_END):
-                raise OSError("it ended in the middle" if not message else "it speaks another language")
+                raise OSError(
+                    "it closed the connection before its document was complete"
+                    if not message
+                    else "it sent an unknown kind of message"
+                )
             parts.append(message[1:])
             size += len(message)
             if message[:1] == DOCUMENT_END:
                 sock.setblocking(False)
                 return sock, b"".join(parts)
-        raise OSError("its document did not come whole in time")
+        raise OSError("its document was too long or not complete in time")
     except FileNotFoundError:
-        pass  # the first of its name
+        pass  # the first process of this name
     except OSError as error:
         log.warning("nothing is taken over from an older process: %s", error)
     sock.close()
@@ -67,26 +70,26 @@
 
 
 class LinkHandler(Protocol):
-    """What a process does with what the other one sends."""
+    """Handles what the other process sends."""
 
     def document_received(self, document: bytes) -> None:
-        """The other one's last document."""
+        """The other process sent a whole document."""
 
     def connection_received(self, sock: socket.socket) -> None:
-        """A client's connection, between two requests."""
+        """The other process passed a socket, such as a client connection between two requests."""
 
     def request_completed(self, name: bytes) -> None:
-        """A request that the other one had in hand is answered."""
+        """The other process has answered the request with this Req-Id."""
 
     def link_closed(self) -> None:
-        """The other one has gone."""
+        """The other process ended or closed the link, or this process closed it."""
 
 
 class SuccessorHandler:
-    """What comes from the process after this one: nothing but its end."""
+    """Handles a link to a successor, which sends nothing; only the end of the link matters."""
 
-    def __init__(self, gone: Callable[[], None]) -> None:
-        self._gone = gone
+    def __init__(self, on_closed: Callable[[], None]) -> None:
+        self._on_closed = on_closed
 
     def document_received(self, document: bytes) -> None:
         pass
@@ -98,33 +101,34 @@
         pass
 
     def link_closed(self) -> None:
-        self._gone()
+        self._on_closed()
 
 
 class HandoverLink:
     """One end of the connection between two processes."""
 
-    def __init__(self, sock: socket.socket, side: LinkHandler) -> None:
+    def __init__(self, sock: socket.socket, handler: LinkHandler) -> None:
         self._sock = sock
-        self._side = side
-        self._parts: list[bytes] = []
-        self._queue: deque[bytes] = deque()
+        self._handler = handler
+        self._received_parts: list[bytes] = []
+        self._send_queue: deque[bytes] = deque()
         self.is_open = True
         asyncio.get_running_loop().add_reader(sock, self._read)
 
     def send_document(self, text: bytes) -> None:
-        pieces = [text[at : at + MAX_MESSAGE_BYTES] for at in range(0, len(text), MAX_MESSAGE_BYTES)] or [b""]
-        self._queue += [DOCUMENT_PART + piece for piece in pieces[:-1]]
-        self._queue.append(DOCUMENT_END + pieces[-1])
+        parts = [text[at : at + MAX_MESSAGE_BYTES] for at in range(0, len(text), MAX_MESSAGE_BYTES)] or [b""]
+        self._send_queue += [DOCUMENT_PART + part for part in parts[:-1]]
+        self._send_queue.append(DOCUMENT_END + parts[-1])
         self._flush()
 
     def send_request_completed(self, name: bytes) -> None:
-        self._queue.append(REQUEST_COMPLETED + name[:MAX_MESSAGE_BYTES])
+        """Tells the other process that the request with this Req-Id is answered."""
+        self._send_queue.append(REQUEST_COMPLETED + name[:MAX_MESSAGE_BYTES])
         self._flush()
 
     def send_connection(self, descriptor: int) -> bool:
-        """Pass a connection on; False where that is not possible now."""
-        if not self.is_open or self._queue:
+        """Passes a socket to the other process; returns False if that is not possible now."""
+        if not self.is_open or self._send_queue:
             return False
         try:
             socket.send_fds(self._sock, [CONNECTION], [descriptor])
@@ -134,14 +138,15 @@
 
     @property
     def is_flushed(self) -> bool:
-        return not self._queue or not self.is_open
+        """Whether nothing is left to send; also true once the link is closed."""
+        return not self._send_queue or not self.is_open
 
     def _flush(self) -> None:
         loop = asyncio.get_running_loop()
         try:
-            while self._queue and self.is_open:
-                self._sock.send(self._queue[0])
-                self._queue.popleft()
+            while self._send_queue and self.is_open:
+                self._sock.send(self._send_queue[0])
+                self._send_queue.popleft()
         except BlockingIOError:
             loop.add_writer(self._sock, self._flush)
             return
@@ -160,9 +165,9 @@
                 message, descriptors, flags, _ = socket.recv_fds(self._sock, MAX_MESSAGE_BYTES + 1, 4)
             except OSError as error:
                 if not is_transient(error):
-                    self.close()  # the other one has gone
+                    self.close()  # the other process ended
                 elif not isinstance(error, BlockingIOError):
-                    self._rest()
+                    self._pause_reading()
                 return
             if flags & socket.MSG_CTRUNC:
                 log.error("a connection passed by the other process is lost: no descriptor was left for it")
@@ -173,24 +178,24 @@
             kind, text = message[:1], message[1:]
             if kind == CONNECTION:
                 while socks:
-                    self._side.connection_received(socks.pop())
+                    self._handler.connection_received(socks.pop())
             elif kind in (DOCUMENT_PART, DOCUMENT_END):
-                self._parts.append(text)
+                self._received_parts.append(text)
                 if kind == DOCUMENT_END:
-                    whole, self._parts = b"".join(self._parts), []
-                    self._side.document_received(whole)
+                    document, self._received_parts = b"".join(self._received_parts), []
+                    self._handler.document_received(document)
             elif kind == REQUEST_COMPLETED:
-                self._side.request_completed(text)
-            for sock in socks:  # with a message that carries none
+                self._handler.request_completed(text)
+            for sock in socks:  # descriptors that came with a message of another kind
                 sock.close()
 
-    def _rest(self) -> None:
-        """Read on a little later: the machine has no room now, and the other process lives."""
+    def _pause_reading(self) -> None:
+        """Reads again after a delay, as the kernel has no memory now and the other process still runs."""
         loop = asyncio.get_running_loop()
         loop.remove_reader(self._sock)
-        loop.call_later(RETRY_DELAY_S, self._read_on)
+        loop.call_later(RETRY_DELAY_S, self._resume_reading)
 
-    def _read_on(self) -> None:
+    def _resume_reading(self) -> None:
         if self.is_open:
             asyncio.get_running_loop().add_reader(self._sock, self._read)
 
@@ -201,24 +206,24 @@
             loop.remove_reader(self._sock)
             loop.remove_writer(self._sock)
             self._sock.close()
-            self._side.link_closed()
+            self._handler.link_closed()
 
 
 class SuccessorListener:
-    """Where the next process knocks."""
+    """Accepts the connection of a successor."""
 
     def __init__(self, path: str, on_successor: Callable[[socket.socket], None]) -> None:
-        """The name is taken over from an older process; OSError where that can't be."""
+        """Listens at `path`, in place of a predecessor that listened there; raises OSError if it can't."""
         self._path = path
-        self._on_heir = on_successor
+        self._on_successor = on_successor
         self._listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
-            own = f"{path}.{os.getpid()}"
+            temporary_path = f"{path}.{os.getpid()}"
             with contextlib.suppress(FileNotFoundError):
-                os.unlink(own)
-            self._listener.bind(own)
+                os.unlink(temporary_path)
+            self._listener.bind(temporary_path)
             self._listener.listen(4)
-            os.rename(own, path)
+            os.rename(temporary_path, path)
         except OSError:
             self._listener.close()
             raise
@@ -231,8 +236,8 @@
         except OSError:
             return
         sock.setblocking(False)
-        self._on_heir(sock)
+        self._on_successor(sock)
 
     def close(self) -> None:
         asyncio.get_running_loop().remove_reader(self._listener)
-        self._listener.close()  # the name stays: it may be the next one's by now
+        self._listener.close()  # the path is not removed, as the successor may listen at it by now
--- a/basaltpoint/handover/platform_state.py
+++ b/basaltpoint/handover/platform_state.py
@@ -1,7 +1,7 @@
-"""What one process leaves to the next: a versioned, checked document; no I/O.
+"""The versioned document that a limiter on the platform passes to its successor. No I/O.
 
-Every part is read for itself: one that is missing, foreign or out of range is left out and told, and the
-limiter starts without it, as it would from nothing.
+Each part of the module's state is imported separately: a part that is missing, unknown or out of range is
+reported and left out, and the limiter starts without it, as it does without a predecessor.
 """
 
 from __future__ import annotations
@@ -15,20 +15,21 @@
 from basaltpoint.handover import state
 from basaltpoint.policy import DecisionModule
 
-VERSION = 1  # another one is not read: what its numbers mean is not known
+VERSION = 1  # a document of another version is rejected, as its values may mean something else
 
 
 class PlatformStateError(ValueError):
-    """A document, or a part of one, that can't be taken over; says which and why."""
+    """A document that can't be imported; the message says why."""
 
 
 @dataclass(slots=True)
 class PlatformState:
-    """What is left, as it was read.
+    """The decoded document.
 
-    `origin_s`: where the module's clock started, on the machine's monotonic clock. `wall_ms`: the module's
-    time less Unix time. `servers`: the last list, in discovery's form. `numbers`: the servers' numbers in the
-    module. `names`: Req-Ids that the other process has in hand.
+    `origin_s` is the start of the module's clock on the host's monotonic clock, `unix_offset_ms` the module's
+    time minus Unix time. `servers` is the last list of servers in discovery's form, `server_numbers` maps the
+    servers to their numbers in the module. `open_req_ids` are the Req-Ids of requests that the predecessor
+    still handles, `module` is the decision module's exported state.
     """
 
     origin_s: float
@@ -39,29 +40,32 @@
     module: dict[str, Any] = field(default_factory=dict)
 
 
-def encode(held: PlatformState) -> bytes:
+def encode(snapshot: PlatformState) -> bytes:
     return json.dumps(
         {
             "version": VERSION,
-            "origin_s": held.origin_s,
-            "wall_ms": held.unix_offset_ms,
-            "servers": held.servers,
-            "numbers": held.server_numbers,
-            "names": [name.decode("latin-1") for name in held.open_req_ids],
-            "module": held.module,
+            "origin_s": snapshot.origin_s,
+            "wall_ms": snapshot.unix_offset_ms,
+            "servers": snapshot.servers,
+            "numbers": snapshot.server_numbers,
+            "names": [name.decode("latin-1") for name in snapshot.open_req_ids],
+            "module": snapshot.module,
         }
     ).encode()
 
 
 def decode(text: bytes, now_s: float) -> PlatformState:
-    """The document at `now_s` of the monotonic clock; PlatformStateError where it can't be read at all."""
+    """Decodes a document; `now_s` is the time of the monotonic clock, after which no clock can have started.
+
+    Raises PlatformStateError if the document is invalid as a whole; the module's state is not checked here.
+    """
     try:
         raw = json.loads(text)
     except (ValueError, RecursionError) as error:
         raise PlatformStateError(f"the document can't be read: {error}") from None
     if not isinstance(raw, dict) or raw.get("version") != VERSION:
-        told = raw.get("version") if isinstance(raw, dict) else raw
-        raise PlatformStateError(f"version {str(told)[:40]!r}, where {VERSION} is known")
+        found = raw.get("version") if isinstance(raw, dict) else raw
+        raise PlatformStateError(f"version {str(found)[:40]!r}, where version {VERSION} is expected")
     origin, wall = _finite(raw.get("origin_s")), _finite(raw.get("wall_ms"))
     if origin is None or wall is None or not 0.0 <= origin <= now_s:
         raise PlatformStateError(f"origin_s {raw.get('origin_s')!r} is not a time before {now_s!r}")
@@ -69,11 +73,11 @@
     if not isinstance(servers, dict) or not isinstance(numbers, dict):
         raise PlatformStateError("servers or numbers is missing")
     if not all(isinstance(n, int) and not isinstance(n, bool) and n >= 0 for n in numbers.values()):
-        raise PlatformStateError("numbers holds something else")
+        raise PlatformStateError("numbers holds a value that is not a whole number from 0")
     if len(set(numbers.values())) < len(numbers):
-        raise PlatformStateError("numbers holds one twice")
+        raise PlatformStateError("numbers holds a number twice")
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
-        raise PlatformStateError("names is no list of Req-Ids")
+        raise PlatformStateError("names is not a list of Req-Ids")
     module = raw.get("module", {})
     return PlatformState(
         origin,
@@ -92,24 +96,24 @@
 
 
 def import_module_state(decision_module: DecisionModule, module: dict[str, Any], now: float) -> Iterator[str]:
-    """Take the module's parts over, each for itself; yields what could not be."""
+    """Imports the parts of the module's state separately; yields a text for each failure."""
     parts: tuple[tuple[str, Callable[[DecisionModule, Any, float], None]], ...] = (
         ("clock", state.import_clock),
         ("waits", state.import_class_waits),
         ("pools", state.import_pools),
         ("servers", state.import_servers),
     )
-    for name, taker in parts:
+    for name, import_part in parts:
         try:
-            taker(decision_module, module[name], now)
+            import_part(decision_module, module[name], now)
         except (KeyError, TypeError, ValueError, IndexError, OverflowError) as error:
             yield f"{name}: {error!r}"
-    bad = 0
+    invalid = 0
     rows = module.get("customers")
     for row in rows if isinstance(rows, list) else ():
         try:
             state.import_customer(decision_module, row, now)
         except (KeyError, TypeError, ValueError, IndexError, OverflowError):
-            bad += 1
-    if bad:
-        yield f"customers: {bad} of {len(rows or ())} could not be read"
+            invalid += 1
+    if invalid:
+        yield f"customers: {invalid} of {len(rows or ())} are invalid"
--- a/basaltpoint/handover/upgrade_state.py
+++ b/basaltpoint/handover/upgrade_state.py
@@ -1,6 +1,7 @@
-"""What a standalone limiter leaves to its next process: a versioned document; no I/O.
+"""The versioned document that a standalone limiter passes to its successor. No I/O.
 
-Numbers are each process's own: what goes by them is told with names, and taken by the reader's numbers.
+Each process assigns its own numbers to accounts, servers and pools. So the document carries their names,
+and the successor replaces the predecessor's numbers by its own.
 """
 
 from __future__ import annotations
@@ -14,42 +15,47 @@
 from basaltpoint.peers.messages import MemberRecord
 from basaltpoint.policy import DecisionModule
 
-VERSION = 1  # another one is not read: what it says is not known
-KINDS = {"customers": ("ident", "account"), "servers": ("number", "server"), "pools": ("number", "pool")}
+VERSION = 1  # a document of another version is rejected, as its contents may mean something else
+# By part of the module's state: the key that holds a number, and the kind of thing that it numbers.
+NUMBERED_PARTS = {
+    "customers": ("ident", "account"),
+    "servers": ("number", "server"),
+    "pools": ("number", "pool"),
+}
 
 
 class HandoverError(ValueError):
-    """A document that can't be taken over; says why."""
+    """A document that can't be imported; the message says why."""
 
 
 class Hello(msgspec.Struct, frozen=True):
-    """The older process's first word: it is there, and knows this version."""
+    """The predecessor's first document: its version of the handover and its name."""
 
     version: int
     name: str
 
 
 class FleetPlace(msgspec.Struct, frozen=True):
-    """A member's place among the others, as one process passes it to the next."""
+    """A member's place in its fleet, as a process passes it to its successor."""
 
-    row: MemberRecord  # its own
-    rows: tuple[MemberRecord, ...]  # of the others
-    age_ms: float  # of the member, over all its processes
+    row: MemberRecord  # of the member itself
+    rows: tuple[MemberRecord, ...]  # of the other members
+    age_ms: float  # age of the member, over all its processes
 
 
 class StoreSnapshot(msgspec.Struct, frozen=True):
-    """What the store was known to hold."""
+    """The last known contents of the store."""
 
     revision: int
     values: dict[str, bytes]
 
 
 class UpgradeState(msgspec.Struct, frozen=True):
-    """All of it, at the moment from which the older process takes nothing new.
+    """The predecessor's state at the moment from which it accepts no new requests.
 
-    `origin_s`: where the module's clock began, on the machine's monotonic clock. `started_ms`: of that clock,
-    when each server was first heard of; `names`: by kind, name and the older process's number. `listeners`:
-    what the sockets are that went before this, in their order.
+    `origin_s` is the start of the module's clock on the host's monotonic clock, `started_ms` the time on the
+    module's clock at which each server was first seen. `names` maps, by kind, each name to the predecessor's
+    number. `listeners` says what the sockets are for that were passed before this document, in their order.
     """
 
     version: int
@@ -62,44 +68,53 @@
     shared: StoreSnapshot | None = None
 
 
-def encode(told: Hello | UpgradeState) -> bytes:
-    return msgspec.msgpack.encode(told)
+def encode(document: Hello | UpgradeState) -> bytes:
+    return msgspec.msgpack.encode(document)
 
 
 def decode_hello(text: bytes) -> Hello:
-    """The older process's first word; HandoverError where this one can't follow it."""
+    """Decodes the predecessor's first document; raises HandoverError if no handover from it is possible."""
     try:
-        told = msgspec.msgpack.decode(text, type=Hello)
+        hello = msgspec.msgpack.decode(text, type=Hello)
     except msgspec.DecodeError as error:
-        raise HandoverError(f"its first word can't be read: {error}") from None
-    if told.version != VERSION:
-        raise HandoverError(f"it speaks version {told.version} of the handover, where {VERSION} is known")
-    return told
+        raise HandoverError(f"its first document can't be read: {error}") from None
+    if hello.version != VERSION:
+        raise HandoverError(
+            f"it uses version {hello.version} of the handover, where version {VERSION} is expected"
+        )
+    return hello
 
 
 def decode(text: bytes, now_s: float) -> UpgradeState:
-    """The document at `now_s` of the monotonic clock; HandoverError where it can't be taken over."""
+    """Decodes a document at `now_s` of the monotonic clock; raises HandoverError if it is invalid."""
     try:
-        told = msgspec.msgpack.decode(text, type=UpgradeState)
+        upgrade = msgspec.msgpack.decode(text, type=UpgradeState)
     except msgspec.DecodeError as error:
         raise HandoverError(f"the document can't be read: {error}") from None
-    if told.version != VERSION or not 0.0 <= told.origin_s <= now_s:
-        raise HandoverError(f"version {told.version}, a clock begun at {told.origin_s:g} s of {now_s:g} s")
-    return told
+    if upgrade.version != VERSION or not 0.0 <= upgrade.origin_s <= now_s:
+        raise HandoverError(
+            f"version {upgrade.version}, a clock that started at {upgrade.origin_s:g} s, at {now_s:g} s now"
+        )
+    return upgrade
 
 
 def import_module_state(
-    decision_module: DecisionModule, told: UpgradeState, numbers: Mapping[str, Mapping[str, int]], now: float
+    decision_module: DecisionModule,
+    upgrade: UpgradeState,
+    numbers: Mapping[str, Mapping[str, int]],
+    now: float,
 ) -> Iterator[str]:
-    """Take the module's state over, by this process's numbers; yields what could not be."""
-    module = dict(told.module)
-    for part, (key, kind) in KINDS.items():
-        renamed = {old: numbers[kind].get(name) for name, old in told.names.get(kind, {}).items()}
+    """Imports the module's state under this process's numbers; yields a text for each failure."""
+    module = dict(upgrade.module)
+    for part, (key, kind) in NUMBERED_PARTS.items():
+        new_numbers = {old: numbers[kind].get(name) for name, old in upgrade.names.get(kind, {}).items()}
         rows = module.get(part)
         if not isinstance(rows, list):
             continue
-        kept = [row | {key: renamed[row[key]]} for row in rows if renamed.get(row.get(key)) is not None]
-        if gone := len(rows) - len(kept):
-            yield f"{part}: {gone} are not in this process's configuration"
+        kept = [
+            row | {key: new_numbers[row[key]]} for row in rows if new_numbers.get(row.get(key)) is not None
+        ]
+        if missing := len(rows) - len(kept):
+            yield f"{part}: {missing} are not in this process's configuration"
         module[part] = kept
     yield from platform_state.import_module_state(decision_module, module, now)
