--- a/basaltpoint/__main__.py
+++ b/basaltpoint/__main__.py
@@ -11,7 +11,7 @@
     if len(sys.argv) == 1 and "GW_CONFIG" in os.environ:
         from basaltpoint.daemon import signals
 
-        signals.hold()  # before all that takes its time
+        signals.record_signals()  # before all that takes its time
         from basaltpoint.daemon.platform import main as platform
 
         return platform()
--- a/basaltpoint/cli.py
+++ b/basaltpoint/cli.py
@@ -17,12 +17,12 @@
     from basaltpoint.config.build import load
     from basaltpoint.config.decode import FileError, load_toml
     from basaltpoint.config.shared import shared_tables
-    from basaltpoint.daemon.shared_state import check_local
+    from basaltpoint.daemon.shared_state import check_local_file
 
     try:
         raw = load_toml(args.config)
         if "store" in raw and not shared_tables(raw):
-            check_local(args.config)
+            check_local_file(args.config)
             print(f"{args.config}: good; the store holds the rest: basaltpoint config show")
             return 0
         setup = load(args.config)
@@ -74,7 +74,7 @@
 
 
 def _shared(args: argparse.Namespace) -> int:
-    from basaltpoint.daemon.document import run
+    from basaltpoint.daemon.document_command import run
 
     return run(args)
 
@@ -159,11 +159,11 @@
 
         add_rehearse(rehearse)
     elif argv[:1] == ["config"]:
-        from basaltpoint.daemon.document import add_arguments as add_config
+        from basaltpoint.daemon.document_command import add_arguments as add_config
 
         add_config(document)
     elif argv[:1] in (["drain"], ["undrain"]):
-        from basaltpoint.daemon.document import add_drain_arguments
+        from basaltpoint.daemon.document_command import add_drain_arguments
 
         add_drain_arguments(drain if argv[0] == "drain" else undrain, argv[0] == "drain")
     return top
--- a/basaltpoint/daemon/document.py
+++ b/basaltpoint/daemon/document_command.py
@@ -11,7 +11,13 @@
 from basaltpoint.config import storage as storages
 from basaltpoint.config.decode import FileError, ProblemCollector
 from basaltpoint.config.shared import parse_document
-from basaltpoint.daemon.shared_state import DOCUMENT, DRAIN, PREFIX, SERVER, check_document
+from basaltpoint.daemon.shared_state import (
+    DOCUMENT_KEY,
+    DRAIN_PREFIX,
+    SERVER_PREFIX,
+    SHARED_PREFIX,
+    check_document,
+)
 from basaltpoint.store.client import Client
 from basaltpoint.store.command import add_common, ask
 from basaltpoint.store.state_machine import Check, Put
@@ -60,16 +66,16 @@
 async def _push(client: Client, args: argparse.Namespace) -> int:
     revision = args.revision
     if revision is None:
-        held = await client.get(DOCUMENT, within_s=args.within)
+        held = await client.get(DOCUMENT_KEY, within_s=args.within)
         revision = held.modified_revision if held else 0
-    result = await client.txn([Put(DOCUMENT, args.text)], [Check(DOCUMENT, revision)], args.within)
+    result = await client.txn([Put(DOCUMENT_KEY, args.text)], [Check(DOCUMENT_KEY, revision)], args.within)
     print(f"{args.file}: revision {result.revision}")
     print("`basaltpoint store get --prefix limiter/` tells which limiters run on it")
     return 0
 
 
 async def _show(client: Client, args: argparse.Namespace) -> int:
-    held = await client.get(DOCUMENT, within_s=args.within)
+    held = await client.get(DOCUMENT_KEY, within_s=args.within)
     if held is None:
         print("the store holds no document", file=sys.stderr)
         return 1
@@ -85,30 +91,30 @@
         print(f"found the server {args.server!r}; known are {', '.join(sorted(known))}", file=sys.stderr)
         return 1
     told = json.dumps({"since_ms": int(time.time() * 1000)}).encode()
-    await client.put(DRAIN + args.server, told, within_s=args.within)
+    await client.put(DRAIN_PREFIX + args.server, told, within_s=args.within)
     print(f"{args.server} drains: limiters send nothing new to it")
     return 0
 
 
 async def _servers(client: Client, within_s: float) -> set[str] | None:
     """Names of the servers that limiters know; None where the store does not tell."""
-    found, _ = await client.range(PREFIX, within_s=within_s)
-    if (document := found.get(DOCUMENT)) is None:
+    found, _ = await client.range(SHARED_PREFIX, within_s=within_s)
+    if (document := found.get(DOCUMENT_KEY)) is None:
         return None
-    out = ProblemCollector(DOCUMENT)
+    out = ProblemCollector(DOCUMENT_KEY)
     tables = parse_document(document.value, out)
     try:
         out.raise_problems()
         names = {str(row["name"]) for row in tables.get("server", [])}
     except (FileError, TypeError, KeyError):
         return None  # no limiter can use it; a drain must not wait for its mending
-    return names | {key.removeprefix(SERVER) for key in found if key.startswith(SERVER)}
+    return names | {key.removeprefix(SERVER_PREFIX) for key in found if key.startswith(SERVER_PREFIX)}
 
 
 async def _undrain(client: Client, args: argparse.Namespace) -> int:
-    if await client.get(DRAIN + args.server, within_s=args.within) is None:
+    if await client.get(DRAIN_PREFIX + args.server, within_s=args.within) is None:
         print(f"{args.server} does not drain")
         return 1
-    await client.delete(DRAIN + args.server, within_s=args.within)
+    await client.delete(DRAIN_PREFIX + args.server, within_s=args.within)
     print(f"{args.server} drains no more")
     return 0
--- a/basaltpoint/daemon/fleet.py
+++ b/basaltpoint/daemon/fleet.py
@@ -15,7 +15,7 @@
 
 from basaltpoint.config.address import parse_address
 from basaltpoint.config.fleets import FleetSettings
-from basaltpoint.daemon.fleet_look import ask
+from basaltpoint.daemon.fleet_query import query_member
 from basaltpoint.handover.upgrade_state import FleetPlace
 from basaltpoint.links.connection_pool import ConnectionPool
 from basaltpoint.links.frames import PROTOCOL_VERSION, FrameError, Greeting
@@ -116,11 +116,11 @@
                 await self._joined.wait()
 
     @property
-    def live(self) -> int:
+    def live_count(self) -> int:
         """Members to deal a quota among; the most there may be while this one has no place yet."""
         return self._live if self._joined.is_set() else self.setting.table.most
 
-    def pass_on(self, send: Callable[[int], bool]) -> FleetPlace | None:
+    def hand_over(self, send: Callable[[int], bool]) -> FleetPlace | None:
         """Pass the listening socket and this member's place on; None where it has none, or can't."""
         if (
             not self._server
@@ -152,15 +152,15 @@
             self._journal.close()
             self._journal = None
 
-    def reseed(self, setting: FleetSettings) -> None:
+    def update_setting(self, setting: FleetSettings) -> None:
         """Other seeds from now on."""
         self.setting = setting
         self.peers.set_seeds([*setting.seeds, *self._present])
 
-    def present(self, members: Sequence[tuple[str, str]]) -> None:
+    def set_store_members(self, members: Sequence[tuple[str, str]]) -> None:
         """Members that the store tells of, to be asked like the file's seeds: names and addresses."""
         self._present = members
-        self.reseed(self.setting)
+        self.update_setting(self.setting)
         self._turn()
 
     # --- The machine's turn -----------------------------------------------------------------------------
@@ -285,7 +285,7 @@
     async def _rival(self, address: str) -> None:
         within_s = self.peers.options.name_check_timeout_ms / 1000
         try:
-            ack = await ask(
+            ack = await query_member(
                 self._tls, self._greeting(), self.setting.name, address, m.Ping(), m.Ack, within_s
             )
         except (OSError, TimeoutError):
--- a/basaltpoint/daemon/fleet_command.py
+++ b/basaltpoint/daemon/fleet_command.py
@@ -14,7 +14,7 @@
 from basaltpoint.config import fleets
 from basaltpoint.config.decode import FileError
 from basaltpoint.config.fleets import FleetSettings
-from basaltpoint.daemon.fleet_look import look, remove
+from basaltpoint.daemon.fleet_query import query_view, request_removal
 from basaltpoint.peers import messages as m
 
 WATCH_S = 0.5
@@ -53,12 +53,12 @@
 
 async def _one(setting: FleetSettings, name: str, address: str) -> m.ViewResponse | str:
     try:
-        return await look(setting, name, address)
+        return await query_view(setting, name, address)
     except (OSError, TimeoutError) as error:
         return str(error) or "no answer"
 
 
-async def views(setting: FleetSettings) -> Views:
+async def collect_views(setting: FleetSettings) -> Views:
     """The view of every member that any asked one holds alive; the file's own member is asked first."""
     known = {setting.name: setting.address}
     known.update({name: address for name, address in setting.seeds if name != setting.name})
@@ -97,7 +97,7 @@
     return f"{state[0].name.lower()} {state[1]}" if state else "does not know it"
 
 
-def cuts(found: Views) -> list[str]:
+def unreachable_links(found: Views) -> list[str]:
     """Links that can't be used, each with who says so."""
     wrong = []
     for name, looked in sorted(found.items()):
@@ -110,7 +110,7 @@
     return wrong
 
 
-def table(found: Views) -> str:
+def format_table(found: Views) -> str:
     """Rows: who looks. Columns: at whom."""
     from rich.console import Console
     from rich.table import Table
@@ -146,16 +146,16 @@
 
 
 async def _status(setting: FleetSettings, args: argparse.Namespace) -> int:
-    found = await views(setting)
+    found = await collect_views(setting)
     answered = [looked for looked in found.values() if isinstance(looked, m.ViewResponse)]
-    wrong, cut = differences(found), cuts(found)
+    wrong, cut = differences(found), unreachable_links(found)
     if args.json:
         each = {
             name: {"problem": told} if isinstance(told, str) else _plain(told) for name, told in found.items()
         }
         print(json.dumps({"views": each, "differences": wrong, "cut": cut}, indent=1))
     else:
-        print(table(found), end="")
+        print(format_table(found), end="")
         for line in cut:
             print(f"cut: {line}")
         for looked in answered:
@@ -188,7 +188,7 @@
 async def _watch(setting: FleetSettings, args: argparse.Namespace) -> int:
     before: dict[str, dict[str, Any]] = {}
     while True:
-        for by, looked in sorted((await views(setting)).items()):
+        for by, looked in sorted((await collect_views(setting)).items()):
             for line in _news(by, looked, before.setdefault(by, {})):
                 print(time.strftime("%H:%M:%S"), line, flush=True)
         await asyncio.sleep(WATCH_S)
@@ -209,7 +209,7 @@
 
 async def _remove(setting: FleetSettings, args: argparse.Namespace) -> int:
     try:
-        problem = await remove(setting, args.name, args.force)
+        problem = await request_removal(setting, args.name, args.force)
     except (OSError, TimeoutError) as error:
         problem = f"{setting.name} does not answer: {error or 'in time'}"
     if problem:
--- a/basaltpoint/daemon/fleet_look.py
+++ b/basaltpoint/daemon/fleet_query.py
@@ -10,7 +10,7 @@
 from basaltpoint.links.transport import Link, Tls, connect
 from basaltpoint.peers import messages as m
 
-ANSWER_S = 3.0
+RESPONSE_TIMEOUT_S = 3.0
 
 T = TypeVar("T")
 
@@ -35,14 +35,14 @@
             self.answer.exception()  # read by whoever waits, or by nobody
 
 
-async def ask(
+async def query_member(
     tls: Tls | None,
     greeting: Greeting,
     name: str,
     address: str,
     part: Frame,
     kind: type[T],
-    within_s: float = ANSWER_S,
+    within_s: float = RESPONSE_TIMEOUT_S,
 ) -> T:
     """Ask the member `name`; OSError, TimeoutError where no answer of the kind comes."""
     asked = _Question(part, kind)
@@ -57,16 +57,16 @@
         link.close()
 
 
-async def look(setting: FleetSettings, name: str, address: str) -> m.ViewResponse:
+async def query_view(setting: FleetSettings, name: str, address: str) -> m.ViewResponse:
     """A member's view; OSError, TimeoutError where it does not answer."""
     greeting = Greeting(PROTOCOL_VERSION, setting.cluster)
-    return await ask(
+    return await query_member(
         Tls.from_files(setting.tls_files), greeting, name, address, m.ViewRequest((), 1), m.ViewResponse
     )
 
 
-async def remove(setting: FleetSettings, gone: str, force: bool) -> str:
+async def request_removal(setting: FleetSettings, gone: str, force: bool) -> str:
     """Have this file's member declare another gone for good; the reason why not, or nothing."""
     greeting, part = Greeting(PROTOCOL_VERSION, setting.cluster), m.RemoveRequest((), 1, gone, force)
     tls = Tls.from_files(setting.tls_files)
-    return (await ask(tls, greeting, setting.name, setting.address, part, m.RemoveResponse)).problem
+    return (await query_member(tls, greeting, setting.name, setting.address, part, m.RemoveResponse)).problem
--- a/basaltpoint/daemon/platform.py
+++ b/basaltpoint/daemon/platform.py
@@ -16,7 +16,7 @@
 
 from basaltpoint.config.address import Address, ConfigError, inherited_listening_socket
 from basaltpoint.daemon import signals
-from basaltpoint.daemon.platform_upgrade import PlatformUpgrade, inherit
+from basaltpoint.daemon.platform_upgrade import PlatformUpgrade, read_predecessor_state
 from basaltpoint.fronts.control.console import Console
 from basaltpoint.fronts.platform import config as configuration
 from basaltpoint.fronts.platform.clients import BACKLOG, Clients
@@ -110,7 +110,7 @@
     ask_within_s = config.settings.discovery_confirm_ms / 1000 if config.settings.must_subscribe else None
     lease = MembershipLease(time.monotonic(), grace_s, ask_within_s)
     log.info("lists of servers are %s", "pushed" if ask_within_s is None else "asked for")
-    limiter = Limiter(config, inherit(found[1]) if found else None, lease)
+    limiter = Limiter(config, read_predecessor_state(found[1]) if found else None, lease)
     most = int((config.sockets - MARGIN) * (1 - SERVER_PART))
     clients = Clients(limiter, config.settings, config.listen, most, config.body_bytes, held, own)
     rng = random.Random(config.seed ^ SEED)
@@ -118,9 +118,9 @@
     watch = Watch(config.discovery, limiter.listed, backoff, lease, limiter.lease_changed)
     watch.seq = limiter.known_seq
     loop.add_signal_handler(signal.SIGHUP, _reload, watch)
-    if signals.came(signal.SIGHUP):
+    if signals.was_received(signal.SIGHUP):
         _reload(watch)
-    if signals.came(signal.SIGTERM, signal.SIGINT):
+    if signals.was_received(signal.SIGTERM, signal.SIGINT):
         stop.set()
     tasks = [loop.create_task(watch.run()), loop.create_task(_sweep(limiter, clients))]
     upgrade = PlatformUpgrade(limiter, clients, path, found[0] if found else None) if path else None
--- a/basaltpoint/daemon/platform_upgrade.py
+++ b/basaltpoint/daemon/platform_upgrade.py
@@ -14,10 +14,10 @@
 
 log = logging.getLogger(__name__)
 
-ENOUGH_S = 0.3  # for what is queued to go over when nothing else is left to do
+FLUSH_TIMEOUT_S = 0.3  # for what is queued to go over when nothing else is left to do
 
 
-def inherit(text: bytes) -> platform_state.PlatformState | None:
+def read_predecessor_state(text: bytes) -> platform_state.PlatformState | None:
     """What an older process has left; None, and told, where it can't be taken over."""
     try:
         return platform_state.decode(text, time.monotonic())
@@ -32,7 +32,7 @@
     def __init__(self, limiter: Limiter, clients: Clients, path: str, older: socket.socket | None) -> None:
         self._limiter = limiter
         self._clients = clients
-        self.began = time.monotonic()  # no connection lay longer on its way from the older process
+        self.started_s = time.monotonic()  # no connection lay longer on its way from the older process
         self._since = limiter.now()  # from here on own draws are not in what the older one told
         self._older = HandoverLink(older, _Older(self)) if older else None
         clients.part = state.SHARED_FRACTION if older else 1.0
@@ -52,12 +52,12 @@
             log.warning("the next process will find nothing to take over: %s", error)
 
     # --- As the newer of two --------------------------------------------------------------------
-    def join(self, text: bytes) -> None:
+    def predecessor_state_received(self, text: bytes) -> None:
         """The older one's last word: it takes nothing new any more."""
         gateway, now = self._limiter.decision_module, self._limiter.now()
         state.restore_full_limits(gateway, now)
         self._joined = True
-        if (inherited := inherit(text)) is None:
+        if (inherited := read_predecessor_state(text)) is None:
             return
         if bad := state.merge_customers(gateway, inherited.module.get("customers"), now, self._since):
             log.warning("%d customers of the older process could not be read", bad)
@@ -66,7 +66,7 @@
             "took over from the older process, which has %d requests in hand", len(inherited.open_req_ids)
         )
 
-    def alone(self) -> None:
+    def predecessor_disconnected(self) -> None:
         """The older one has gone."""
         self._older = None
         self._limiter.unreserve()
@@ -80,11 +80,11 @@
     def _successor_came(self, sock: socket.socket) -> None:
         if self._successor:
             self._successor.close()
-        self._successor = HandoverLink(sock, SuccessorHandler(self.successor_gone))
+        self._successor = HandoverLink(sock, SuccessorHandler(self.successor_disconnected))
         self._clients.part = state.SHARED_FRACTION
         self._successor.send_document(platform_state.encode(self._limiter.state_for_successor(halved=True)))
 
-    def successor_gone(self) -> None:
+    def successor_disconnected(self) -> None:
         """The newer one has ended before this one was told to: all goes on as it was."""
         self._successor = None
         if not self._clients.draining:
@@ -101,7 +101,7 @@
         successor.send_document(platform_state.encode(self._limiter.state_for_successor(halved=False)))
         self._limiter.on_ended = successor.send_request_completed
         await self._clients.hand_over(successor.send_connection)
-        end = time.monotonic() + ENOUGH_S
+        end = time.monotonic() + FLUSH_TIMEOUT_S
         while not successor.is_flushed and time.monotonic() < end:
             await asyncio.sleep(0.005)
 
@@ -120,13 +120,13 @@
         self._upgrade = upgrade
 
     def document_received(self, text: bytes) -> None:
-        self._upgrade.join(text)
+        self._upgrade.predecessor_state_received(text)
 
     def connection_received(self, sock: socket.socket) -> None:
-        self._upgrade._clients.adopt(sock, self._upgrade.began)
+        self._upgrade._clients.adopt(sock, self._upgrade.started_s)
 
     def request_completed(self, name: bytes) -> None:
         self._upgrade._limiter.release_name(name)
 
     def link_closed(self) -> None:
-        self._upgrade.alone()
+        self._upgrade.predecessor_disconnected()
--- a/basaltpoint/daemon/shared_state.py
+++ b/basaltpoint/daemon/shared_state.py
@@ -18,10 +18,10 @@
 from basaltpoint.config.schema import NAME_PATTERN, ClientsTable, FleetTable, LimitsTable, StoreTable
 from basaltpoint.config.shared import SharedTables, parse_document, parse_server, shared_tables
 
-PREFIX = "shared/"
-DOCUMENT = PREFIX + "document"
-SERVER = PREFIX + "server/"
-DRAIN = PREFIX + "drain/"
+SHARED_PREFIX = "shared/"
+DOCUMENT_KEY = SHARED_PREFIX + "document"
+SERVER_PREFIX = SHARED_PREFIX + "server/"
+DRAIN_PREFIX = SHARED_PREFIX + "drain/"
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
         return Change(self.build or other.build, self.drains or other.drains)
 
 
-NOTHING = Change(False, False)
+NO_CHANGE = Change(False, False)
 
 
 class SharedState:
@@ -47,7 +47,7 @@
 
     def load(self, values: Mapping[str, bytes], revision: int) -> Change:
         """All of it, as read anew."""
-        change = NOTHING
+        change = NO_CHANGE
         for key in self.values.keys() | values.keys():
             if self.values.get(key) != values.get(key):
                 change |= _kind(key)
@@ -55,9 +55,9 @@
         self._changed = dict.fromkeys(values, revision)
         return change
 
-    def take(self, events: Iterable[tuple[int, str, bytes | None]]) -> Change:
+    def apply_events(self, events: Iterable[tuple[int, str, bytes | None]]) -> Change:
         """Changes: revision, key, value or None for a removal."""
-        change = NOTHING
+        change = NO_CHANGE
         for revision, key, value in events:
             if revision <= self._changed.get(key, 0):
                 continue
@@ -72,21 +72,23 @@
 
     @property
     def drains(self) -> frozenset[str]:
-        return frozenset(key.removeprefix(DRAIN) for key in self.values if key.startswith(DRAIN))
+        return frozenset(
+            key.removeprefix(DRAIN_PREFIX) for key in self.values if key.startswith(DRAIN_PREFIX)
+        )
 
     @property
     def document(self) -> bytes | None:
-        return self.values.get(DOCUMENT)
+        return self.values.get(DOCUMENT_KEY)
 
-    def setup(self, path: Path, numbers: NumberRegistry | None) -> Setup:
+    def build_setup(self, path: Path, numbers: NumberRegistry | None) -> Setup:
         """What a limiter with this file runs on; FileError with every problem found."""
-        out = ProblemCollector(f"{path} with {DOCUMENT} of the store")
+        out = ProblemCollector(f"{path} with {DOCUMENT_KEY} of the store")
         raw = read_toml(path, out)
         tables = parse_document(self.document, out) if self.document is not None else {}
         servers = {
-            key.removeprefix(SERVER): parse_server(key.removeprefix(SERVER), value, out)
+            key.removeprefix(SERVER_PREFIX): parse_server(key.removeprefix(SERVER_PREFIX), value, out)
             for key, value in self.values.items()
-            if key.startswith(SERVER)
+            if key.startswith(SERVER_PREFIX)
         }
         out.raise_problems()
         return build_setup(SharedTables(tables, servers).merge_into(raw), path, out, numbers).with_drains(
@@ -95,8 +97,8 @@
 
 
 def _kind(key: str) -> Change:
-    drains = key.startswith(DRAIN)
-    return Change(not drains and key.startswith(PREFIX), drains)
+    drains = key.startswith(DRAIN_PREFIX)
+    return Change(not drains and key.startswith(SHARED_PREFIX), drains)
 
 
 def limiter_name(raw: dict[str, Any]) -> str:
@@ -111,7 +113,7 @@
     return path.read_bytes() if shared_tables(load_toml(path)) else None
 
 
-def check_local(path: Path) -> None:
+def check_local_file(path: Path) -> None:
     """Check a file whose shared tables the store holds; FileError with every problem found."""
     out, raw = ProblemCollector(str(path)), load_toml(path)
     for key, kind in (
--- a/basaltpoint/daemon/signals.py
+++ b/basaltpoint/daemon/signals.py
@@ -16,12 +16,12 @@
     _came.add(number)
 
 
-def hold() -> None:
+def record_signals() -> None:
     """From here on no signal of operators is lost or deadly."""
     for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
         signal.signal(number, _keep)
 
 
-def came(*numbers: int) -> bool:
+def was_received(*numbers: int) -> bool:
     """Whether one of these came before whoever asks took them over."""
     return not _came.isdisjoint(numbers)
--- a/basaltpoint/daemon/standalone.py
+++ b/basaltpoint/daemon/standalone.py
@@ -23,8 +23,8 @@
 from basaltpoint.config.schema import FleetTable
 from basaltpoint.daemon.fleet import Fleet
 from basaltpoint.daemon.shared_state import limiter_name
+from basaltpoint.daemon.store_adapter import StoreAdapter
 from basaltpoint.daemon.store_follower import StartError, StoreFollower
-from basaltpoint.daemon.store_side import StoreSide
 from basaltpoint.daemon.upgrade import Upgrade
 from basaltpoint.fronts.http.relay import Relay
 from basaltpoint.handover import state, upgrade_state
@@ -49,12 +49,12 @@
         self.path = path
         self._numbers = NumberRegistry()
         self.setup: Setup
-        self.keeper: StoreFollower | None = None
+        self.store_follower: StoreFollower | None = None
         raw = load_toml(path)
         if "store" in raw:
-            self.keeper, self._kept = (
+            self.store_follower, self._kept = (
                 StoreFollower(storage.parse(raw, path), path, limiter_name(raw)),
-                StoreSide(self),
+                StoreAdapter(self),
             )
         else:
             self.setup = build.build_setup(raw, path, ProblemCollector(str(path)), self._numbers)
@@ -63,7 +63,7 @@
         self._handover = str(path.parent / told) if isinstance(told, str) and told else ""
         self.upgrade: Upgrade | None = None
         self._sock: socket.socket
-        self.ended = ""  # why this process can't go on
+        self.end_reason = ""  # why this process can't go on
         self.stop = asyncio.Event()  # it is to drain and end
         self.fleet = Fleet(fleets.parse(raw, path), self._members, self._end) if "fleet" in raw else None
         self._seed = secrets.randbits(64) if seed is None else seed
@@ -74,18 +74,23 @@
 
     async def start(self) -> None:
         """Listen and serve; StartError where the address or the store can't be had, FileError."""
-        if self.keeper:
-            await self.keeper.start()
-            self.setup = self.from_store()
+        if self.store_follower:
+            await self.store_follower.start()
+            self.setup = self.setup_from_store()
         left = await self._inherit()
         held = self._held(left)
-        if left and left.shared and self.keeper and self.keeper.goes_on(left.shared):
-            self.setup = self.from_store()
+        if (
+            left
+            and left.shared
+            and self.store_follower
+            and self.store_follower.adopt_newer_state(left.shared)
+        ):
+            self.setup = self.setup_from_store()
         if self.fleet:
             await self._join(
                 self.fleet, left.place if left and FLEET in held else None, held.pop(FLEET, None)
             )
-        down_ms = self.keeper.down_s * 1000 if self.keeper else 0.0
+        down_ms = self.store_follower.downtime_s * 1000 if self.store_follower else 0.0
         if left:
             # One that the older process did not know may have drawn all of its ceiling a moment ago.
             self.relay = Relay(self._own(self.setup), self._seed, 0.0, left.origin_s, left.started_ms)
@@ -96,8 +101,8 @@
             log.info("took over from the older process")
         else:
             self.relay = Relay(self._own(self.setup), self._seed, down_ms)
-        if self.keeper:
-            self._kept.begin(self.keeper, recalls=left is None)
+        if self.store_follower:
+            self._kept.start(self.store_follower, recalls=left is None)
         try:
             sock = held.pop(CLIENTS, None) or await open_listener_when_free(self.setup.listen, BACKLOG)
         except OSError as error:
@@ -112,25 +117,27 @@
         self._acceptor.listen()
         self._sweeper = asyncio.get_running_loop().create_task(self._sweep())
         if self.upgrade:
-            self.upgrade.serving(self.relay.adopt)
+            self.upgrade.start_serving(self.relay.adopt)
         log.info("%s listens at %s:%d", self.setup.file.name, *self.address)
 
     async def _join(self, fleet: Fleet, place: FleetPlace | None, sock: socket.socket | None) -> None:
         """Take a place among the members; those that the store tells of are asked as well as the seeds."""
         setting, seeds = fleet.setting, []
-        if self.keeper:
-            self.keeper.member = setting.cluster, setting.name, ""
+        if self.store_follower:
+            self.store_follower.own_member = setting.cluster, setting.name, ""
             with contextlib.suppress(StoreError):
-                seeds = [(name, address) for _, name, address in await self.keeper.members()]
+                seeds = [(name, address) for _, name, address in await self.store_follower.members()]
         try:
             await fleet.start(place, sock, seeds)
         except OSError as error:
             raise StartError(f"fleet.listen {setting.table.listen}: {error}") from None
-        if self.ended:
-            raise StartError(f"fleet: {self.ended}")
-        if self.keeper:
-            self.keeper.member = setting.cluster, setting.name, fleet.address
-            self.keeper.found = lambda found: fleet.present([(name, at) for _, name, at in found])
+        if self.end_reason:
+            raise StartError(f"fleet: {self.end_reason}")
+        if self.store_follower:
+            self.store_follower.own_member = setting.cluster, setting.name, fleet.address
+            self.store_follower.members_found = lambda found: fleet.set_store_members(
+                [(name, at) for _, name, at in found]
+            )
 
     # --- Two processes during an upgrade ------------------------------------------------------------------
     async def _inherit(self) -> UpgradeState | None:
@@ -145,7 +152,7 @@
         except HandoverError as error:
             raise StartError(f"an older process serves, and {error}; end it first") from None
         log.info("ready: this process serves once the older one is told to end (SIGTERM)")
-        return await self.upgrade.wait()
+        return await self.upgrade.wait_for_state()
 
     def _held(self, left: UpgradeState | None) -> dict[str, socket.socket]:
         """The listening sockets that came, but those of addresses that the file no longer names."""
@@ -181,14 +188,14 @@
         if send(self._sock.fileno()):
             listeners.append(CLIENTS)
         self._acceptor.stop()
-        member = self.fleet.pass_on(send) if self.fleet else None
+        member = self.fleet.hand_over(send) if self.fleet else None
         if member:
             listeners.append(FLEET)
         now = relay.now()
         module = state.export_state(relay.decision_module, now)
         state.exhaust_ceilings(relay.decision_module, now, self.setup.file.clients.drain_s * 1000)
         names["account"] = {n: i for n, i in names["account"].items() if i in relay.decision_module.customers}
-        shared = self.keeper.pass_on() if self.keeper else None
+        shared = self.store_follower.hand_over() if self.store_follower else None
         return UpgradeState(
             upgrade_state.VERSION,
             relay.origin_s,
@@ -204,8 +211,8 @@
         while True:
             await asyncio.sleep(SWEEP_S)
             self.relay.close_stalled()
-            if self.keeper:
-                self.keeper.sign()
+            if self.store_follower:
+                self.store_follower.record_alive()
 
     def reload(self) -> bool:
         """Take up the file as it is now; one with any problem changes nothing, and each is told."""
@@ -213,40 +220,40 @@
             log.error("nothing is served yet; the file is read when the start goes on")
             return False
         try:
-            setup = self.from_store() if self.keeper else build.load(self.path, self._numbers)
+            setup = self.setup_from_store() if self.store_follower else build.load(self.path, self._numbers)
             self._same(setup)
             if self.fleet:
-                self.fleet.reseed(fleets.load(self.path))
+                self.fleet.update_setting(fleets.load(self.path))
         except FileError as error:
             for problem in error.problems:
                 log.error("%s", problem)
             log.error("the configuration stays as it was")
             return False
-        self.take_up(setup)
+        self.apply_setup(setup)
         log.info("%s was taken up again", self.path)
         return True
 
-    def from_store(self) -> Setup:
+    def setup_from_store(self) -> Setup:
         """What the store holds, with this limiter's own file; FileError."""
-        assert self.keeper
-        return self.keeper.held.setup(self.path, self._numbers)
+        assert self.store_follower
+        return self.store_follower.shared_state.build_setup(self.path, self._numbers)
 
-    def take_up(self, setup: Setup) -> None:
+    def apply_setup(self, setup: Setup) -> None:
         """Go over to another configuration at once."""
         self.setup = setup
         self.relay.update_configuration(self._own(setup))
 
     def _own(self, setup: Setup) -> Setup:
         """This limiter's part of it."""
-        return setup.for_fleet(self.fleet.live, self.fleet.setting.table.most) if self.fleet else setup
+        return setup.for_fleet(self.fleet.live_count, self.fleet.setting.table.most) if self.fleet else setup
 
     def _members(self, count: int) -> None:
         log.info("fleet: %d members share the quotas", count)
         if self._acceptor:
-            self.take_up(self.setup)
+            self.apply_setup(self.setup)
 
     def _end(self, reason: str) -> None:
-        self.ended = reason
+        self.end_reason = reason
         self.stop.set()
 
     def _same(self, setup: Setup) -> None:
@@ -297,8 +304,8 @@
             self.fleet.close()
         if self.upgrade:
             self.upgrade.close()
-        if self.keeper:
-            await self.keeper.stop()
+        if self.store_follower:
+            await self.store_follower.stop()
         if self._sweeper:
             self._sweeper.cancel()
             self.relay.close()
@@ -347,7 +354,7 @@
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(_serve(limiter))
-        if limiter.ended:
+        if limiter.end_reason:
             return 1
     except FileError as error:
         for problem in error.problems:
--- a/basaltpoint/daemon/store_side.py
+++ b/basaltpoint/daemon/store_adapter.py
@@ -9,38 +9,38 @@
 from basaltpoint import interface as api
 from basaltpoint.config.build import Setup
 from basaltpoint.config.decode import FileError
-from basaltpoint.daemon.balances import Balance, Balances, recall
+from basaltpoint.daemon.balances import Balance, BalanceWriteQueue, restore_balance
 from basaltpoint.daemon.shared_state import Change
-from basaltpoint.daemon.store_follower import RelayView, StoreFollower
+from basaltpoint.daemon.store_follower import StateToSave, StoreFollower
 from basaltpoint.fronts.http.relay import Relay
 from basaltpoint.system import timestamps
 
 log = logging.getLogger("basaltpoint")
 
 
-class Limiter(Protocol):
+class ConfiguredLimiter(Protocol):
     """What follows the store: its configuration, and how to go over to another."""
 
     setup: Setup
     relay: Relay
 
-    def from_store(self) -> Setup:
+    def setup_from_store(self) -> Setup:
         """What the store holds, with this limiter's own file; FileError."""
 
-    def take_up(self, setup: Setup) -> None: ...
+    def apply_setup(self, setup: Setup) -> None: ...
 
 
-class StoreSide(RelayView):
+class StoreAdapter(StateToSave):
     """One limiter's."""
 
-    def __init__(self, limiter: Limiter) -> None:
+    def __init__(self, limiter: ConfiguredLimiter) -> None:
         self._limiter = limiter
-        self.balances = Balances()
+        self.balances = BalanceWriteQueue()
         self._looked = -math.inf  # when accounts were looked through last, of the module's clock
         self._numbers: dict[int, str] = {}
         self._problem = ""  # of the document that could not be used
 
-    def begin(self, keeper: StoreFollower, recalls: bool = True) -> None:
+    def start(self, keeper: StoreFollower, recalls: bool = True) -> None:
         """Give back what an earlier life left, and follow the store from now on.
 
         `recalls`: False where more is known than that life could write, as its process told it directly.
@@ -53,15 +53,17 @@
         for name, balance in keeper.balances.items() if recalls else ():
             if account := accounts.get(name):
                 plan = setup.settings.plans[account.plan]
-                event = recall(account.number, plan, balance, moment, keeper.down_s)
+                event = restore_balance(account.number, plan, balance, moment, keeper.downtime_s)
                 relay.do(relay.table.handle_event(relay.now(), event))
-        for name, (light, mean_ms) in keeper.learned.items() if recalls else ():
+        for name, (light, mean_ms) in keeper.learned_latencies.items() if recalls else ():
             if name in setup.pools:
                 learned = api.RestoredLatencies(setup.pools[name], light, mean_ms)
                 relay.do(relay.table.handle_event(relay.now(), learned))
         if keeper.balances and recalls:
             log.info(
-                "store: %d accounts go on, %.1f s after the last life", len(keeper.balances), keeper.down_s
+                "store: %d accounts go on, %.1f s after the last life",
+                len(keeper.balances),
+                keeper.downtime_s,
             )
         keeper.follow(self._changed, self)
 
@@ -70,18 +72,18 @@
 
     def _changed(self, change: Change) -> str:
         """Take up what came. A document that can't be used changes nothing, but its drains hold."""
-        limiter, held = self._limiter, self._keeper.held
+        limiter, held = self._limiter, self._keeper.shared_state
         if not change.build:
-            limiter.take_up(limiter.setup.with_drains(held.drains))
+            limiter.apply_setup(limiter.setup.with_drains(held.drains))
             log.info("store: draining: %s", ", ".join(sorted(held.drains)) or "none")
             return self._problem
         try:
-            limiter.take_up(limiter.from_store())
+            limiter.apply_setup(limiter.setup_from_store())
         except FileError as error:
             for problem in error.problems:
                 log.error("%s", problem)
             log.error("store: the configuration stays as it was")
-            limiter.take_up(limiter.setup.with_drains(held.drains))
+            limiter.apply_setup(limiter.setup.with_drains(held.drains))
             self._problem = str(error.problems[0])
             return self._problem
         self._problem = ""
@@ -96,7 +98,7 @@
         if final:
             told = {n: standing for n in gateway.customers if (standing := gateway.quota_status(now, n))}
         else:
-            told = self.balances.due(
+            told = self.balances.take_due(
                 gateway.customers_since(self._looked), lambda number: gateway.quota_status(now, number)
             )
             self._looked = now
@@ -108,7 +110,7 @@
             if number in self._numbers
         }
 
-    def learned(self) -> dict[str, tuple[tuple[float, ...], float]]:
+    def learned_latencies(self) -> dict[str, tuple[tuple[float, ...], float]]:
         """Light-load latencies of each pool: in a jam at the start they can't be measured."""
         names = {number: name for name, number in self._limiter.setup.pools.items()}
         return {
--- a/basaltpoint/daemon/store_follower.py
+++ b/basaltpoint/daemon/store_follower.py
@@ -23,8 +23,14 @@
 
 from basaltpoint.config.schema import StartPolicy
 from basaltpoint.config.storage import StoreSettings
-from basaltpoint.daemon.balances import BUDGET, Balance, Balances, SignOfLife, down
-from basaltpoint.daemon.shared_state import DOCUMENT, PREFIX, Change, SharedState, first_document
+from basaltpoint.daemon.balances import (
+    MAX_BALANCES_PER_WRITE,
+    AliveRecord,
+    Balance,
+    BalanceWriteQueue,
+    min_downtime_s,
+)
+from basaltpoint.daemon.shared_state import DOCUMENT_KEY, SHARED_PREFIX, Change, SharedState, first_document
 from basaltpoint.handover.upgrade_state import StoreSnapshot
 from basaltpoint.store import setting
 from basaltpoint.store.client import StoreError, UnavailableError
@@ -34,40 +40,45 @@
 
 log = logging.getLogger("basaltpoint")
 
-LEASE_MS = 10_000  # of the limiter's own key: gone so long after it ended
-KEEP_MS = 600_000  # of its balances: a ceiling that is longer in filling starts from nothing after that
-RENEW_S = 2.0
-TELL_S = 10.0  # between two lines about a store that does not answer
-LEARNED_S = 30.0
-CACHE_S = 0.5  # the copy is written at most so often
-STOP_S = 3.0  # for the last write and the replica's end
-WAIT_S = 2.0  # of one try at a start
-LOOK_S = (0.5, 30.0)  # first and longest between two looks for other limiters; the members tell of each other
-OWN = "limiter/"  # keys of limiters that live
+PRESENCE_LEASE_MS = 10_000  # of the limiter's own key: gone so long after it ended
+BALANCE_LEASE_MS = (
+    600_000  # of its balances: a ceiling that is longer in filling starts from nothing after that
+)
+RENEW_INTERVAL_S = 2.0
+WARNING_INTERVAL_S = 10.0  # between two lines about a store that does not answer
+LATENCIES_INTERVAL_S = 30.0
+COPY_DELAY_S = 0.5  # the copy is written at most so often
+STOP_TIMEOUT_S = 3.0  # for the last write and the replica's end
+REQUEST_TIMEOUT_S = 2.0  # of one try at a start
+MEMBERS_POLL_S = (
+    0.5,
+    30.0,
+)  # first and longest between two looks for other limiters; the members tell of each other
+LIMITER_PREFIX = "limiter/"  # keys of limiters that live
 
 
 class StartError(Exception):
     """The limiter can't start; the text says why and what to do."""
 
 
-class Copy(msgspec.Struct, frozen=True, array_like=True):
+class SharedStateCopy(msgspec.Struct, frozen=True, array_like=True):
     """What was held last, in a file for a start without the store."""
 
     saved_ms: float  # Unix time
     revision: int
     values: dict[str, bytes]
-    boot: str = ""  # of the host, and seconds since then
+    boot_id: str = ""  # of the host, and seconds since then
     boot_s: float = 0.0
 
     @property
     def saved_at(self) -> Timestamp:
-        return Timestamp(self.saved_ms, self.boot, self.boot_s)
+        return Timestamp(self.saved_ms, self.boot_id, self.boot_s)
 
 
 Member = tuple[str, str, str]  # a limiter's place in a fleet: cluster, name, HOST:PORT
 
 
-class Present(msgspec.Struct, frozen=True):
+class LimiterPresence(msgspec.Struct, frozen=True):
     """What others need of a limiter's own key."""
 
     fleet: Member | None = None
@@ -78,37 +89,37 @@
 
     def __init__(self, storage: StoreSettings, path: Path, name: str) -> None:
         self.storage, self.path, self.name = storage, path, name
-        self.held = SharedState()
+        self.shared_state = SharedState()
         self.client = setting.client(storage)
         self.revision = 0
-        self.down_s = 0.0
+        self.downtime_s = 0.0
         self.balances: dict[str, Balance] = {}
-        self.learned: dict[str, tuple[tuple[float, ...], float]] = {}
+        self.learned_latencies: dict[str, tuple[tuple[float, ...], float]] = {}
         self._current = 0.0  # loop time at which the state was known to be current
         self._copied_at: Timestamp | None = None  # of a copy that is served from
         self._told = -math.inf
         self._lease = self._long_lease = 0
         self._told_own: tuple[int, str] | None = None  # what stands in the limiter's own key
         self._problem = ""
-        self._tells = False  # whether there is something for the next life
-        self.member: Member | None = None  # its place in a fleet, told to limiters that start
-        self.found: Callable[[list[Member]], None] = lambda members: None  # hears of others' places
+        self._saves_state = False  # whether there is something for the next life
+        self.own_member: Member | None = None  # its place in a fleet, told to limiters that start
+        self.members_found: Callable[[list[Member]], None] = lambda members: None  # hears of others' places
         self._tasks: list[asyncio.Task[None]] = []
-        self._child: Process | None = None
+        self._replica_process: Process | None = None
         self._copying: asyncio.TimerHandle | None = None  # the copy is to be written
         storage.folder.mkdir(parents=True, exist_ok=True, mode=0o700)
 
     # --- Start ------------------------------------------------------------------------------------------
     async def start(self) -> None:
         """Have what is held, as the setting `start` says; StartError."""
-        self.down_s = down(self._last_sign(), timestamps.boot_id(), timestamps.boot_s())
-        self.sign()
+        self.downtime_s = min_downtime_s(self._last_sign(), timestamps.boot_id(), timestamps.boot_s())
+        self.record_alive()
         if self.storage.table.name:
             self._run(self._run_replica())
         table, began = self.storage.table, time.monotonic()
         while True:
             try:
-                await self._read(WAIT_S)
+                await self._read(REQUEST_TIMEOUT_S)
                 await self._first_document()
                 await self._read_own()
                 return
@@ -120,8 +131,8 @@
                 self._tell(f"store: {error}; the start waits for it")
 
     async def _read(self, within_s: float) -> Change:
-        values, revision = await self.client.range(PREFIX, within_s=within_s)
-        change = self.held.load({key: value.value for key, value in values.items()}, revision)
+        values, revision = await self.client.range(SHARED_PREFIX, within_s=within_s)
+        change = self.shared_state.load({key: value.value for key, value in values.items()}, revision)
         self.revision = revision
         self._known_current()
         if change.build or change.drains:
@@ -129,7 +140,7 @@
         return change
 
     async def _first_document(self) -> None:
-        if self.held.document is not None:
+        if self.shared_state.document is not None:
             return
         text = first_document(self.path)
         if text is None:
@@ -137,23 +148,23 @@
                 f"{self.path}: the store holds no configuration; put it there: basaltpoint config push FILE"
             )
         try:
-            await self.client.txn([Put(DOCUMENT, text)], [Check(DOCUMENT, 0)], WAIT_S)
+            await self.client.txn([Put(DOCUMENT_KEY, text)], [Check(DOCUMENT_KEY, 0)], REQUEST_TIMEOUT_S)
         except UnavailableError:
             raise
         except StoreError as error:
             if error.error != "check":  # else another limiter was first
                 raise StartError(f"{self.path}: {error}") from None
-        await self._read(WAIT_S)
+        await self._read(REQUEST_TIMEOUT_S)
 
     async def _read_own(self) -> None:
         """What an earlier life of this limiter left."""
         prefix = f"balance/{self.name}/"
-        found, _ = await self.client.range(prefix, within_s=WAIT_S)
+        found, _ = await self.client.range(prefix, within_s=REQUEST_TIMEOUT_S)
         for key, value in found.items():
             with contextlib.suppress(msgspec.DecodeError):
                 balance = msgspec.msgpack.decode(value.value, type=Balance)
                 self.balances[key.removeprefix(prefix)] = balance
-        learned = await self.client.get(f"learned/{self.name}", within_s=WAIT_S)
+        learned = await self.client.get(f"learned/{self.name}", within_s=REQUEST_TIMEOUT_S)
         if learned is None:
             return
         with contextlib.suppress(msgspec.DecodeError):
@@ -162,7 +173,7 @@
             )
             # By the wall clock: where it stepped, latencies are learned anew or kept for longer.
             if time.time() * 1000 - at_ms <= self.storage.table.learned_s * 1000:
-                self.learned = pools
+                self.learned_latencies = pools
 
     # --- The copy on this host ----------------------------------------------------------------------------
     @property
@@ -174,23 +185,23 @@
             raw = self._copy.read_bytes()
             if zlib.crc32(raw[4:]) != int.from_bytes(raw[:4], "little"):
                 raise ValueError("it is damaged")
-            copy = msgspec.msgpack.decode(raw[4:], type=Copy)
+            copy = msgspec.msgpack.decode(raw[4:], type=SharedStateCopy)
         except (OSError, ValueError) as error:
             raise StartError(
                 f"the store does not answer, and {self._copy} can't be used: {error}; start its replicas"
             ) from None
-        self.held.load(copy.values, 0)
+        self.shared_state.load(copy.values, 0)
         self._copied_at = copy.saved_at
         self._tell(f"store: it does not answer; serving from a copy that is {self.age_s:.1f} s old")
 
     def _copy_soon(self) -> None:
         if self._copying is None:
-            self._copying = asyncio.get_running_loop().call_later(CACHE_S, self._write_copy)
+            self._copying = asyncio.get_running_loop().call_later(COPY_DELAY_S, self._write_copy)
 
     def _write_copy(self) -> None:
         self._copying = None
         at = timestamps.now()
-        copy = Copy(at.unix_ms, self.revision, self.held.values, at.boot_id, at.boot_s)
+        copy = SharedStateCopy(at.unix_ms, self.revision, self.shared_state.values, at.boot_id, at.boot_s)
         body = msgspec.msgpack.encode(copy)
         temporary = self._copy.with_suffix(".tmp")
         try:
@@ -215,7 +226,7 @@
 
     def _tell(self, text: str) -> None:
         now = time.monotonic()
-        if now - self._told >= TELL_S:
+        if now - self._told >= WARNING_INTERVAL_S:
             self._told = now
             log.warning("%s", text)
 
@@ -223,12 +234,12 @@
         self._tell(f"store: {error}; serving on from what is {self.age_s:.1f} s old, changes are refused")
 
     # --- While it runs ------------------------------------------------------------------------------------
-    def follow(self, changed: Callable[[Change], str], relay: RelayView) -> None:
+    def follow(self, changed: Callable[[Change], str], relay: StateToSave) -> None:
         """Follow the store from now on; `changed` takes up what came, and tells a problem or nothing."""
-        self._changed, self._relay, self._tells = changed, relay, True
+        self._changed, self._relay, self._saves_state = changed, relay, True
         self._run(self._follow())
         self._run(self._presence())
-        if self.member:
+        if self.own_member:
             self._run(self._look_round())
         if self.storage.table.balances_s:
             self._run(self._write_balances())
@@ -242,14 +253,14 @@
         while True:
             try:
                 if self._copied_at:
-                    self._take(await self._read(TELL_S))
-                async for events, revision in self.client.watch(PREFIX, self.revision + 1):
+                    self._take(await self._read(WARNING_INTERVAL_S))
+                async for events, revision in self.client.watch(SHARED_PREFIX, self.revision + 1):
                     told = ((e.revision, e.key, e.value.value if e.value else None) for e in events)
                     self.revision = max(self.revision, revision)
-                    self._take(self.held.take(told))
+                    self._take(self.shared_state.apply_events(told))
             except CompactedError:
                 with contextlib.suppress(UnavailableError):
-                    self._take(await self._read(TELL_S))
+                    self._take(await self._read(WARNING_INTERVAL_S))
             except UnavailableError as error:
                 self._tell_age(error)
 
@@ -272,92 +283,94 @@
             except StoreError as error:
                 if error.error != "lease":
                     self._tell(f"store: {error}")
-                    await asyncio.sleep(RENEW_S)
+                    await asyncio.sleep(RENEW_INTERVAL_S)
                 self._lease = self._long_lease = 0
                 self._told_own = None
-                self._relay.balances.forget()
+                self._relay.balances.forget_written()
                 continue
-            await asyncio.sleep(RENEW_S)
+            await asyncio.sleep(RENEW_INTERVAL_S)
 
     async def _renew(self) -> None:
         if self._long_lease:
-            await self.client.renew(self._long_lease, TELL_S / 2)
+            await self.client.renew(self._long_lease, WARNING_INTERVAL_S / 2)
         else:
-            self._long_lease = await self.client.grant(KEEP_MS, TELL_S / 2)
+            self._long_lease = await self.client.grant(BALANCE_LEASE_MS, WARNING_INTERVAL_S / 2)
         if self._lease:
-            await self.client.renew(self._lease, TELL_S / 2)
+            await self.client.renew(self._lease, WARNING_INTERVAL_S / 2)
         else:
-            self._lease = await self.client.grant(LEASE_MS, TELL_S / 2)
+            self._lease = await self.client.grant(PRESENCE_LEASE_MS, WARNING_INTERVAL_S / 2)
         told = self.revision, self._problem
         if told != self._told_own:
             own: dict[str, Any] = {
                 "revision": self.revision, "problem": self._problem, "since_ms": int(time.time() * 1000)
             }  # fmt: skip
-            if self.member:
-                own["fleet"] = self.member
+            if self.own_member:
+                own["fleet"] = self.own_member
             value = json.dumps(own).encode()
-            await self.client.put(f"{OWN}{self.name}", value, self._lease, TELL_S / 2)
+            await self.client.put(f"{LIMITER_PREFIX}{self.name}", value, self._lease, WARNING_INTERVAL_S / 2)
             self._told_own = told
 
-    async def members(self, within_s: float = WAIT_S) -> list[Member]:
+    async def members(self, within_s: float = REQUEST_TIMEOUT_S) -> list[Member]:
         """Other limiters' places in this one's fleet, as the asked replica has them; UnavailableError."""
-        values, _ = await self.client.range(OWN, local=True, within_s=within_s)
+        values, _ = await self.client.range(LIMITER_PREFIX, local=True, within_s=within_s)
         found = []
         for value in values.values():
             with contextlib.suppress(msgspec.DecodeError):
-                if told := msgspec.json.decode(value.value, type=Present).fleet:
+                if told := msgspec.json.decode(value.value, type=LimiterPresence).fleet:
                     found.append(told)
         return [
-            one for one in found if self.member and one[:2] != self.member[:2] and one[0] == self.member[0]
+            one
+            for one in found
+            if self.own_member and one[:2] != self.own_member[:2] and one[0] == self.own_member[0]
         ]
 
     async def _look_round(self) -> None:
         """Tell where other limiters are: soon after a start, as all may have started at once, then rarely."""
-        wait = LOOK_S[0]
+        wait = MEMBERS_POLL_S[0]
         while True:
             await asyncio.sleep(wait)
-            wait = min(LOOK_S[1], wait * 2)
+            wait = min(MEMBERS_POLL_S[1], wait * 2)
             with contextlib.suppress(StoreError):
-                self.found(await self.members())
+                self.members_found(await self.members())
 
     async def _write_balances(self) -> None:
         written_at = -math.inf
         while True:
             await asyncio.sleep(self.storage.table.balances_s)
-            if not (self._long_lease and self._tells):
+            if not (self._long_lease and self._saves_state):
                 continue
             try:
                 await self._put_balances(self._relay.due_balances(final=False))
-                if time.monotonic() - written_at >= LEARNED_S:
+                if time.monotonic() - written_at >= LATENCIES_INTERVAL_S:
                     written_at = time.monotonic()
                     await self._put_learned()
             except StoreError:
-                self._relay.balances.forget()  # the presence tells of it
+                self._relay.balances.forget_written()  # the presence tells of it
 
     async def _put_balances(self, due: dict[str, Balance]) -> None:
         ops = [
             Put(f"balance/{self.name}/{account}", msgspec.msgpack.encode(balance), self._long_lease)
             for account, balance in due.items()
         ]
-        for at in range(0, len(ops), BUDGET):
-            await self.client.txn(ops[at : at + BUDGET], within_s=STOP_S)
+        for at in range(0, len(ops), MAX_BALANCES_PER_WRITE):
+            await self.client.txn(ops[at : at + MAX_BALANCES_PER_WRITE], within_s=STOP_TIMEOUT_S)
 
     async def _put_learned(self) -> None:
-        if pools := self._relay.learned():
+        if pools := self._relay.learned_latencies():
             value = msgspec.msgpack.encode((time.time() * 1000, pools))
-            await self.client.put(f"learned/{self.name}", value, self._long_lease, STOP_S)
+            await self.client.put(f"learned/{self.name}", value, self._long_lease, STOP_TIMEOUT_S)
 
     # --- Two processes of one limiter ---------------------------------------------------------------------
-    def pass_on(self) -> StoreSnapshot:
+    def hand_over(self) -> StoreSnapshot:
         """What is held, for the process that goes on; what the next life needs is that one's to write."""
-        self._tells = False
-        return StoreSnapshot(self.revision, self.held.values)
+        self._saves_state = False
+        return StoreSnapshot(self.revision, self.shared_state.values)
 
-    def goes_on(self, shared: StoreSnapshot) -> bool:
+    def adopt_newer_state(self, shared: StoreSnapshot) -> bool:
         """Take up what an older process held last, where that is newer; whether it was."""
         if shared.revision <= self.revision:
             return False
-        self.held.load(shared.values, shared.revision)
+        self.shared_state.load(shared.values, shared.revision)
         self.revision = shared.revision
         return True
 
@@ -366,14 +379,16 @@
     def _sign(self) -> Path:
         return self.storage.folder / f"alive-{self.name}"
 
-    def sign(self) -> None:
+    def record_alive(self) -> None:
         """Note that this life is not over; to be called more often than each second."""
         with contextlib.suppress(OSError):
-            self._sign.write_bytes(msgspec.json.encode(SignOfLife(timestamps.boot_id(), timestamps.boot_s())))
+            self._sign.write_bytes(
+                msgspec.json.encode(AliveRecord(timestamps.boot_id(), timestamps.boot_s()))
+            )
 
-    def _last_sign(self) -> SignOfLife | None:
+    def _last_sign(self) -> AliveRecord | None:
         try:
-            return msgspec.json.decode(self._sign.read_bytes(), type=SignOfLife)
+            return msgspec.json.decode(self._sign.read_bytes(), type=AliveRecord)
         except (OSError, msgspec.DecodeError):
             return None
 
@@ -383,7 +398,7 @@
         wait = 0.1
         while True:
             began = time.monotonic()
-            self._child = await asyncio.create_subprocess_exec(
+            self._replica_process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 "basaltpoint",
@@ -394,7 +409,7 @@
                 stdin=asyncio.subprocess.PIPE,
                 start_new_session=True,  # an interrupt from the terminal is the limiter's alone
             )
-            code = await self._child.wait()
+            code = await self._replica_process.wait()
             wait = 0.1 if time.monotonic() - began > 10 else min(5.0, wait * 2)
             log.error("store: the replica has ended with code %s; it is started again in %.1f s", code, wait)
             await asyncio.sleep(wait)
@@ -404,33 +419,33 @@
         tasks, self._tasks = self._tasks, []
         for task in tasks:
             task.cancel()
-        if self._tells and self.storage.table.balances_s:
+        if self._saves_state and self.storage.table.balances_s:
             with contextlib.suppress(StoreError, TimeoutError):
-                async with asyncio.timeout(STOP_S):
+                async with asyncio.timeout(STOP_TIMEOUT_S):
                     if not self._long_lease:
-                        self._long_lease = await self.client.grant(KEEP_MS, STOP_S)
+                        self._long_lease = await self.client.grant(BALANCE_LEASE_MS, STOP_TIMEOUT_S)
                     await self._put_balances(self._relay.due_balances(final=True))
                     await self._put_learned()
         if self._copying:
             self._copying.cancel()
             self._write_copy()
         self.client.close()
-        if self._child and self._child.returncode is None:
-            self._child.terminate()
+        if self._replica_process and self._replica_process.returncode is None:
+            self._replica_process.terminate()
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(STOP_S):
-                    await self._child.wait()
+                async with asyncio.timeout(STOP_TIMEOUT_S):
+                    await self._replica_process.wait()
 
 
-class RelayView:
+class StateToSave:
     """What the keeper asks of the limiter."""
 
-    balances: Balances
+    balances: BalanceWriteQueue
 
     def due_balances(self, final: bool) -> dict[str, Balance]:
         raise NotImplementedError
 
-    def learned(self) -> dict[str, tuple[tuple[float, ...], float]]:
+    def learned_latencies(self) -> dict[str, tuple[tuple[float, ...], float]]:
         raise NotImplementedError
 
 
--- a/basaltpoint/daemon/upgrade.py
+++ b/basaltpoint/daemon/upgrade.py
@@ -25,8 +25,10 @@
 
 log = logging.getLogger("basaltpoint")
 
-FLUSH_S = 3.0  # for the document to be read by a process that is starting; then its connections go as ever
-LOOK_S = 0.005
+FLUSH_TIMEOUT_S = (
+    3.0  # for the document to be read by a process that is starting; then its connections go as ever
+)
+POLL_INTERVAL_S = 0.005
 
 
 class Predecessor(Protocol):
@@ -65,11 +67,11 @@
         self._older = HandoverLink(sock, _Older(self))
         return True
 
-    async def wait(self) -> UpgradeState | None:
+    async def wait_for_state(self) -> UpgradeState | None:
         """What the older one leaves once it is told to end; None where it ended without a word."""
         return await self._told
 
-    def came(self, text: bytes) -> None:
+    def state_received(self, text: bytes) -> None:
         """The older one's last word."""
         if self._told.done():
             return
@@ -79,19 +81,19 @@
             log.warning("the older process's state is not taken over: %s", error)
             self._told.set_result(None)
 
-    def passed(self, sock: socket.socket) -> None:
+    def socket_received(self, sock: socket.socket) -> None:
         if sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
             self.listeners.append(sock)
         else:
             self.adopt(sock)
 
-    def alone(self) -> None:
+    def predecessor_disconnected(self) -> None:
         """The older one has gone."""
         if self._older and not self._told.done():
             log.warning("the older process ended without a last word; its place is taken as after a kill")
             self._told.set_result(None)
 
-    def serving(self, adopt: Callable[[socket.socket], None]) -> None:
+    def start_serving(self, adopt: Callable[[socket.socket], None]) -> None:
         """From now on this process serves: the next one may knock."""
         self.adopt = adopt
         while self._early:
@@ -105,11 +107,11 @@
     def _successor_came(self, sock: socket.socket) -> None:
         if self._successor:
             self._successor.close()
-        self._successor = HandoverLink(sock, SuccessorHandler(self.successor_gone))
+        self._successor = HandoverLink(sock, SuccessorHandler(self.successor_disconnected))
         self._successor.send_document(upgrade_state.encode(Hello(upgrade_state.VERSION, self._name)))
         log.info("a newer process is there; it takes over when this one is told to end")
 
-    def successor_gone(self) -> None:
+    def successor_disconnected(self) -> None:
         self._successor = None
         if self._listener:
             log.warning("the newer process ended")
@@ -120,9 +122,9 @@
             return None
         told = predecessor.hand_state_over(successor.send_connection)
         successor.send_document(upgrade_state.encode(told))
-        end = time.monotonic() + FLUSH_S
+        end = time.monotonic() + FLUSH_TIMEOUT_S
         while not successor.is_flushed and time.monotonic() < end:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return successor.send_connection
 
     def close(self) -> None:
@@ -144,13 +146,13 @@
         self._upgrade = upgrade
 
     def document_received(self, document: bytes) -> None:
-        self._upgrade.came(document)
+        self._upgrade.state_received(document)
 
     def connection_received(self, sock: socket.socket) -> None:
-        self._upgrade.passed(sock)
+        self._upgrade.socket_received(sock)
 
     def request_completed(self, name: bytes) -> None:
         pass
 
     def link_closed(self) -> None:
-        self._upgrade.alone()
+        self._upgrade.predecessor_disconnected()
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -134,7 +134,7 @@
     "fronts/platform/listed_servers.py": 1,  # the same
     "daemon/fleet.py": 1,  # an incarnation's first guess; the others' views raise it
     "daemon/store_follower.py": 3,  # the age of learned latencies; told to people: since when it is in use
-    "daemon/document.py": 1,  # told to people: since when a server drains
+    "daemon/document_command.py": 1,  # told to people: since when a server drains
     "system/timestamps.py": 1,  # beside the time since the boot
 }
 TOOLS = ("rehearsal", "load", "standins", "importers", "verify", "sim")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -25,7 +25,7 @@
 
 from basaltpoint.cli import main
 from basaltpoint.config import fleets
-from basaltpoint.daemon.fleet_look import look
+from basaltpoint.daemon.fleet_query import query_view
 from basaltpoint.links.frames import LENGTH_PREFIX, PROTOCOL_VERSION, Greeting, encode_frame
 from basaltpoint.peers.messages import Gossip
 from basaltpoint.rehearsal.faults import Fault, Kind
@@ -86,7 +86,9 @@
             await made.begin(cut)
 
             async def is_reported() -> bool:
-                looked = await look(fleets.load(made.members["l4"].file), "l4", made.members["l4"].advertise)
+                looked = await query_view(
+                    fleets.load(made.members["l4"].file), "l4", made.members["l4"].advertise
+                )
                 return any(
                     name.strip(">") == "l2"
                     for s in looked.members
--- a/tests/test_moments_ends.py
+++ b/tests/test_moments_ends.py
@@ -398,8 +398,8 @@
 EARLY = """
 import os, runpy, signal, sys
 from basaltpoint.daemon import signals
-hold = signals.hold
-signals.hold = lambda: (hold(), os.kill(os.getpid(), signal.{name}))
+record_signals = signals.record_signals
+signals.record_signals = lambda: (record_signals(), os.kill(os.getpid(), signal.{name}))
 sys.argv = ["basaltpoint"]
 runpy.run_module("basaltpoint", run_name="__main__")
 """
--- a/tests/test_store_daemon.py
+++ b/tests/test_store_daemon.py
@@ -20,15 +20,21 @@
 
 from basaltpoint.config.decode import FileError, load_toml
 from basaltpoint.daemon import store_follower as keepers
-from basaltpoint.daemon.balances import Balance, Balances, SignOfLife, down, recall
+from basaltpoint.daemon.balances import (
+    AliveRecord,
+    Balance,
+    BalanceWriteQueue,
+    min_downtime_s,
+    restore_balance,
+)
 from basaltpoint.daemon.shared_state import (
-    DOCUMENT,
-    DRAIN,
-    SERVER,
+    DOCUMENT_KEY,
+    DRAIN_PREFIX,
+    SERVER_PREFIX,
     Change,
     SharedState,
     check_document,
-    check_local,
+    check_local_file,
     limiter_name,
 )
 from basaltpoint.daemon.standalone import Standalone
@@ -63,9 +69,9 @@
         await made.start()
         yield StandaloneFixture(made, path)
     finally:
-        keeper = made.keeper
+        keeper = made.store_follower
         if not end and keeper:
-            keeper._tells = False  # nothing is written any more
+            keeper._saves_state = False  # nothing is written any more
         await made.close()
 
 
@@ -90,8 +96,8 @@
 
 
 def store_of(rig: StandaloneFixture) -> Client:
-    assert rig.limiter.keeper
-    return setting.client(rig.limiter.keeper.storage)
+    assert rig.limiter.store_follower
+    return setting.client(rig.limiter.store_follower.storage)
 
 
 # --- One node ------------------------------------------------------------------------------------------
@@ -103,7 +109,7 @@
             async with limiter(path, text) as rig:
                 store = store_of(rig)
                 assert await ask(rig) == [200]
-                await store.put(DRAIN + "s0", b"{}")
+                await store.put(DRAIN_PREFIX + "s0", b"{}")
                 await until(lambda: any(spec.drain for spec in rig.limiter.setup.servers))
                 one.requests.clear()
                 assert await ask(rig, 10) == [200] * 10 and not one.requests
@@ -113,7 +119,7 @@
             async with limiter(path) as rig:
                 assert await ask(rig, 10) == [200] * 10 and not one.requests
                 store = store_of(rig)
-                await store.delete(DRAIN + "s0")
+                await store.delete(DRAIN_PREFIX + "s0")
                 await until(lambda: not any(spec.drain for spec in rig.limiter.setup.servers))
                 await ask(rig, 20)
                 assert one.requests
@@ -157,14 +163,14 @@
     async def test() -> None:
         async with backend(good) as server:
             async with limiter(tmp_path / "l.toml", config(server.address, extra=ALONE)) as rig:
-                keeper = rig.limiter.keeper
-                assert keeper and keeper._child
-                before = keeper._child
+                keeper = rig.limiter.store_follower
+                assert keeper and keeper._replica_process
+                before = keeper._replica_process
                 before.kill()
                 assert await ask(rig, 5) == [200] * 5
-                await until(lambda: keeper._child is not before)
+                await until(lambda: keeper._replica_process is not before)
                 store = store_of(rig)
-                await store.put(DRAIN + "s0", b"{}", within_s=PATIENCE_S)
+                await store.put(DRAIN_PREFIX + "s0", b"{}", within_s=PATIENCE_S)
                 await until(lambda: rig.limiter.setup.servers[0].drain)
                 store.close()
 
@@ -178,8 +184,8 @@
             text = config(one.address, other.address, extra=ALONE)
             async with limiter(tmp_path / "l.toml", text) as rig:
                 store = store_of(rig)
-                await store.put(DOCUMENT, text.replace('pool = "main"', 'pool = "mian"').encode())
-                await store.put(DRAIN + "s0", b"{}")
+                await store.put(DOCUMENT_KEY, text.replace('pool = "main"', 'pool = "mian"').encode())
+                await store.put(DRAIN_PREFIX + "s0", b"{}")
                 await until(lambda: any(spec.drain for spec in rig.limiter.setup.servers))
                 one.requests.clear()
                 assert await ask(rig, 10) == [200] * 10 and not one.requests
@@ -192,7 +198,7 @@
                     while not await told():
                         await asyncio.sleep(0.05)
                 assert 'found "mian", which is no pool' in await told()
-                await store.put(DOCUMENT, text.encode())
+                await store.put(DOCUMENT_KEY, text.encode())
                 async with asyncio.timeout(PATIENCE_S):
                     while await told():
                         await asyncio.sleep(0.05)
@@ -207,14 +213,14 @@
             async with limiter(tmp_path / "l.toml", config(one.address, extra=ALONE)) as rig:
                 store = store_of(rig)
                 entry = json.dumps({"address": other.address, "pools": ["main"]}).encode()
-                await store.put(SERVER + "new", entry)
+                await store.put(SERVER_PREFIX + "new", entry)
                 await until(lambda: len(rig.limiter.setup.servers) == 2)
                 await ask(rig, 20)
                 assert other.requests
-                await store.put(SERVER + "bad", b"{]")  # holds nothing up that is good already
+                await store.put(SERVER_PREFIX + "bad", b"{]")  # holds nothing up that is good already
                 await asyncio.sleep(0)
                 assert await ask(rig, 5) == [200] * 5 and len(rig.limiter.setup.servers) == 2
-                await store.delete(SERVER, prefix=True)
+                await store.delete(SERVER_PREFIX, prefix=True)
                 await until(lambda: len(rig.limiter.setup.servers) == 1)
                 store.close()
 
@@ -223,12 +229,14 @@
 
 def test_what_comes_late_or_twice_changes_nothing() -> None:
     held = SharedState()
-    assert held.load({DRAIN + "a": b"1"}, 5) == Change(False, True)
-    assert held.take([(4, DRAIN + "a", None)]) == Change(False, False) and held.drains == {"a"}
-    assert held.take([(6, DRAIN + "a", None)]) == Change(False, True)
-    assert held.take([(5, DRAIN + "a", b"1"), (6, DRAIN + "a", b"1")]) == Change(False, False)
-    assert held.take([(7, SERVER + "x", b"{}")]) == Change(True, False)
-    assert held.load({SERVER + "x": b"{}"}, 9) == Change(False, False)
+    assert held.load({DRAIN_PREFIX + "a": b"1"}, 5) == Change(False, True)
+    assert held.apply_events([(4, DRAIN_PREFIX + "a", None)]) == Change(False, False) and held.drains == {"a"}
+    assert held.apply_events([(6, DRAIN_PREFIX + "a", None)]) == Change(False, True)
+    assert held.apply_events([(5, DRAIN_PREFIX + "a", b"1"), (6, DRAIN_PREFIX + "a", b"1")]) == Change(
+        False, False
+    )
+    assert held.apply_events([(7, SERVER_PREFIX + "x", b"{}")]) == Change(True, False)
+    assert held.load({SERVER_PREFIX + "x": b"{}"}, 9) == Change(False, False)
 
 
 def test_a_document_is_checked_before_it_is_pushed(tmp_path: Path) -> None:
@@ -252,7 +260,7 @@
             client = made.client(*(name for name in made.names if name != dead))
             starting = limiter(tmp_path / "b.toml", text)
             entering = asyncio.create_task(starting.__aenter__())
-            await client.put(DRAIN + "s0", b"{}", within_s=PATIENCE_S)
+            await client.put(DRAIN_PREFIX + "s0", b"{}", within_s=PATIENCE_S)
             made.start(dead)
             rig = await entering
             await until(lambda: any(spec.drain for spec in rig.limiter.setup.servers))
@@ -271,14 +279,14 @@
 def test_without_a_quorum_it_serves_on_tells_the_age_and_refuses_changes(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(keepers, "TELL_S", 1.0)
+    monkeypatch.setattr(keepers, "WARNING_INTERVAL_S", 1.0)
     caplog.set_level(logging.INFO)
 
     async def test(made: Cluster) -> None:
         async with two() as (one, other):
             text = config(one.address, other.address, extra=member(made))
             async with limiter(tmp_path / "l.toml", text) as rig:
-                keeper = rig.limiter.keeper
+                keeper = rig.limiter.store_follower
                 assert keeper
                 left = made.names[-1]
                 for name in made.names[:-1]:
@@ -288,12 +296,12 @@
                 assert await ask(rig, 10) == [200] * 10
                 client = made.client(left)
                 with pytest.raises(UnavailableError):
-                    await client.put(DRAIN + "s0", b"{}", within_s=1.0)
+                    await client.put(DRAIN_PREFIX + "s0", b"{}", within_s=1.0)
                 client.close()
                 made.start(*made.names[:-1])
                 await until(lambda: "it answers again" in caplog.text)
                 client = made.client()
-                await client.put(DRAIN + "s0", b"{}", within_s=PATIENCE_S)
+                await client.put(DRAIN_PREFIX + "s0", b"{}", within_s=PATIENCE_S)
                 await until(lambda: any(spec.drain for spec in rig.limiter.setup.servers))
                 client.close()
 
@@ -312,7 +320,7 @@
             async with limiter(path, text):
                 pass
             client = made.client()
-            await client.put(DRAIN + "s0", b"{}")  # while it is down
+            await client.put(DRAIN_PREFIX + "s0", b"{}")  # while it is down
             client.close()
             made.stop()
             async with limiter(path) as rig:
@@ -342,7 +350,7 @@
             assert not entering.done()
             made.start()
             client = made.client()
-            await client.put(DRAIN + "s0", b"{}", within_s=PATIENCE_S)
+            await client.put(DRAIN_PREFIX + "s0", b"{}", within_s=PATIENCE_S)
             rig = await entering
             await until(lambda: any(spec.drain for spec in rig.limiter.setup.servers))
             assert await ask(rig) == [200]
@@ -386,7 +394,7 @@
                     await client.put(f"own/{turn}.{at}", b"x", within_s=PATIENCE_S)
                     acknowledged[f"own/{turn}.{at}"] = b"x"
                 if not told:
-                    await client.put(DRAIN + "s0", b"{}", within_s=PATIENCE_S)
+                    await client.put(DRAIN_PREFIX + "s0", b"{}", within_s=PATIENCE_S)
                     await until(lambda: any(spec.drain for spec in rig.limiter.setup.servers))
                     told["s0"] = time.monotonic()
                 made.start(name)
@@ -454,25 +462,25 @@
 
 def test_after_an_orderly_end_a_ceiling_goes_on_from_what_was_left() -> None:
     held = Balance(20, 30, 1_000, final=True)
-    told = recall(7, PLAN, held, Timestamp(3_000), down_s=1.5)
+    told = restore_balance(7, PLAN, held, Timestamp(3_000), down_s=1.5)
     assert (told.customer, told.units_left, told.ceiling_units_left) == (7, 40, 37.5)
-    told = recall(7, PLAN, held, Timestamp(1e9), 1e6)
+    told = restore_balance(7, PLAN, held, Timestamp(1e9), 1e6)
     assert told.ceiling_units_left == 50 and told.units_left == 100
 
 
 def test_after_a_kill_a_ceiling_holds_what_has_filled_since_the_last_sign_of_life() -> None:
     held = Balance(20, 30, 1_000, final=False)
-    assert recall(7, PLAN, held, Timestamp(9_000), down_s=2).ceiling_units_left == 10
-    assert recall(7, PLAN, held, Timestamp(9_000), down_s=0).ceiling_units_left == 0
+    assert restore_balance(7, PLAN, held, Timestamp(9_000), down_s=2).ceiling_units_left == 10
+    assert restore_balance(7, PLAN, held, Timestamp(9_000), down_s=0).ceiling_units_left == 0
 
 
 @pytest.mark.parametrize("step_ms", [-3_600_000, -5_000, 5_000, 3_600_000])
 def test_a_stepped_wall_clock_fills_no_quota(step_ms: float) -> None:
     """Two seconds have passed, whatever the wall clock says; on another boot there is nothing else."""
     held = Balance(20, 30, 10_000_000, False, "boot", 500.0)
-    now_ms = held.at_ms + 2_000 + step_ms
-    assert recall(7, PLAN, held, Timestamp(now_ms, "boot", 502.0), 0).units_left == 40
-    assert recall(7, PLAN, held, Timestamp(now_ms, "next", 502.0), 0).units_left == (
+    now_ms = held.saved_ms + 2_000 + step_ms
+    assert restore_balance(7, PLAN, held, Timestamp(now_ms, "boot", 502.0), 0).units_left == 40
+    assert restore_balance(7, PLAN, held, Timestamp(now_ms, "next", 502.0), 0).units_left == (
         20 if step_ms < 0 else min(100, 40 + step_ms / 100)
     )
 
@@ -485,27 +493,27 @@
 
 
 def test_how_long_a_life_is_over_is_never_told_too_long() -> None:
-    assert down(None, "b", 100) == 0
-    assert down(SignOfLife("b", 90.0), "b", 100) == 9
-    assert down(SignOfLife("b", 99.9), "b", 100) == 0
-    assert down(SignOfLife("old boot", 5e6), "b", 100) == 99
-    assert down(SignOfLife("b", 200.0), "b", 100) == 0
+    assert min_downtime_s(None, "b", 100) == 0
+    assert min_downtime_s(AliveRecord("b", 90.0), "b", 100) == 9
+    assert min_downtime_s(AliveRecord("b", 99.9), "b", 100) == 0
+    assert min_downtime_s(AliveRecord("old boot", 5e6), "b", 100) == 99
+    assert min_downtime_s(AliveRecord("b", 200.0), "b", 100) == 0
 
 
 def test_balances_are_written_when_they_have_moved_and_so_many_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("basaltpoint.daemon.balances.BUDGET", 2)
-    balances = Balances()
+    monkeypatch.setattr("basaltpoint.daemon.balances.MAX_BALANCES_PER_WRITE", 2)
+    balances = BalanceWriteQueue()
     standings = {at: QuotaStatus(1, 100, 50, 0) for at in range(5)}
-    assert list(balances.due(range(5), standings.get)) == [0, 1]
-    assert list(balances.waiting) == [2, 3, 4]
-    assert list(balances.due([0], standings.get)) == [2, 3]  # those that wait go first
-    assert list(balances.due([], standings.get)) == [4]  # and 0 has not moved
+    assert list(balances.take_due(range(5), standings.get)) == [0, 1]
+    assert list(balances.pending) == [2, 3, 4]
+    assert list(balances.take_due([0], standings.get)) == [2, 3]  # those that wait go first
+    assert list(balances.take_due([], standings.get)) == [4]  # and 0 has not moved
     standings[0] = QuotaStatus(1, 100, 45, 0)
-    assert list(balances.due([0], standings.get)) == []
+    assert list(balances.take_due([0], standings.get)) == []
     standings[0] = QuotaStatus(1, 100, 39, 0)
-    assert list(balances.due([0], standings.get)) == [0]
+    assert list(balances.take_due([0], standings.get)) == [0]
 
 
 def test_learned_latencies_are_taken_up_unless_they_are_old(tmp_path: Path) -> None:
@@ -544,10 +552,10 @@
 def test_a_file_whose_shared_tables_the_store_holds_is_checked_for_the_rest(tmp_path: Path) -> None:
     path = tmp_path / "l.toml"
     path.write_text('listen = "127.0.0.1:0"\n[store]\n')
-    check_local(path)
+    check_local_file(path)
     path.write_text('[limits]\nsockets = 1\n[clients]\nidel_s = 1\n[store]\nname = ""\n')
     with pytest.raises(FileError) as error:
-        check_local(path)
+        check_local_file(path)
     for text in (
         "limits.sockets: found 1",
         'did you mean "idle_s"?',
