--- a/basaltpoint/daemon/standalone.py
+++ b/basaltpoint/daemon/standalone.py
@@ -234,7 +234,7 @@
     def take_up(self, setup: Setup) -> None:
         """Go over to another configuration at once."""
         self.setup = setup
-        self.relay.update_configuration(self._own(setup))
+        self.relay.apply_settings(self._own(setup))
 
     def _own(self, setup: Setup) -> Setup:
         """This limiter's part of it."""
--- a/basaltpoint/fronts/http/__init__.py
+++ b/basaltpoint/fronts/http/__init__.py
@@ -1,1 +1,1 @@
-"""The ordinary way in: any HTTP/1.1 request, matched by routes, answers streamed through."""
+"""The HTTP front: routes any HTTP/1.1 request to a pool and streams the server's response to the client."""
--- a/basaltpoint/fronts/http/connection.py
+++ b/basaltpoint/fronts/http/connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: requests read one after the other, answers written piece by piece."""
+"""A client's HTTP/1.1 connection: reads requests one after the other and writes responses in pieces."""
 
 from __future__ import annotations
 
@@ -21,88 +21,90 @@
 
 log = logging.getLogger(__name__)
 
-LINGER_TIMEOUT_S = 1.0  # how long a refused sender may go on before its connection is cut
-MAX_PIPELINED = 1  # requests read ahead; once there is one, reading pauses until its turn
+LINGER_TIMEOUT_S = 1.0  # how long a client may go on sending a rejected body before the connection is aborted
+MAX_PIPELINED = 1  # requests read ahead; reading pauses until the first of them is handled
 ZERO_LINGER = struct.pack("ii", 1, 0)
 
 
 class RequestHandler(Protocol):
-    """A request on its way, as its connection sees it."""
+    """Handles one request; its connection reports these events."""
 
     def body_received(self, piece: bytes) -> None:
-        """More of the body."""
+        """Part of the body was received."""
 
     def body_completed(self, trailers: Headers) -> None:
-        """The body is whole."""
+        """The body is complete."""
 
     def client_disconnected(self) -> None:
-        """The client has hung up, or was cut off."""
+        """The client has disconnected, or the connection was reset."""
 
     def client_writable(self, ready: bool) -> None:
-        """Whether the client takes more of the answer now."""
+        """Whether the client's connection accepts more of the response at present."""
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the front it belongs to."""
+    """The front that owns the client connections."""
 
     max_head_bytes: int
     buffer_bytes: int
     is_closing: bool
 
     def admit(self, connection: ClientConnection, request: Request) -> RequestHandler:
-        """Take a request on; BadRequestError where it is answered at once."""
+        """Accepts a request; raises BadRequestError if it is answered with an error at once."""
 
     def connection_opened(self, connection: ClientConnection) -> None: ...
     def connection_closed(self, connection: ClientConnection) -> None: ...
 
 
 class _QueuedRequest:
-    """One request of the connection, from its head on."""
+    """A request of the connection whose head has been received."""
 
-    __slots__ = ("error", "keep", "passage", "pieces", "request", "trailers", "whole")
+    __slots__ = ("error", "handler", "is_complete", "keep_alive", "pieces", "request", "trailers")
 
     def __init__(self, request: Request | None, error: BadRequestError | None) -> None:
         self.request = request
         self.error = error
-        self.pieces: list[bytes] = []  # of the body, before its turn has come
+        self.pieces: list[bytes] = []  # parts of the body received before the request is handled
         self.trailers: Headers = []
-        self.whole = False
-        self.keep = False  # the connection may be used again behind it
-        self.passage: RequestHandler | None = None
+        self.is_complete = False
+        self.keep_alive = False  # the connection can be reused after this request
+        self.handler: RequestHandler | None = None
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection; the first of its requests has its turn, further ones wait."""
+    """A client connection. The first request in its queue is being handled, further ones wait."""
 
     def __init__(self, owner: ConnectionOwner, sock: socket.socket) -> None:
         self._owner = owner
-        self._sock = sock  # to look at what has not been read
+        self._sock = sock  # to check for data that has not been read
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
         self._queue: deque[_QueuedRequest] = deque()
-        self._receiving: _QueuedRequest | None = None  # its body is still coming
+        self._receiving: _QueuedRequest | None = None  # the request whose body is incomplete
         self._url = b""
         self._headers: Headers = []
-        self._head_bytes_read = 0  # of a head that is coming in, as read
-        self._head_bytes_parsed = 0  # and as told by the parser
+        self._head_bytes_read = 0  # of an incomplete head, in whole reads
+        self._head_bytes_parsed = 0  # the same as reported by the parser
         self._head_complete = True
-        self._input_closed = False  # nothing further is read from it
+        self._input_closed = False  # all further data of the client is ignored
         self._read_paused = False
         self._upload_paused = False
-        self._parsing = False  # bytes are being parsed
-        self._chunked = False  # the answer under way is
-        self._close_after_response = False  # the connection ends behind it
+        self._parsing = False
+        self._chunked = False  # the current response uses chunked transfer coding
+        self._close_after_response = False
         self._response_started = False
         self._connected_at = monotonic()
-        self._has_responded = False  # an answer has gone out whole
+        self._has_responded = False  # at least one final response has been sent completely
         self.peer = ""
-        self.head_started_at: float | None = None  # since when a head is coming in
-        self.last_activity_at = monotonic()  # when the client last sent or took something
-        self.write_blocked_at: float | None = None  # since when it does not read its answer
+        self.head_started_at: float | None = None  # monotonic seconds; None while no head is incomplete
+        self.last_activity_at = monotonic()  # when the client last sent or accepted data, seconds
+        self.write_blocked_at: float | None = (
+            None  # since when the client does not read its response, seconds
+        )
 
     # --- Connection ------------------------------------------------------------------------------
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's own is no subclass of it
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass of it
         self._transport.set_write_buffer_limits(high=self._owner.buffer_bytes)
         peer = transport.get_extra_info("peername")
         self.peer = str(peer[0]) if peer else ""
@@ -110,44 +112,44 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._input_closed = True
-        del self._parser  # it holds this object, too: together they would wait for the collector
+        del self._parser  # breaks a reference cycle that only the garbage collector would free
         self._owner.connection_closed(self)
         queue, self._queue = self._queue, deque()
         for inbound in queue:
-            if inbound.passage:
-                inbound.passage.client_disconnected()
+            if inbound.handler:
+                inbound.handler.client_disconnected()
 
     @property
     def is_idle(self) -> bool:
-        """Whether it is between requests."""
+        """Whether no request is being received or handled."""
         return not self._queue and self.head_started_at is None
 
     def expects_first_request(self, since: float) -> bool:
-        """Whether a first request may be on its way on a connection that was made after `since`."""
+        """Whether a first request may be on its way, on a connection that was opened after `since`."""
         return self.is_idle and not self._has_responded and self._connected_at > since
 
     def can_close(self, since: float) -> bool:
-        """Whether no request is lost by its end: none is due, and none lies in the socket."""
+        """Whether closing loses no request: none is expected, and the socket holds no unread data."""
         return self.is_idle and not self.expects_first_request(since) and look(self._sock) is not Unread.BYTES
 
     @property
     def awaits_body(self) -> bool:
-        """Whether a body is due from the client, and nothing here holds it back."""
+        """Whether the client has yet to send a body and reading is not paused."""
         return self._receiving is not None and not self._read_paused and not self._input_closed
 
     def pause_writing(self) -> None:
         self.write_blocked_at = monotonic()
-        if self._queue and self._queue[0].passage:
-            self._queue[0].passage.client_writable(False)
+        if self._queue and self._queue[0].handler:
+            self._queue[0].handler.client_writable(False)
 
     def resume_writing(self) -> None:
         self.write_blocked_at = None
         self.last_activity_at = monotonic()
-        if self._queue and self._queue[0].passage:
-            self._queue[0].passage.client_writable(True)
+        if self._queue and self._queue[0].handler:
+            self._queue[0].handler.client_writable(True)
 
     def pause_upload(self, is_paused: bool) -> None:
-        """Stop reading the body while what was read of it has nowhere to go."""
+        """Pauses or resumes reading the body, depending on whether its data can be passed to the server."""
         self._upload_paused = is_paused
         self._update_reading()
 
@@ -162,13 +164,13 @@
                 self._transport.resume_reading()
 
     def close(self) -> None:
-        """Close between requests."""
+        """Closes the connection between two requests."""
         self._input_closed = True
         if self._transport:
             self._transport.close()
 
     def hand_over(self, send: Callable[[int], bool]) -> bool:
-        """Give the connection, between two requests, to another process; False where that can't be now."""
+        """Hands the idle connection over to another process; returns False if that is impossible now."""
         transport = self._transport
         if (
             transport is None
@@ -180,14 +182,14 @@
             return False
         if transport.get_write_buffer_size() or not send(transport.get_extra_info("socket").fileno()):
             return False
-        # In the same turn, so that nothing is read here that the other needs. The connection lives on in its
-        # descriptor.
+        # Aborts at once, so that no data is read here that the other process needs. The connection stays open
+        # through the descriptor that was sent.
         self._input_closed = True
         transport.abort()
         return True
 
     def reset(self) -> None:
-        """End at once, so that an answer that has begun is seen to be broken off, however it is framed."""
+        """Resets the connection, so that a truncated response is detected whatever its framing."""
         self._input_closed = True
         if self._transport and not self._transport.is_closing():
             sock = self._transport.get_extra_info("socket")
@@ -201,7 +203,7 @@
             return
         self.last_activity_at = monotonic()
         self._parsing = True
-        # In pieces, so that a head's size is known to one piece however much is read at once.
+        # Parses in pieces of limited size, so that the size of a head is known to within one piece.
         limit = self._owner.max_head_bytes
         for start in range(0, len(data), limit):
             if not self._input_closed:
@@ -214,10 +216,10 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._input_closed = True  # the request itself was answered with 501
+            self._input_closed = True  # the upgrade request was answered with 501
         except httptools.HttpParserCallbackError:
-            # A fault of this program, met while reading: not the client's, and never to be taken for it.
-            log.exception("a request could not be handled")
+            # An internal error, which must not be blamed on the client's data.
+            log.exception("internal error while handling a request")
             self._fail_all()
         except httptools.HttpParserError:
             self._reject(400, "the request can't be read")
@@ -264,8 +266,8 @@
         inbound = self._receiving
         if inbound is None or self._input_closed:
             return
-        if inbound.passage:
-            inbound.passage.body_received(body)
+        if inbound.handler:
+            inbound.handler.body_received(body)
         elif inbound.error is None:
             inbound.pieces.append(body)
 
@@ -273,51 +275,60 @@
         inbound, self._receiving = self._receiving, None
         if inbound is None or self._input_closed:
             return
-        inbound.whole = True
-        # Behind a request for another protocol no further one of ours can be told.
-        inbound.keep = self._parser.should_keep_alive() and not self._parser.should_upgrade()
+        inbound.is_complete = True
+        # After an upgrade request the stream may hold another protocol, so no further request is read.
+        inbound.keep_alive = self._parser.should_keep_alive() and not self._parser.should_upgrade()
         inbound.trailers, self._headers = self._headers, []
-        if inbound.passage:
-            inbound.passage.body_completed(inbound.trailers)
+        if inbound.handler:
+            inbound.handler.body_completed(inbound.trailers)
         elif self._queue and self._queue[0] is inbound:
             self._send_error(inbound)
 
     def _start_request(self, inbound: _QueuedRequest) -> None:
-        """A request's turn has come."""
+        """Starts handling a request."""
         if inbound.error is None:
             assert inbound.request
             try:
-                inbound.passage = self._owner.admit(self, inbound.request)
+                inbound.handler = self._owner.admit(self, inbound.request)
             except BadRequestError as error:
                 inbound.error = error
-        if inbound.passage is None:
-            # With its body on its way it is answered at once, and the connection ends.
-            if inbound.whole or (inbound.request and inbound.request.has_body) or inbound.request is None:
+        if inbound.handler is None:
+            # If the body is still being sent, the error response is sent at once and the connection closed.
+            if (
+                inbound.is_complete
+                or (inbound.request and inbound.request.has_body)
+                or inbound.request is None
+            ):
                 self._send_error(inbound)
             return
-        if inbound.request and inbound.request.expects_continue and not inbound.whole and not inbound.pieces:
+        if (
+            inbound.request
+            and inbound.request.expects_continue
+            and not inbound.is_complete
+            and not inbound.pieces
+        ):
             self._write(b"HTTP/1.1 100 Continue\r\n\r\n")
         pieces, inbound.pieces = inbound.pieces, []
         for piece in pieces:
-            inbound.passage.body_received(piece)
-        if inbound.whole and self._queue and self._queue[0] is inbound:
-            inbound.passage.body_completed(inbound.trailers)
+            inbound.handler.body_received(piece)
+        if inbound.is_complete and self._queue and self._queue[0] is inbound:
+            inbound.handler.body_completed(inbound.trailers)
 
     def _send_error(self, inbound: _QueuedRequest) -> None:
         if inbound.error and self._queue and self._queue[0] is inbound:
             self.send_response(inbound.error.code, str(inbound.error), inbound.error.headers)
 
     def _reject(self, code: int, reason: str) -> None:
-        """Answer what can't be read to its end, behind the answers that are due before it."""
+        """Rejects a request that cannot be read to its end, after the responses to earlier requests."""
         if self._input_closed:
             return
         self._input_closed, self.head_started_at = True, None
         if self._receiving:
-            # Its head was good; what was made of it can't be finished.
+            # The head was valid, but the request cannot be completed.
             inbound, self._receiving = self._receiving, None
-            if inbound.passage:
-                inbound.passage.client_disconnected()
-                inbound.passage = None
+            if inbound.handler:
+                inbound.handler.client_disconnected()
+                inbound.handler = None
             inbound.error = BadRequestError(code, reason)
         else:
             inbound = _QueuedRequest(None, BadRequestError(code, reason))
@@ -328,42 +339,44 @@
             self._send_error(inbound)
 
     def _fail_all(self) -> None:
-        """End everything on this connection; what has its turn is told, if no answer to it has begun."""
+        """Ends all requests; the current one gets an error response, unless its response has begun."""
         queue, self._queue = self._queue, deque()
         self._input_closed, self._receiving, self.head_started_at = True, None, None
         for inbound in queue:
-            if inbound.passage:
-                inbound.passage.client_disconnected()
-                inbound.passage = None
+            if inbound.handler:
+                inbound.handler.client_disconnected()
+                inbound.handler = None
         if not queue or self._response_started:
             self.reset()
             return
-        queue[0].keep = False
+        queue[0].keep_alive = False
         self._queue.append(queue[0])
         self.send_response(500, "internal error", [])
 
-    def time_out(self, reason: str) -> None:
-        """The request does not come whole."""
+    def reject_timeout(self, reason: str) -> None:
+        """Ends a request that has not been received completely in time."""
         if self._response_started or self._transport is None:
             self.reset()
         else:
             self._reject(408, reason)
 
-    # --- Answering -------------------------------------------------------------------------------
+    # --- Responses -------------------------------------------------------------------------------
     def send_interim(self, code: int, headers: Headers) -> None:
-        """Pass on an answer ahead of the final one; HTTP/1.0 knows none."""
+        """Forwards an interim (1xx) response; HTTP/1.0 does not support it."""
         request = self._queue[0].request if self._queue else None
         if request and request.version == "1.1" and not self._response_started and code != 100:
             self._write(message.response_head(code, b"", message.forwardable_headers(headers), b"", False))
 
     def start_response(self, code: int, reason: bytes, headers: Headers, length: int | None) -> None:
-        """The head of a streamed answer; `length` None: its end tells it."""
+        """Sends the head of a streamed response; `length` is None if the body's length is unknown."""
         inbound = self._queue[0]
         request = inbound.request
         assert request
         self._response_started = True
         self._chunked = False
-        self._close_after_response = not (inbound.whole and inbound.keep) or self._owner.is_closing
+        self._close_after_response = (
+            not (inbound.is_complete and inbound.keep_alive) or self._owner.is_closing
+        )
         if length is not None:
             line = b"Content-Length: %d\r\n" % length
         elif message.has_no_body(request.method, code):
@@ -375,23 +388,25 @@
         self._write(message.response_head(code, reason, headers, line, self._close_after_response))
 
     def send_body(self, data: bytes) -> None:
-        """A piece of the streamed answer's body."""
+        """Sends a part of the streamed response's body."""
         if data:
             self._write(b"%x\r\n%s\r\n" % (len(data), data) if self._chunked else data)
 
     def finish_response(self, trailers: Headers) -> None:
-        """The streamed answer is whole."""
+        """Completes the streamed response."""
         if self._chunked:
             self._write(b"0\r\n" + message.trailer_section(trailers))
         self._response_sent()
 
     def send_response(self, code: int, reason: str, headers: Headers, body: bytes | None = None) -> None:
-        """A whole answer at once; without a body a short text in JSON tells the reason."""
+        """Sends a complete response; if `body` is None, a JSON document states the reason."""
         inbound = self._queue[0]
         if body is None:
             body = json.dumps({"status": code, "reason": reason}).encode() + b"\n"
             headers = [*headers, (b"Content-Type", b"application/json")]
-        self._close_after_response = not (inbound.whole and inbound.keep) or self._owner.is_closing
+        self._close_after_response = (
+            not (inbound.is_complete and inbound.keep_alive) or self._owner.is_closing
+        )
         line = b"Content-Length: %d\r\n" % len(body)
         head_only = inbound.request is not None and inbound.request.method == b"HEAD"
         head = message.response_head(code, b"", headers, line, self._close_after_response)
@@ -403,12 +418,12 @@
             self._transport.write(data)
 
     def _response_sent(self) -> None:
-        """An answer is whole: end the connection, or give the next request its turn."""
+        """Closes the connection after a completed response, or starts the next request."""
         inbound = self._queue.popleft()
         self._response_started, self._has_responded = False, True
         self.last_activity_at = monotonic()
-        if self._close_after_response or not inbound.whole:
-            self._close_after_last(inbound.whole)
+        if self._close_after_response or not inbound.is_complete:
+            self._close_after_last(inbound.is_complete)
             return
         if self._queue:
             waiting = self._queue[0]
@@ -420,11 +435,14 @@
         self._update_reading()
 
     def _start_next(self, inbound: _QueuedRequest) -> None:
-        if self._queue and self._queue[0] is inbound and inbound.passage is None:
+        if self._queue and self._queue[0] is inbound and inbound.handler is None:
             self._start_request(inbound)
 
     def _close_after_last(self, request_complete: bool) -> None:
-        """Close behind the last answer. Cut off at once, a sender still at it could lose that answer."""
+        """Closes the connection after the last response; at once only if the request is complete.
+
+        Resetting the connection while the client still sends could discard the response before it is read.
+        """
         self._input_closed, self._receiving, self.head_started_at = True, None, None
         self._queue.clear()
         if self._transport is None or self._transport.is_closing():
--- a/basaltpoint/fronts/http/exchange.py
+++ b/basaltpoint/fronts/http/exchange.py
@@ -1,4 +1,4 @@
-"""One request on its way through the ordinary front: its body in, attempts out, its answer back."""
+"""One request through the HTTP front: receives its body, runs its attempts and sends its response."""
 
 from __future__ import annotations
 
@@ -15,10 +15,8 @@
 from basaltpoint.upstream.servers import AttemptResult
 from basaltpoint.upstream.streams import StreamAttempt, StreamConnection
 
-MAX_BUFFERED_RESPONSE_BYTES = (
-    64 * 1024
-)  # bytes of an answer that may be repeated, kept in case no repeat follows
-RETRYABLE_STATUSES = (502, 503, 504)  # a server's word that it could not; another may
+MAX_BUFFERED_RESPONSE_BYTES = 64 * 1024  # a retryable error response is buffered in case no retry follows
+RETRYABLE_STATUSES = (502, 503, 504)  # errors that another server may not have
 
 RESULT_RESPONSES = {
     RequestResult.FAILED: (502, "no server answered"),
@@ -39,26 +37,26 @@
 
 
 class ExchangeOwner(Protocol):
-    """What a passage asks of the relay that it belongs to."""
+    """The limiter around the request exchanges."""
 
     name: bytes
-    buffer_bytes: int  # bytes of a streamed body held for a slow reader
+    buffer_bytes: int  # bytes of a streamed body that are buffered for a slow receiver
 
     def reserve_memory(self, size: int) -> bool:
-        """Take memory for bytes of a body; False where there is none left."""
+        """Reserves memory for bytes of a body; returns False if none is left."""
 
     def release_memory(self, size: int) -> None: ...
-    def submit(self, passage: RequestExchange) -> None: ...
-    def client_disconnected(self, passage: RequestExchange) -> None: ...
-    def begun(self, passage: RequestExchange) -> None: ...
-    def uploading(self, passage: RequestExchange) -> None: ...
-    def uploaded(self, passage: RequestExchange) -> None: ...
-    def attempt_ended(self, passage: RequestExchange, status: Status, final: bool) -> None: ...
-    def refusal_headers(self, passage: RequestExchange, effect: Reply) -> Headers: ...
+    def submit(self, exchange: RequestExchange) -> None: ...
+    def client_disconnected(self, exchange: RequestExchange) -> None: ...
+    def begun(self, exchange: RequestExchange) -> None: ...
+    def uploading(self, exchange: RequestExchange) -> None: ...
+    def uploaded(self, exchange: RequestExchange) -> None: ...
+    def attempt_ended(self, exchange: RequestExchange, status: Status, final: bool) -> None: ...
+    def refusal_headers(self, exchange: RequestExchange, effect: Reply) -> Headers: ...
 
 
 class RequestExchange:
-    """One request on its way: its body in, attempts out, its answer back."""
+    """One client request: its body, its attempts and its response."""
 
     def __init__(
         self,
@@ -81,20 +79,21 @@
         self.number = 0
         self.stream: StreamConnection | None = None
         self.is_finished = False
-        # The request's body. Kept whole up to the route's bound; beyond it is streamed once.
+        # The request's body. It is buffered up to the route's limit; a longer one is streamed and not
+        # retried.
         self.body: list[bytes] = []
         self.body_bytes = 0
-        self.reserved_bytes = 0  # bytes accounted for
+        self.reserved_bytes = 0
         self.body_complete = False
         self.whole_at = monotonic()
         self.body_streamed = False
-        self.server_blocked = False  # the server takes no more for now
+        self.server_blocked = False  # the server's connection accepts no more data at present
         self.body_trailers: Headers = []
-        # The answer under way.
+        # The response.
         self.passing = False
         self.status = Status.OK
         self.response_head: tuple[int, bytes, Headers, int | None] | None = None
-        self.buffered_body: list[bytes] | None = None  # of an answer that is held back, as it may be repeated
+        self.buffered_body: list[bytes] | None = None  # of an error response that is withheld for a retry
         self.buffered_complete = False
         self.trailers: Headers = []
 
@@ -123,7 +122,7 @@
             self.relay.submit(self)
 
     def _reject(self, code: int, reason: str) -> None:
-        """Answer in the middle of the body; the connection ends behind it."""
+        """Sends an error response while the body is being received; the connection is closed after it."""
         if self.is_finished:
             return
         if self.ident:
@@ -135,7 +134,7 @@
             self.connection.send_response(code, reason, [])
 
     def _send_body(self) -> None:
-        """Send on what there is of a streamed body, as far as the server takes it."""
+        """Sends the buffered part of a streamed body, if the server's connection accepts it."""
         stream = self.stream
         if stream is not None and not self.server_blocked and stream.is_sending_body:
             pieces, self.body = self.body, []
@@ -148,7 +147,7 @@
                 self.relay.uploaded(self)
         self.connection.pause_upload(self.body_streamed and self.reserved_bytes > self.relay.buffer_bytes)
 
-    # --- The attempt, as its connection tells ------------------------------------------------------
+    # --- Events of the attempt ---------------------------------------------------------------------
     def upstream_message(self) -> bytes:
         if self.body_streamed:
             return self.upstream_request.with_stream(self.request.body_length)
@@ -181,7 +180,7 @@
             self._start_response()
 
     def _start_response(self) -> None:
-        """Pass the answer on from here; without anybody waiting the attempt ends."""
+        """Starts forwarding the response; cancels the attempt if no client waits for it any more."""
         assert self.response_head and self.attempt
         self.attempt.stop_timeout()
         self.relay.begun(self)
@@ -189,11 +188,11 @@
             self.attempt.cancel()
             return
         code, reason, headers, length = self.response_head
-        sets = {name.lower() for name, _ in self.route.response_headers}
-        kept = [pair for pair in message.forwardable_headers(headers) if pair[0] not in sets]
+        set_names = {name.lower() for name, _ in self.route.response_headers}
+        forwarded = [pair for pair in message.forwardable_headers(headers) if pair[0] not in set_names]
         via = b"1.1 %s" % self.relay.name
         self.connection.start_response(
-            code, reason, [*kept, *self.route.response_headers, (b"Via", via)], length
+            code, reason, [*forwarded, *self.route.response_headers, (b"Via", via)], length
         )
         pieces, self.buffered_body = self.buffered_body or [], None
         for piece in pieces:
@@ -210,15 +209,15 @@
     def completed(self, trailers: Headers) -> None:
         self.trailers, self.buffered_complete = trailers, True
 
-    def attempt_ended(self, answer: AttemptResult) -> None:
-        """The attempt is over; `answer` tells how its connection saw it."""
-        whole = answer.status is Status.OK
-        status = self.status if whole else answer.status
+    def attempt_ended(self, result: AttemptResult) -> None:
+        """Handles the end of the attempt; `result` is the result reported by its connection."""
+        is_complete = result.status is Status.OK
+        status = self.status if is_complete else result.status
         self.attempt = self.stream = None
         self.server_blocked = False
-        self.relay.attempt_ended(self, status, whole and self.passing)
+        self.relay.attempt_ended(self, status, is_complete and self.passing)
 
-    # --- The client, as its connection tells --------------------------------------------------------
+    # --- Events of the client connection ------------------------------------------------------------
     def client_writable(self, ready: bool) -> None:
         if self.stream and self.passing:
             self.stream.set_paused(not ready)
@@ -229,9 +228,9 @@
             if self.ident:
                 self.relay.client_disconnected(self)
 
-    # --- The answer ------------------------------------------------------------------------------
+    # --- The response ----------------------------------------------------------------------------
     def reply(self, effect: Reply) -> None:
-        """The table's word on how the request ended."""
+        """Completes the exchange with the request table's result."""
         if self.is_finished:
             return
         self._finish()
@@ -245,15 +244,20 @@
 
     def _send_response(self, effect: Reply) -> None:
         headers = self.relay.refusal_headers(self, effect)
-        ours = effect.result not in (RequestResult.FAILED, RequestResult.REFUSED)
-        if not ours and self.buffered_body is not None and self.buffered_complete and self.response_head:
-            # The server's own words tell more than ours would.
-            code, _, own, _ = self.response_head
-            told = {name for name, _ in own}
-            kept = message.forwardable_headers(own) + [
-                pair for pair in headers if pair[0].lower() not in told
+        is_generated = effect.result not in (RequestResult.FAILED, RequestResult.REFUSED)
+        if (
+            not is_generated
+            and self.buffered_body is not None
+            and self.buffered_complete
+            and self.response_head
+        ):
+            # The server's own error response says more than a generated one.
+            code, _, server_headers, _ = self.response_head
+            server_names = {name for name, _ in server_headers}
+            merged = message.forwardable_headers(server_headers) + [
+                pair for pair in headers if pair[0].lower() not in server_names
             ]
-            self.connection.send_response(code, "", kept, b"".join(self.buffered_body))
+            self.connection.send_response(code, "", merged, b"".join(self.buffered_body))
             return
         code, reason = (
             REFUSAL_RESPONSES[effect.reason or RefusalReason.LOAD]
@@ -269,7 +273,7 @@
 
 
 class HealthCheck:
-    """One active health check: any answer of 200 to 299 is good."""
+    """Receives the response of an active health check; any 2xx status is healthy."""
 
     def __init__(self) -> None:
         self.is_healthy = False
--- a/basaltpoint/fronts/http/message.py
+++ b/basaltpoint/fronts/http/message.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 messages on their way through: what is refused, what goes on, how it is framed. Free of I/O.
+"""Parsing, checking and forwarding of HTTP/1.1 message heads, without I/O.
 
-Sources: RFC 9110 (7.6 on intermediaries, 10.1.1 Expect), RFC 9112 (6 on framing), RFC 7239 (Forwarded).
+References: RFC 9110 (7.6 intermediaries, 10.1.1 Expect), RFC 9112 (6 framing), RFC 7239 (Forwarded).
 """
 
 from __future__ import annotations
@@ -28,20 +28,20 @@
         b"upgrade",
     ]
 )
-# What tells of the path a request took is written anew, and framing is this limiter's own.
+# The forwarding headers are written anew, and this limiter chooses its own framing.
 REBUILT_HEADERS = HOP_BY_HOP_HEADERS | {b"content-length", b"host", b"via", b"forwarded", b"expect"}
-WAY = frozenset([b"x-forwarded-for", b"x-forwarded-host", b"x-forwarded-proto"])
-# Twice and different, one reader may go by the one and another by the other.
+FORWARDED_HEADERS = frozenset([b"x-forwarded-for", b"x-forwarded-host", b"x-forwarded-proto"])
+# Repeated with different values, these could be interpreted differently by two recipients.
 SINGLE_VALUE_HEADERS = frozenset(
     [b"content-length", b"transfer-encoding", b"host", b"authorization", b"content-type"]
 )
 MAX_HEADERS = 128
-DIGITS = re.compile(rb"[0-9]{1,18}")
-HOST = re.compile(rb"[!$&-;=A-Z_a-z~%\[\]]*")
-DECIMAL = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
-# Of these no request brings a body that matters, so an empty one is not announced.
+CONTENT_LENGTH_PATTERN = re.compile(rb"[0-9]{1,18}")
+HOST_PATTERN = re.compile(rb"[!$&-;=A-Z_a-z~%\[\]]*")
+DEADLINE_PATTERN = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
+# Requests with these methods usually have no body, so an empty one is not announced by Content-Length.
 BODILESS_METHODS = frozenset([b"GET", b"HEAD", b"DELETE", b"OPTIONS", b"TRACE"])
-# Never in a trailer (RFC 9110, 6.5.1): framing, routing and what a later reader would act upon.
+# Not allowed in a trailer section (RFC 9110, 6.5.1): framing, routing and fields that a recipient acts upon.
 FORBIDDEN_TRAILERS = HOP_BY_HOP_HEADERS | {
     b"content-length",
     b"host",
@@ -52,7 +52,7 @@
 
 
 class BadRequestError(Exception):
-    """A request that is not taken on; `code` is the status it gets."""
+    """A request that is rejected with the status `code`; the message is sent to the client."""
 
     def __init__(self, code: int, reason: str, headers: Headers | None = None) -> None:
         super().__init__(reason)
@@ -62,18 +62,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request's head, read and checked."""
+    """The parsed and checked head of a request."""
 
     method: bytes
     target: bytes
-    host: str  # in normal form, to match with
-    path: str  # in normal form, to match with
-    query: str  # with its `?`
+    host: str  # normalized, for matching
+    path: str  # normalized, for matching
+    query: str  # including its `?`
     version: str
-    headers: Headers  # as they came, names in lower case
-    fields: Mapping[str, str]  # the same, joined where one comes several times
-    body_length: int | None  # of the body; None for chunks
-    expects_continue: bool  # 100-continue
+    headers: Headers  # in received order, names in lower case
+    fields: Mapping[str, str]  # by name, repeated fields joined
+    body_length: int | None  # bytes; None for a chunked body
+    expects_continue: bool  # Expect: 100-continue
 
     @property
     def has_body(self) -> bool:
@@ -81,7 +81,7 @@
 
 
 def request_body_length(headers: Headers, version: str) -> int | None:
-    """The length of a request's body, None for chunks; BadRequestError where two readers could disagree."""
+    """Returns the body's length in bytes, None if chunked; BadRequestError if the framing is ambiguous."""
     lengths = [value for name, value in headers if name == b"content-length"]
     codings = [value for name, value in headers if name == b"transfer-encoding"]
     if codings:
@@ -92,13 +92,13 @@
         return None
     if not lengths:
         return 0
-    if len(lengths) > 1 or not DIGITS.fullmatch(lengths[0]):
+    if len(lengths) > 1 or not CONTENT_LENGTH_PATTERN.fullmatch(lengths[0]):
         raise BadRequestError(400, "Content-Length is no number, or comes twice")
     return int(lengths[0])
 
 
 def parse_request(method: bytes, target: bytes, version: str, headers: Headers) -> Request:
-    """Check a head and bring it into a form to match with; BadRequestError where it is refused."""
+    """Checks and normalizes a request head; BadRequestError if it is rejected."""
     if len(headers) > MAX_HEADERS:
         raise BadRequestError(431, "too many headers")
     fields = _join_fields(headers)
@@ -112,7 +112,7 @@
     host = fields.get("host")
     if host is None and version == "1.1":
         raise BadRequestError(400, "Host is missing")
-    if not HOST.fullmatch((host or "").encode("latin-1")):
+    if not HOST_PATTERN.fullmatch((host or "").encode("latin-1")):
         raise BadRequestError(400, "Host is not a host")
     try:
         authority, path, query = split_target(target.decode("latin-1"))
@@ -149,7 +149,7 @@
 
 
 def connection_options(value: str) -> frozenset[bytes]:
-    """The headers that a Connection header names: they belong to this connection alone."""
+    """Returns the header names that a Connection header lists; they apply to this connection only."""
     if not value:
         return frozenset()
     return frozenset(part.strip().lower().encode("latin-1") for part in value.split(","))
@@ -157,44 +157,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Origin:
-    """Where a request comes from and what this limiter calls itself."""
+    """The client's connection and this limiter's name, for the forwarding headers."""
 
-    peer: str  # address of the connection
-    via: bytes  # this limiter's name
-    peer_is_trusted: bool  # the peer is a proxy whose X-Forwarded-For is believed
+    peer: str  # IP address of the connection's other end
+    via: bytes  # this limiter's name in the Via header
+    peer_is_trusted: bool  # the peer is a proxy whose X-Forwarded-For is trusted
 
 
 @dataclass(frozen=True, slots=True)
 class RequestRewrite:
-    """What a route changes in a request."""
+    """Changes that a route makes to a request."""
 
-    path: str | None = None  # instead of the target's, the query stays
+    path: str | None = None  # replaces the target's path; the query stays
     set_headers: tuple[tuple[bytes, bytes], ...] = ()
     drop_headers: frozenset[bytes] = frozenset()
 
 
 @dataclass(slots=True)
 class UpstreamRequest:
-    """The head that goes to a server, but for its end: the framing, which depends on the body."""
+    """The head of a request to a server, without the framing, which depends on the body."""
 
     head: bytes
     method: bytes
 
     def with_body(self, body: bytes) -> bytes:
-        """The whole message, its body in hand."""
+        """Returns the complete message with a buffered body."""
         if not body and self.method in BODILESS_METHODS:
             return self.head + b"\r\n"
         return b"%sContent-Length: %d\r\n\r\n%s" % (self.head, len(body), body)
 
     def with_stream(self, length: int | None) -> bytes:
-        """The head of a message whose body follows piece by piece."""
+        """Returns the head of a message with a streamed body; `length` is None for a chunked body."""
         if length is None:
             return self.head + b"Transfer-Encoding: chunked\r\n\r\n"
         return b"%sContent-Length: %d\r\n\r\n" % (self.head, length)
 
 
 def upstream_request(request: Request, origin: Origin, rewrite: RequestRewrite) -> UpstreamRequest:
-    """The request as it goes on: hop-by-hop headers gone, the way it came told, the route's changes made."""
+    """Builds the request to the server: no hop-by-hop headers, with forwarding headers and rewrite."""
     target = request.target
     if rewrite.path is not None:
         target = (rewrite.path + request.query).encode("latin-1")
@@ -211,7 +211,9 @@
     )
     host = request.fields.get("host", "").encode("latin-1")
     if b"://" in request.target[:8]:
-        host = request.target.split(b"/", 3)[2].partition(b"?")[0]  # RFC 9112, 3.2.2: it replaces Host
+        host = request.target.split(b"/", 3)[2].partition(b"?")[
+            0
+        ]  # an absolute target replaces Host (RFC 9112, 3.2.2)
     parts = [b"%s %s HTTP/1.1\r\n" % (request.method, target)]
     if b"host" not in set_names:
         parts.append(b"Host: %s\r\n" % host)
@@ -222,7 +224,7 @@
 
 
 def _forwarding_headers(request: Request, origin: Origin, host: bytes) -> Iterable[tuple[bytes, bytes]]:
-    """The headers that tell the way a request took; what an untrusted peer wrote of it is dropped."""
+    """Yields the forwarding headers; values from an untrusted peer are dropped."""
     fields, peer = request.fields, origin.peer.encode()
     node = b'"[%s]"' % peer if b":" in peer else peer
     element = b"for=%s;proto=http" % node
@@ -248,15 +250,15 @@
 HOST_NEEDS_QUOTES = re.compile(rb"[^!#$%&'*+.^_`|~0-9A-Za-z-]")
 
 
-# --- Answers -----------------------------------------------------------------------------------
+# --- Responses ---------------------------------------------------------------------------------
 def has_no_body(method: bytes, code: int) -> bool:
-    """Whether an answer has no body, whatever its headers say (RFC 9112, 6.3)."""
+    """Whether a response has no body, whatever its headers say (RFC 9112, 6.3)."""
     return method == b"HEAD" or code in (204, 304) or 100 <= code < 200
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """The head of a server's answer. `length` is None where it is not told ahead."""
+    """The head of a server's response. `length` is None if the body's length is unknown."""
 
     code: int
     reason: bytes
@@ -268,7 +270,7 @@
 
 
 def forwardable_headers(headers: Headers) -> Headers:
-    """An answer's headers without those of the connection it came over, and without its framing."""
+    """Returns a response's headers without hop-by-hop headers and framing."""
     connection_headers = frozenset[bytes]()
     for name, value in headers:
         if name == b"connection":
@@ -280,7 +282,7 @@
 def response_head(
     code: int, reason: bytes, headers: Iterable[tuple[bytes, bytes]], framing_line: bytes, close: bool
 ) -> bytes:
-    """The head of an answer to a client; `framing_line` is a header with its end, or nothing."""
+    """Returns the head of a response to a client; `framing_line` is one header line or empty."""
     reason = reason or REASON_PHRASES.get(code, b"")
     parts = [b"HTTP/1.1 %d %s\r\n" % (code, reason)]
     parts += [b"%s: %s\r\n" % pair for pair in headers]
@@ -292,14 +294,14 @@
 
 
 def trailer_section(headers: Headers) -> bytes:
-    """A trailer section with its last empty line; what may stand in none is left out."""
+    """Returns a trailer section with its final empty line; forbidden fields are left out."""
     lines = [b"%s: %s\r\n" % pair for pair in headers if pair[0] not in FORBIDDEN_TRAILERS]
     return b"".join([*lines, b"\r\n"])
 
 
 def parse_deadline_ms(text: str) -> float:
-    """A client's own deadline, in seconds with decimals; BadRequestError where it is none."""
-    value = float(text) if DECIMAL.fullmatch(text) else 0.0
+    """Parses a client's own deadline, decimal seconds; BadRequestError if it is invalid."""
+    value = float(text) if DEADLINE_PATTERN.fullmatch(text) else 0.0
     if value <= 0:
         raise BadRequestError(400, "the deadline is not a number of seconds above 0")
     return value * 1000.0
--- a/basaltpoint/fronts/http/relay.py
+++ b/basaltpoint/fronts/http/relay.py
@@ -1,4 +1,4 @@
-"""The ordinary front: routes and accounts to arrivals, the table's effects to attempts and answers."""
+"""The HTTP front's limiter: maps requests to routes and accounts, and the table's effects to attempts."""
 
 from __future__ import annotations
 
@@ -50,12 +50,12 @@
 
 log = logging.getLogger(__name__)
 
-RESERVED_DESCRIPTORS = 32  # descriptors for the listener, the loop and the log
-SERVER_SOCKET_FRACTION = 0.4  # of the sockets may be connections to servers
+RESERVED_DESCRIPTORS = 32  # file descriptors for the listener, the event loop and the log
+SERVER_SOCKET_FRACTION = 0.4  # fraction of the sockets that may be connections to servers
 
 
 class Relay(Shell):
-    """Holds the request table, the servers and what the present configuration says."""
+    """Owns the request table, the client and server connections and the current configuration."""
 
     def __init__(
         self,
@@ -65,10 +65,10 @@
         origin_s: float | None = None,
         started_ms: Mapping[str, float] = MappingProxyType({}),
     ) -> None:
-        """`down_ms`: for how long, at least, nothing has been sent on by an earlier life of this limiter.
+        """`down_ms`: minimum time for which no earlier process of this limiter has sent requests.
 
-        `origin_s`: where the module's clock began, of an older process that this one goes on for; and
-        `started_ms`: when, of that clock, it first heard of each server.
+        `origin_s`: start of the predecessor's clock, if this process takes over from one;
+        `started_ms`: when, on that clock, it first saw each server.
         """
         file = setup.file
         self.setup = setup
@@ -94,35 +94,35 @@
         up = file.upstream
         self.servers = ServerConnections(max_server_sockets, up.connect_ms / 1000, up.idle_ms / 1000, make)
         self._servers_by_number: dict[int, ServerSpec] = {}
-        # When a server was first heard of, after the start.
+        # When each server was first seen; 0 for those known from the start.
         self._first_seen_ms = {s.number: started_ms[s.name] for s in setup.servers if s.name in started_ms}
         self._pools: set[int] = set()
-        self._exchanges: dict[int, RequestExchange] = {}  # that wait for their reply
-        self._attempts: dict[int, StreamAttempt] = {}  # the one that is out, by request
+        self._exchanges: dict[int, RequestExchange] = {}  # by request, until the table's reply
+        self._attempts: dict[int, StreamAttempt] = {}  # the running attempt, by request
         self._checks = Checks(random.Random(seed))
         self._check_timer: asyncio.TimerHandle | None = None
         self._body_memory_bytes = int(file.limits.memory_mb * (1 << 20))
-        self._reserved_bytes = 0  # bytes of bodies
-        self.decision_module.started_ms = self.now() - down_ms  # what ceilings have filled since then is sure
+        self._reserved_bytes = 0  # of buffered bodies
+        self.decision_module.started_ms = self.now() - down_ms  # ceilings have certainly refilled since then
         self._apply(setup, first=True)
 
     # --- Configuration -----------------------------------------------------------------------------
-    def update_configuration(self, setup: Setup) -> None:
-        """Go over to another configuration at once; requests that are out keep what they were taken with."""
+    def apply_settings(self, setup: Setup) -> None:
+        """Applies a new configuration at once; requests in hand keep the settings they were admitted with."""
         self.figures.update_classes([cls.name for cls in setup.settings.classes])
         self.do(self.table.handle_event(self.now(), api.SettingsChanged(setup.settings)))
         self._apply(setup, first=False)
 
     def _apply(self, setup: Setup, first: bool) -> None:
-        now, before = self.now(), self._servers_by_number
+        now, previous = self.now(), self._servers_by_number
         self.setup = setup
-        up = setup.file.upstream
-        self.table.max_attempts = up.attempts
-        self.servers.update_settings(up.connect_ms / 1000, up.idle_ms / 1000)
+        upstream = setup.file.upstream
+        self.table.max_attempts = upstream.attempts
+        self.servers.update_settings(upstream.connect_ms / 1000, upstream.idle_ms / 1000)
         self._servers_by_number = {spec.number: spec for spec in setup.servers}
         for spec in setup.servers:
             self.servers.update_server(spec.number, spec.address, not spec.drain, spec.connections)
-            if spec.number not in before:  # the log's later lines go by number
+            if spec.number not in previous:  # later log lines name a server by its number
                 log.info("server %d is %s at %s:%d", spec.number, spec.name, *spec.address)
             self._first_seen_ms.setdefault(spec.number, 0.0 if first else now)
         pools = set(setup.pools.values())
@@ -130,7 +130,7 @@
             members = tuple(self._server(spec) for spec in setup.servers if pool in spec.pools)
             self.do(self.table.handle_event(now, api.ServerList(api.ListKind.FULL, members, pool)))
         self._pools = pools
-        for number in before.keys() - self._servers_by_number.keys():
+        for number in previous.keys() - self._servers_by_number.keys():
             self.servers.remove_server(number)
             del self._first_seen_ms[number]
         rules = {spec.number: spec.probe for spec in setup.servers if spec.probe and not spec.drain}
@@ -140,12 +140,12 @@
 
     def _server(self, spec: ServerSpec) -> api.Server:
         state = ServerState.DRAINING if spec.drain else ServerState.READY
-        started = self._first_seen_ms[spec.number]
-        return api.Server(spec.number, spec.zone, 0, state, spec.weight, started)
+        first_seen_ms = self._first_seen_ms[spec.number]
+        return api.Server(spec.number, spec.zone, 0, state, spec.weight, first_seen_ms)
 
-    # --- What clients bring --------------------------------------------------------------------------
+    # --- Client requests -----------------------------------------------------------------------------
     def admit(self, connection: ClientConnection, request: Request) -> RequestExchange:
-        """Route, account and class of a request; BadRequestError where it is answered at once."""
+        """Finds a request's route, account and class; BadRequestError if it is rejected."""
         setup = self.setup
         path = request.path
         match = setup.routes.match(request.host, path, request.method.decode("latin-1"), request.fields)
@@ -162,59 +162,59 @@
             raise BadRequestError(401, reason, [(b"WWW-Authenticate", b"Bearer")])
         if request.body_length and route.max_body_bytes and request.body_length > route.max_body_bytes:
             raise BadRequestError(413, "the body is too long")
-        passage = RequestExchange(self, connection, request, route, account)
-        self._apply_class_rules(passage)
-        passage.upstream_request = self._upstream_request(passage)
-        return passage
-
-    def _apply_class_rules(self, passage: RequestExchange) -> None:
-        """What the class of the route asks for: its key, its client's own deadline."""
-        class_rules, fields = passage.route.class_rules, passage.request.fields
+        exchange = RequestExchange(self, connection, request, route, account)
+        self._apply_class_rules(exchange)
+        exchange.upstream_request = self._upstream_request(exchange)
+        return exchange
+
+    def _apply_class_rules(self, exchange: RequestExchange) -> None:
+        """Applies the rules of the route's class: required idempotency key, client's own deadline."""
+        class_rules, fields = exchange.route.class_rules, exchange.request.fields
         if class_rules.effect is Repeats.KEYED and not fields.get(class_rules.key_header):
             if class_rules.unkeyed_class is None:
                 raise BadRequestError(400, f"{class_rules.key_header} is needed here")
-            passage.class_number = class_rules.unkeyed_class
+            exchange.class_number = class_rules.unkeyed_class
         if class_rules.deadline_header and (text := fields.get(class_rules.deadline_header)):
-            passage.wait_ms = min(passage.wait_ms, message.parse_deadline_ms(text))
+            exchange.wait_ms = min(exchange.wait_ms, message.parse_deadline_ms(text))
 
-    def _upstream_request(self, passage: RequestExchange) -> UpstreamRequest:
-        route, request, identity = passage.route, passage.request, self.setup.accounts.identity
+    def _upstream_request(self, exchange: RequestExchange) -> UpstreamRequest:
+        route, request, identity = exchange.route, exchange.request, self.setup.accounts.identity
         path = route.rewrite.apply(request.path) if route.rewrite else None
-        drops = route.drop_headers
+        drop_headers = route.drop_headers
         if not self.setup.file.identity.forward_key:
-            drops |= {identity.header.encode()}
+            drop_headers |= {identity.header.encode()}
             if identity.bearer and identity.header not in request.fields:
-                drops |= {b"authorization"}
-        peer = passage.connection.peer
+                drop_headers |= {b"authorization"}
+        peer = exchange.connection.peer
         trusted = is_trusted(peer, self.setup.trusted)
         return message.upstream_request(
-            request, Origin(peer, self.name, trusted), RequestRewrite(path, route.set_headers, drops)
+            request, Origin(peer, self.name, trusted), RequestRewrite(path, route.set_headers, drop_headers)
         )
 
-    def submit(self, passage: RequestExchange) -> None:
-        """Hand a request to the table; from here it gets one answer in time."""
-        route, account = passage.route, passage.account
+    def submit(self, exchange: RequestExchange) -> None:
+        """Hands a request to the request table, which sends exactly one reply for it in time."""
+        route, account = exchange.route, exchange.account
         new_request = NewRequest(
-            passage.class_number,
+            exchange.class_number,
             account.plan,
             account.number,
             route.units,
             1,
-            passage.wait_ms,
+            exchange.wait_ms,
             EARLY_MS,
             route.pool,
         )
-        passage.ident, effects = self.table.admit(self.now(), new_request)
-        self._exchanges[passage.ident] = passage
+        exchange.ident, effects = self.table.admit(self.now(), new_request)
+        self._exchanges[exchange.ident] = exchange
         self.do(effects)
 
-    def client_disconnected(self, passage: RequestExchange) -> None:
-        """Its client has gone."""
-        self._exchanges.pop(passage.ident, None)
-        self.do(self.table.client_disconnected(self.now(), passage.ident))
+    def client_disconnected(self, exchange: RequestExchange) -> None:
+        """Drops a request whose client has disconnected."""
+        self._exchanges.pop(exchange.ident, None)
+        self.do(self.table.client_disconnected(self.now(), exchange.ident))
 
     def reserve_memory(self, size: int) -> bool:
-        """Account for so many bytes of bodies; False where the memory has no room for them."""
+        """Reserves memory for bytes of bodies; returns False if the limit is reached."""
         if self._reserved_bytes + size > self._body_memory_bytes:
             return False
         self._reserved_bytes += size
@@ -233,11 +233,11 @@
         self.connections.pop(connection, None)
 
     def has_room(self) -> bool:
-        """Whether one more connection may be open."""
+        """Whether another client connection may be opened."""
         return len(self.connections) + len(self._pending_connections) < self.max_clients
 
     def make_room(self) -> bool:
-        """Close the connection that has been between requests for longest; new ones get their turn."""
+        """Closes the connection that has been idle for longest, to make room for a new one."""
         since = time.monotonic() - FIRST_S
         closable = (c for c in self.connections if c.can_close(since))
         idle = min(closable, key=lambda c: c.last_activity_at, default=None)
@@ -253,11 +253,11 @@
             case StartAttempt():
                 self._dispatch(effect)
             case StartResponse():
-                if passage := self._exchanges.get(effect.request):
-                    passage.passing = True
+                if exchange := self._exchanges.get(effect.request):
+                    exchange.passing = True
             case Reply():
-                if passage := self._exchanges.pop(effect.request, None):
-                    passage.reply(effect)
+                if exchange := self._exchanges.pop(effect.request, None):
+                    exchange.reply(effect)
             case CancelAttempt():
                 self._cancel(effect)
             case api.CloseIdle():
@@ -268,36 +268,36 @@
                 log.error("%s", effect.text)
 
     def _dispatch(self, effect: StartAttempt) -> None:
-        passage = self._exchanges[effect.request]  # the table sends for no other
-        until = self.loop_time(effect.end_by_ms)
-        head_only = passage.request.method == b"HEAD"
+        exchange = self._exchanges[effect.request]  # the table starts attempts for open requests only
+        end_by = self.loop_time(effect.end_by_ms)
+        head_only = exchange.request.method == b"HEAD"
         ident = effect.request
         attempt = StreamAttempt(
-            passage.upstream_message(),
-            until,
-            partial(self._ended, ident, passage),
-            passage,
+            exchange.upstream_message(),
+            end_by,
+            partial(self._ended, ident, exchange),
+            exchange,
             head_only,
             write_by=self.loop_time(effect.write_by_ms),
         )
-        # Before it begins: over a kept connection all of a streamed body may go at once.
-        passage.attempt = self._attempts[ident] = attempt
-        passage.number = effect.attempt
+        # Registered before the start: on a reused connection a streamed body may be sent at once and whole.
+        exchange.attempt = self._attempts[ident] = attempt
+        exchange.number = effect.attempt
         self.servers.start_attempt(effect.server, attempt)
 
-    def _ended(self, ident: int, passage: RequestExchange, answer: AttemptResult) -> None:
+    def _ended(self, ident: int, exchange: RequestExchange, result: AttemptResult) -> None:
         self._attempts.pop(ident, None)
-        passage.attempt_ended(answer)
+        exchange.attempt_ended(result)
 
-    def attempt_ended(self, passage: RequestExchange, status: Status, final: bool) -> None:
-        """An attempt of it is over."""
-        self.do(self.table.attempt_ended(self.now(), passage.ident, passage.number, status, is_final=final))
+    def attempt_ended(self, exchange: RequestExchange, status: Status, final: bool) -> None:
+        """Reports the end of an attempt to the request table."""
+        self.do(self.table.attempt_ended(self.now(), exchange.ident, exchange.number, status, is_final=final))
 
     def _cancel(self, effect: CancelAttempt) -> None:
         if attempt := self._attempts.get(effect.request):
             attempt.cancel()
 
-    # --- Active checks -------------------------------------------------------------------------------
+    # --- Active health checks ------------------------------------------------------------------------
     def _arm_checks(self) -> None:
         if self._check_timer:
             self._check_timer.cancel()
@@ -313,44 +313,44 @@
 
     def _check(self, server: int) -> None:
         health, check = self.setup.file.health, HealthCheck()
-        assert health  # a server has a rule by it alone
+        assert health  # servers have a check rule only with this table
         host, port = self._servers_by_number[server].address
         name = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
         raw = f"GET {health.path} HTTP/1.1\r\nHost: {name}\r\nUser-Agent: {self.setup.file.name}\r\n\r\n"
 
         def ended(answer: AttemptResult) -> None:
             is_healthy = answer.status is Status.OK and check.is_healthy
-            if (up := self._checks.record_result(self.now(), server, is_healthy)) is not None:
-                log.info("server %d is %s by its checks", server, "up" if up else "down")
-                self.do(self.table.handle_event(self.now(), api.HealthCheckResult(server, up)))
+            if (is_up := self._checks.record_result(self.now(), server, is_healthy)) is not None:
+                log.info("server %d is %s by its checks", server, "up" if is_up else "down")
+                self.do(self.table.handle_event(self.now(), api.HealthCheckResult(server, is_up)))
             self._arm_checks()
 
-        until = self.loop_time(self.now() + health.timeout_ms)
-        self.servers.start_attempt(server, StreamAttempt(raw.encode(), until, ended, check, False))
+        end_by = self.loop_time(self.now() + health.timeout_ms)
+        self.servers.start_attempt(server, StreamAttempt(raw.encode(), end_by, ended, check, False))
 
-    # --- What goes with a refusal ----------------------------------------------------------------------
-    def refusal_headers(self, passage: RequestExchange, effect: Reply) -> Headers:
-        """Retry-After in whole seconds, and the account's standing (draft-ietf-httpapi-ratelimit-headers)."""
+    # --- Headers of a refusal --------------------------------------------------------------------------
+    def refusal_headers(self, exchange: RequestExchange, effect: Reply) -> Headers:
+        """Returns Retry-After in seconds and the account's quota (draft-ietf-httpapi-ratelimit-headers)."""
         headers: Headers = []
         if effect.result is not RequestResult.REFUSED:
             return headers
         if effect.retry_in_ms > 0:
             headers.append((b"Retry-After", b"%d" % math.ceil(effect.retry_in_ms / 1000)))
-        quota = self.decision_module.quota_status(self.now(), passage.account.number)
+        quota = self.decision_module.quota_status(self.now(), exchange.account.number)
         if quota and effect.reason in (RefusalReason.QUOTA, RefusalReason.CEILING, RefusalReason.PARALLEL):
             window, full = math.ceil(quota.burst / quota.rate), math.ceil(quota.full_in_ms / 1000)
             headers.append((b"RateLimit-Policy", b'"quota";q=%d;w=%d' % (quota.burst, window)))
             headers.append((b"RateLimit", b'"quota";r=%d;t=%d' % (quota.units_left, full)))
         return headers
 
-    # --- Bounds in time ------------------------------------------------------------------------------
+    # --- Timeouts ------------------------------------------------------------------------------------
     def close_stalled(self) -> None:
-        """End what stands still: connections, bodies, answers; each would hold its place for good."""
+        """Ends stalled connections, bodies and responses, which would use resources without end."""
         self.servers.close_expired()
         now, clients = time.monotonic(), self.setup.file.clients
         for connection in list(self.connections):
             if connection.head_started_at is not None and now - connection.head_started_at > clients.head_s:
-                connection.time_out("the head does not come whole")
+                connection.reject_timeout("the head does not come whole")
             elif (
                 connection.write_blocked_at is not None
                 and now - connection.write_blocked_at > clients.stall_s
@@ -358,58 +358,58 @@
                 log.warning("a client at %s has stopped reading its answer", connection.peer)
                 connection.reset()
             elif connection.awaits_body and now - connection.last_activity_at > clients.stall_s:
-                connection.time_out("the body does not come whole")
+                connection.reject_timeout("the body does not come whole")
             elif now - connection.last_activity_at > clients.idle_s and connection.can_close(now):
                 connection.close()
-        for passage in list(self._exchanges.values()):
-            stream = passage.stream
+        for exchange in list(self._exchanges.values()):
+            stream = exchange.stream
             if (
                 stream
-                and passage.passing
+                and exchange.passing
                 and not stream.is_paused
                 and now - stream.last_received_at > clients.stall_s
             ):
-                log.warning("a server has stopped in the middle of its answer")
+                log.warning("a server stopped sending in the middle of its response")
                 stream.reset()
 
     @property
     def open_requests(self) -> int:
-        """Requests in hand, those whose body is still coming, and those that may be on their way."""
+        """The number of requests in hand, including those still being received or possibly on their way."""
         since = time.monotonic() - FIRST_S
-        at_work = sum(
+        in_use = sum(
             1
             for connection in self.connections
             if not connection.is_idle or connection.expects_first_request(since)
         )
-        return at_work + len(self._pending_connections)
+        return in_use + len(self._pending_connections)
 
     @property
     def origin_s(self) -> float:
-        """Where the module's clock began, on the machine's monotonic clock."""
+        """Start of the limiter's clock, in seconds of the host's monotonic clock."""
         return self._origin
 
     def first_seen_ms(self) -> dict[str, float]:
-        """When each server was first heard of, by the module's clock."""
+        """When each server was first seen, in milliseconds of the limiter's clock, by name."""
         return {spec.name: self._first_seen_ms[spec.number] for spec in self._servers_by_number.values()}
 
     def adopt(self, sock: socket.socket, unread_since: float | None = None) -> None:
-        """Serve a connection that was accepted, here or by another process."""
+        """Serves a connection that this or another process has accepted."""
         sock.setblocking(False)
         self._pending_connections.attach(sock, ClientConnection(self, sock), lambda: None)
 
     def hand_over_idle(self, send: Callable[[int], bool]) -> None:
-        """Pass connections between requests on to another process."""
+        """Hands idle connections over to another process."""
         for connection in [c for c in self.connections if c.is_idle]:
             connection.hand_over(send)
 
     def close_idle(self) -> None:
-        """Part of a drain: connections go on which no request is lost by it."""
+        """Closes, during a drain, the connections that no request can be lost on."""
         since = time.monotonic() - FIRST_S
         for connection in [c for c in self.connections if c.can_close(since)]:
             connection.close()
 
     def close(self) -> None:
-        """End all that is left."""
+        """Resets all connections and cancels all attempts."""
         for connection in list(self.connections):
             connection.reset()
         for attempt in list(self._attempts.values()):
--- a/basaltpoint/membership/__init__.py
+++ b/basaltpoint/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who serves: the lists of servers and what changes them."""
+"""Server membership: the lists of servers from discovery, and everything that changes them."""
--- a/basaltpoint/membership/change_batch.py
+++ b/basaltpoint/membership/change_batch.py
@@ -1,24 +1,24 @@
-"""Changes of the list of servers that came together, made one where nothing is lost by that."""
+"""Merges changes of the list of servers that are received together, where this loses no information."""
 
 from __future__ import annotations
 
 from basaltpoint.interface import ServerState
 from basaltpoint.membership.hosts import Host, HostList
 
-# In the life of one process. A change back is applied by itself: else a drain would not be seen, nor what it
-# ends: free connections, for one.
+# Order of states in the life of one server process. A change backwards is never merged: otherwise a drain and
+# its effects, such as closing idle connections, would be lost.
 _LIFECYCLE_ORDER = {ServerState.READY: 0, ServerState.DRAINING: 1, ServerState.GONE: 2}
 
 
 class ChangeBatch:
-    """Lists of changes, in their order; of each server the latest entry."""
+    """Lists of changes in their order, merged into the latest entry of each server."""
 
     def __init__(self) -> None:
         self._hosts: dict[str, Host] = {}
         self._version: int | None = None
 
     def can_merge(self, changes: HostList) -> bool:
-        """Whether it may be made one with those held: no server turns back or starts anew."""
+        """Whether a list can be merged into this batch: no server moves backwards in its life or restarts."""
         return not changes.whole and all(self._is_forward(host) for host in changes.hosts)
 
     def _is_forward(self, host: Host) -> bool:
@@ -31,12 +31,12 @@
         )
 
     def add(self, changes: HostList) -> None:
-        """Take up a list of changes that fits."""
+        """Merges a list of changes; `can_merge` must hold, or the batch must be empty."""
         self._hosts.update((host.name, host) for host in changes.hosts)
         self._version = changes.seq
 
     def pop_merged(self) -> HostList | None:
-        """One list for all that are held, none of which is held from here on; None where there are none."""
+        """Returns the merged changes as one list and empties the batch; None if it is empty."""
         if self._version is None:
             return None
         merged = HostList(self._version, False, tuple(self._hosts.values()))
--- a/basaltpoint/membership/checks.py
+++ b/basaltpoint/membership/checks.py
@@ -1,7 +1,7 @@
-"""Active health checks: when a server is checked, and what its answers make of it.
+"""Active health checks: when a server is checked, and whether its results mark it up or down.
 
-A machine without I/O: the list, answers and the time go in, checks that are due and verdicts come out. The
-decision module hears verdicts only.
+This is a state machine without I/O: it takes the list of servers, results and the time, and returns due
+checks and verdicts. The decision module receives the verdicts only.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 
 @dataclass(slots=True)
 class CheckedServer:
-    """What checks know of one server."""
+    """State of the health checks of one server."""
 
     rule: ProbeRule
     due_ms: float
     is_down: bool = False
-    opposing_results: int = 0  # of answers that speak against `down`
-    in_progress: bool = False  # a check is on its way, and the next one is planned at its end
+    opposing_results: int = 0  # consecutive results that contradict `is_down`
+    in_progress: bool = False  # a check is running; the next one is scheduled when it ends
 
 
 class Checks:
-    """A queue of due checks; servers without a rule are never in it."""
+    """Schedules the checks; servers without a rule are not checked."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -33,9 +33,10 @@
         self._due: list[tuple[float, int]] = []
 
     def update_servers(self, now_ms: float, rules: dict[int, ProbeRule]) -> list[int]:
-        """Take up the rule of each server that is to be checked; returns those that are no longer down.
+        """Replaces the rules of all servers. Returns the servers that were down and are no longer checked.
 
-        A server that is new here is checked first at random within its period: limiters don't come together.
+        The first check of a new server is at a random time within its period, so that limiters do not check
+        it at the same moment.
         """
         recovered = [ident for ident, known in self.servers.items() if ident not in rules and known.is_down]
         for ident in self.servers.keys() - rules.keys():
@@ -51,24 +52,24 @@
 
     @property
     def next_due_ms(self) -> float | None:
-        """When `due` has something to say."""
+        """When the next check is due; None without servers."""
         return self._due[0][0] if self._due else None
 
     def start_due(self, now_ms: float) -> list[int]:
-        """The servers to check now; a late call delays checks, it never doubles them."""
+        """Starts the due checks and returns their servers. A late call delays checks, never repeats them."""
         started = []
         while self._due and self._due[0][0] <= now_ms:
             due_ms, ident = heapq.heappop(self._due)
-            # One that was removed and came again has a time of its own; the older entry is void.
+            # A server that was removed and added again has a new due time; its old entry is ignored.
             if (known := self.servers.get(ident)) and known.due_ms == due_ms and not known.in_progress:
                 known.in_progress = True
                 started.append(ident)
         return started
 
     def record_result(self, now_ms: float, ident: int, is_healthy: bool) -> bool | None:
-        """Book an answer: `fall` bad ones in a row put a server down, `rise` good ones up again.
+        """Records a result: `fall` consecutive failures mark a server down, `rise` successes up again.
 
-        Returns the verdict where it has changed: True for up.
+        Returns the new verdict if it has changed (True: up), else None.
         """
         if (known := self.servers.get(ident)) is None or not known.in_progress:
             return None
--- a/basaltpoint/membership/discovery.py
+++ b/basaltpoint/membership/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the list of servers and its watch, taken up again with backoff when it breaks."""
+"""Client of the discovery service: keeps a watch on the list of servers and reconnects with backoff."""
 
 from __future__ import annotations
 
@@ -21,73 +21,74 @@
 
 log = logging.getLogger(__name__)
 
-WATCH_TIMEOUT_S = (
-    3.0  # the agent writes every 2 s; what it tells counts as told after 6 s, two lost calls later
-)
+# The agent writes at least every 2 s. Changes missed on a silent watch count as delivered after 6 s, which
+# leaves time for two lost calls after this timeout.
+WATCH_TIMEOUT_S = 3.0
 CONNECT_TIMEOUT_S = 1.0
-MIN_HEARTBEAT_AGE_S = (
-    1.0  # an empty line so long after a call is an agent's sign that nothing changes, as it writes every 2 s
-)
-RETURN_DELAY_FRACTION = 0.1  # of a wait between two calls, where discovery seems to be back
-FAILURE_LOG_INTERVAL_S = 1.0  # between two log lines on calls that fail
-READ_BATCH_DELAY_S = (
-    0.02  # what follows so closely on what was read before is read together, so much later at most
-)
-LIST_TIMEOUT_S = 1.0  # for the rest of a list to come; the agent writes it in one go
+# The agent sends an empty line every 2 s while nothing changes. An empty line counts as such a heartbeat only
+# if it arrives this long after the request.
+MIN_HEARTBEAT_AGE_S = 1.0
+RETURN_DELAY_FRACTION = 0.1  # of the delay between two calls, used when discovery seems to be back
+FAILURE_LOG_INTERVAL_S = 1.0  # minimum time between two log lines on failed calls
+READ_BATCH_DELAY_S = 0.02  # reading pauses this long so that changes in quick succession are read together
+LIST_TIMEOUT_S = 1.0  # for the rest of a partly received list; the agent writes each list in one go
 
 
 class _WatchEventHandler(Protocol):
-    """Who hears of what a watch says."""
+    """Receives the events of one watch connection."""
 
     def list_received(self, stream: _WatchConnection, raw: Any) -> bool:
-        """An object has come; False where it can't be used."""
+        """A JSON object was received. Returns False if it cannot be used."""
 
     def data_received(self, stream: _WatchConnection, is_heartbeat: bool) -> None:
-        """Something has come; `quiet`: it says that nothing is new."""
+        """Data was received. `is_heartbeat`: it is an empty line, sent while nothing changes."""
 
     def read_finished(self) -> None:
-        """All objects that came together have been told."""
+        """All objects of one read have been reported."""
 
     def partial_list_received(self, stream: _WatchConnection) -> None:
-        """A list has begun to come and is not whole."""
+        """The beginning of a list was received, but not its end."""
 
     def call_refused(self, stream: _WatchConnection) -> None:
-        """The call was answered with a refusal."""
+        """The server refused the call with an HTTP status other than 200."""
 
     def closed_by_peer(self, stream: _WatchConnection) -> None:
-        """The other side has ended the connection."""
+        """The server closed the connection."""
 
     def connection_closed(self, stream: _WatchConnection) -> None:
-        """The connection has ended."""
+        """The connection is closed."""
 
 
 class _WatchConnection(asyncio.Protocol):
-    """One watch: cuts the chunked answer into objects."""
+    """The connection of one watch: splits the chunked HTTP response into JSON objects."""
 
     def __init__(self, handler: _WatchEventHandler) -> None:
         self._handler = handler
         self._parser = httptools.HttpResponseParser(self)
         self._object_stream = JsonObjectStream()
         self._body = b""
-        self._is_watch_response = False  # the answer is one to a watch
-        self._closed_locally = False  # this side ended it
+        self._is_watch_response = False  # the response status is 200
+        self._closed_locally = False
         self._transport: asyncio.Transport | None = None
-        self._list_timer: asyncio.TimerHandle | None = None  # runs while a list has come in part
+        self._list_timer: asyncio.TimerHandle | None = None  # runs while a list is partly received
         self.closed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.requested_at = self.last_received_at = asyncio.get_running_loop().time()
-        self._last_list_at = -math.inf  # when a read last held the end of a list
-        self.has_response = False  # bytes of an answer have come
-        self.awaits_first_list = True  # none of its lists has counted
-        self.has_list = False  # a list has come whole
+        self._last_list_at = -math.inf  # when a read last completed a list, loop time in seconds
+        self.has_response = False  # at least one byte of the response was received
+        self.awaits_first_list = True  # no list of this watch has been accepted
+        self.has_list = False  # a complete list was received
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's own is no subclass of it
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass of it
 
     def data_received(self, data: bytes) -> None:
         self.last_received_at = now = asyncio.get_running_loop().time()
         if not self.has_response:
             self.has_response = True
-            log.info("discovery: first word %.3f s after the call", self.last_received_at - self.requested_at)
+            log.info(
+                "discovery: first byte received %.3f s after the call",
+                self.last_received_at - self.requested_at,
+            )
         try:
             self._parser.feed_data(data)
             body, self._body = self._body, b""
@@ -98,16 +99,16 @@
             if not self._deliver(body, now):
                 return
         except (httptools.HttpParserError, MalformedStreamError) as error:
-            log.warning("discovery: the watch can't be read: %r", error)
+            log.warning("discovery: invalid watch response: %r", error)
             self.close()
             return
-        # A list that stops half way is asked for anew; empty lines behind it must not keep it waiting.
+        # A list that stays incomplete is requested again; heartbeats behind it must not restart the timer.
         if self._object_stream.has_partial_object and not self._list_timer:
             self._handler.partial_list_received(self)
             self._list_timer = asyncio.get_running_loop().call_later(LIST_TIMEOUT_S, self._list_timed_out)
 
     def _deliver(self, body: bytes, now: float) -> bool:
-        """Hand on the objects that end in these bytes; False where one can't be used."""
+        """Reports the objects that these bytes complete. Returns False if one of them cannot be used."""
         lists = 0
         try:
             for raw_list in self._object_stream.feed(body):
@@ -119,7 +120,8 @@
         finally:
             self._handler.read_finished()
         if lists:
-            # The read before came late itself, where it was gathered. Nothing waits that has come in part.
+            # If the previous read was delayed by a pause, it counts too. A partly received list is never
+            # delayed.
             if (
                 now < self._last_list_at + 2 * READ_BATCH_DELAY_S
                 and not self._object_stream.has_partial_object
@@ -129,7 +131,7 @@
         return True
 
     def _pause_reading(self) -> None:
-        """Let what follows closely come together: each waking of the process costs more than a change."""
+        """Pauses reading to read close changes together: a wakeup costs more than a change."""
         if self._transport and not self._transport.is_closing():
             self._transport.pause_reading()
             asyncio.get_running_loop().call_later(READ_BATCH_DELAY_S, self._resume_reading)
@@ -139,19 +141,19 @@
             self._transport.resume_reading()
 
     def _cancel_list_timer(self) -> None:
-        """Nothing is awaited of the list that was coming."""
+        """Stops the timer of a partly received list."""
         if self._list_timer:
             self._list_timer.cancel()
             self._list_timer = None
 
     def _list_timed_out(self) -> None:
-        log.warning("discovery: a list stopped half way")
+        log.warning("discovery: the rest of a list did not arrive in time")
         self.close()
 
     def on_headers_complete(self) -> None:
         self._is_watch_response = (status := self._parser.get_status_code()) == 200
         if not self._is_watch_response:
-            log.warning("discovery: answered %d", status)
+            log.warning("discovery: the watch was refused with status %d", status)
             self._handler.call_refused(self)
             self.close()
 
@@ -163,7 +165,7 @@
         self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        log.info("discovery: a watch has ended: %s", repr(exc) if exc else "closed")
+        log.info("discovery: watch connection closed: %s", repr(exc) if exc else "no error")
         if not self._closed_locally:
             self._handler.closed_by_peer(self)
         self._cancel_list_timer()
@@ -183,10 +185,10 @@
 
 
 class Watch:
-    """Keeps one watch open and hands on each list that says something new.
+    """Keeps one watch open and reports each list that contains something new.
 
-    One that has fallen silent is listened to until another one speaks: nobody can tell from here whether
-    its connection is gone or the agent has nothing to say, and between two watches nothing would be heard.
+    A watch without data is kept open until another watch receives data: the limiter cannot tell whether the
+    connection is lost or the agent has nothing to send, and no change would be received between two watches.
     """
 
     def __init__(
@@ -197,38 +199,37 @@
         lease: MembershipLease | None = None,
         on_lease_change: Callable[[], None] = lambda: None,
     ) -> None:
-        """`lease`: of the list of servers, kept by what the watch hears; `on_lease` hears of its changes."""
+        """`lease`: the membership lease that the watch renews; `on_lease_change`: called when it changes."""
         self._address = address
         self._lease = lease or MembershipLease(0.0, 0.0)
         self._on_lease_change = on_lease_change
         self._failure_logged_at = -math.inf
-        self._confirmed_connection: _WatchConnection | None = None  # the watch whose word was the latest
+        self._confirmed_connection: _WatchConnection | None = None  # the watch that last renewed the lease
         self._batch = ChangeBatch()
-        self._up_to_date_connection: _WatchConnection | None = (
-            None  # has told all that there is, as soon as that is applied
-        )
-        self._discovery_returned = False  # discovery seems to be back: what it has is to be heard soon
+        # This watch has delivered everything up to now; it renews the lease once its changes are applied.
+        self._up_to_date_connection: _WatchConnection | None = None
+        self._discovery_returned = False  # discovery seems to be back, so the next call is made sooner
         self._backoff = backoff
         self._on_list = on_list
         self._call_timeout: asyncio.Timeout | None = None
-        self._silent_connection: _WatchConnection | None = None  # has fallen silent, and may speak yet
+        self._silent_connection: _WatchConnection | None = None  # timed out, but may still receive data
         self.seq = 0
 
     def set_address(self, address: Address) -> None:
-        """Follow another agent at once; what the last one told stays known."""
+        """Switches to another agent at once; the servers known so far are kept."""
         if address != self._address:
             self._address = address
             self._lease.agent_changed(monotonic())
-            self._confirmed_connection = None  # its end, which follows, loses nothing that counts
+            self._confirmed_connection = None  # the end of the old connection must not shorten the lease
             self._on_lease_change()
             if self._call_timeout is None:
-                self.seq = 0  # what is known has another agent's version
-            elif not self._call_timeout.expired():  # else it moves already, and goes to the latest address
+                self.seq = 0  # the known version is the previous agent's
+            elif not self._call_timeout.expired():  # if expired, the switch is under way with this address
                 self._call_timeout.reschedule(asyncio.get_running_loop().time())
 
     async def run(self) -> None:
-        """Watch for ever; each break is followed by a new watch from the last version read."""
-        waits = False  # what is known at the start may be old: a drain told since is to be heard at once
+        """Watches until cancelled; after each interruption a new watch starts at the last version read."""
+        waits = False  # the first call is made at once: the known list may be old and miss a drain
         try:
             while True:
                 try:
@@ -240,9 +241,9 @@
                             )
                         self._discovery_returned = False
                         waits = True
-                        self._backoff.record_failure()  # until it is served
+                        self._backoff.record_failure()  # until the call succeeds
                         await self._follow_once()
-                except TimeoutError:  # moved: the new agent counts its versions from where it likes
+                except TimeoutError:  # the address has changed; the new agent has its own version numbers
                     self._keep_silent(None)
                     self.seq, waits = 0, False
                     self._backoff.record_success()
@@ -255,10 +256,10 @@
         except OSError as error:
             if monotonic() - self._failure_logged_at >= FAILURE_LOG_INTERVAL_S:
                 self._failure_logged_at = monotonic()
-                log.warning("discovery: %r", error)
+                log.warning("discovery: call failed: %r", error)
         except Exception:
-            # A fault of this program: without a watch every drain from here on would be overheard.
-            log.exception("discovery: the watch failed and is taken up again")
+            # An internal error must not end the task: without a watch every later drain would be missed.
+            log.exception("discovery: internal error in the watch; reconnecting")
 
     async def _follow(self) -> None:
         loop = asyncio.get_running_loop()
@@ -278,8 +279,8 @@
             query = f"GET /discovery/hosts?follow=1&since={self.seq} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n"
             assert stream._transport
             stream._transport.write(query.encode())
-            log.info("discovery: %s:%d is asked for what followed version %d", host, port, self.seq)
-            # TCP does not tell that the other machine vanished: only its silence does.
+            log.info("discovery: requesting from %s:%d the changes after version %d", host, port, self.seq)
+            # TCP does not report that the other host has vanished; only missing data shows it.
             while not stream.closed.done():
                 remaining_s = (
                     stream.last_received_at
@@ -287,7 +288,7 @@
                     - loop.time()
                 )
                 if remaining_s <= 0:
-                    log.warning("discovery: no word for %.1f s", loop.time() - stream.last_received_at)
+                    log.warning("discovery: no data for %.1f s", loop.time() - stream.last_received_at)
                     self._keep_silent(stream)
                     return
                 await asyncio.wait([stream.closed], timeout=remaining_s)
@@ -296,34 +297,34 @@
                 stream.abort()
 
     def _keep_silent(self, stream: _WatchConnection | None) -> None:
-        """Listen on to one that has fallen silent, in place of the one before it."""
+        """Keeps a watch that has timed out open, in place of an earlier one."""
         if self._silent_connection and not self._silent_connection.closed.done():
             if stream and self._silent_connection.last_received_at > stream.last_received_at:
-                return  # the one before has spoken since this one was asked for
+                return  # the earlier watch has received data since this one was requested
             self._silent_connection.abort()
         self._silent_connection = stream
 
-    # --- What a watch says, as its listener ------------------------------------------------------------
+    # --- Events of a watch connection ------------------------------------------------------------------
     def data_received(self, stream: _WatchConnection, is_heartbeat: bool) -> None:
-        """A watch speaks: none before it is needed. With `quiet` it says that nothing is new."""
+        """Closes the silent watch if another one receives data; a heartbeat confirms the known list."""
         if stream is not self._silent_connection:
             self._keep_silent(None)
         if is_heartbeat:
             self._backoff.record_success()
-            # The first answer to a call is a list: an empty line ahead of it says nothing yet.
+            # The first response to a call is a list: an empty line before it confirms nothing.
             if stream.has_list or stream.last_received_at >= stream.requested_at + MIN_HEARTBEAT_AGE_S:
                 self._renew_lease(stream)
 
     def list_received(self, stream: _WatchConnection, raw: Any) -> bool:
-        """Take one list; False where it must be asked for again."""
+        """Accepts one list. Returns False if it must be requested again."""
         try:
             host_list, is_complete = parse_list(raw)
         except ValueError as error:
-            log.warning("discovery: a list can't be read: %r", error)
+            log.warning("discovery: invalid list: %r", error)
             return False
         self._backoff.record_success()
         stream.has_list = True
-        # Repeats and stragglers are old news; only the first list of a watch may start versions anew.
+        # Repeated and late lists are ignored; only the first list of a watch may restart the version numbers.
         if host_list.seq <= self.seq and not (stream.awaits_first_list and host_list.whole):
             self._up_to_date_connection = stream
             return True
@@ -340,7 +341,7 @@
         return is_complete
 
     def read_finished(self) -> None:
-        """Hand on what came together; only then may it be acted on as current."""
+        """Applies the changes of one read, and renews the lease only afterwards."""
         self._apply_batch()
         current, self._up_to_date_connection = self._up_to_date_connection, None
         if current:
@@ -351,7 +352,7 @@
             self._on_list(changes)
 
     def partial_list_received(self, stream: _WatchConnection) -> None:
-        """What the rest of the list says has been told, and can't be acted on."""
+        """Shortens the lease: the rest of the list counts as delivered and cannot be applied yet."""
         self._lease.partial_list_received(monotonic())
         self._on_lease_change()
 
@@ -365,14 +366,14 @@
         self._on_lease_change()
 
     def connection_closed(self, stream: _WatchConnection) -> None:
-        """What discovery tells from here on is not heard, unless another watch is open."""
+        """Shortens the lease, unless another watch is open: changes are no longer received."""
         if stream is self._confirmed_connection:
             self._confirmed_connection = None
             self._lease.watch_lost(monotonic())
             self._on_lease_change()
 
     def _renew_lease(self, stream: _WatchConnection) -> None:
-        """Up to now all that was told has been heard."""
+        """Renews the lease: every change up to now has been received."""
         self._confirmed_connection = stream
         self._lease.renew(monotonic())
         self._on_lease_change()
--- a/basaltpoint/membership/hosts.py
+++ b/basaltpoint/membership/hosts.py
@@ -1,4 +1,4 @@
-"""Lists of servers as discovery writes them, and their entries."""
+"""Discovery's lists of servers and their entries."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Host(NamedTuple):
-    """A server as discovery tells of it."""
+    """An entry of discovery's list: one server."""
 
     name: str
     address: Address
@@ -27,11 +27,11 @@
     cell: int
     state: api.ServerState
     rating: float
-    born_ms: float  # Unix time, 0 for long ago
+    born_ms: float  # start of the server, Unix time; 0 if it lies far in the past or is unknown
 
 
 class HostList(NamedTuple):
-    """One list: whole, or what changed up to a version."""
+    """A full list (`whole`), or the changes that lead to the version `seq`."""
 
     seq: int
     whole: bool
@@ -51,7 +51,7 @@
         raise ValueError(f"no host: {raw!r}")
     return Host(
         name=name,
-        # One that left may come without an address: nothing is sent there any more.
+        # A server that has left may be listed without an address; nothing is sent to it any more.
         address=("", 0) if state is api.ServerState.GONE else parse_address(raw["dial"]),
         zone=str(raw.get("site", "")),
         cell=int(raw.get("block", 0)),
@@ -62,7 +62,7 @@
 
 
 def host_to_json(host: Host) -> dict[str, Any]:
-    """An entry as discovery writes it."""
+    """Converts a server to an entry of discovery's JSON list."""
     address = f"[{host.address[0]}]" if ":" in host.address[0] else host.address[0]
     return {
         "host": host.name,
@@ -76,10 +76,10 @@
 
 
 def parse_list(raw: Any) -> tuple[HostList, bool]:
-    """A list and whether all of it could be read; ValueError where it is none at all.
+    """Returns the list and whether every entry is valid; ValueError if `raw` is not a list of hosts.
 
-    A list with an entry that can't be read is no longer whole: what it does not name may be that
-    entry, and must not count as gone.
+    A list with an invalid entry does not count as full: a server that it seems to omit may be that entry, and
+    must not be removed.
     """
     if not isinstance(raw, dict) or not isinstance(raw.get("hosts"), list):
         raise ValueError("not a list of hosts")
@@ -91,6 +91,6 @@
         try:
             hosts.append(_parse_host(entry))
         except (KeyError, TypeError, ValueError, OverflowError, ConfigError) as error:
-            log.warning("discovery: entry of list %d skipped: %r", seq, error)
+            log.warning("discovery: invalid entry skipped in list version %d: %r", seq, error)
             is_complete = False
     return HostList(seq, is_complete and raw.get("whole") is True, tuple(hosts)), is_complete
--- a/basaltpoint/membership/json_stream.py
+++ b/basaltpoint/membership/json_stream.py
@@ -1,4 +1,4 @@
-"""JSON objects in a stream of bytes: found by where their braces close, however lines and chunks fall."""
+"""Splits a stream of bytes into JSON objects by their braces, independent of line breaks and chunks."""
 
 from __future__ import annotations
 
@@ -7,41 +7,41 @@
 from collections.abc import Iterator
 from typing import Any
 
-_STRUCTURAL = re.compile(rb'["{}]')  # what counts within an object,
-_IN_STRING = re.compile(rb'["\\]')  # and within a string of it
+_STRUCTURAL = re.compile(rb'["{}]')  # outside strings
+_IN_STRING = re.compile(rb'["\\]')
 _NON_SPACE = re.compile(rb"[^ \t\r\n]")
-MAX_OBJECT_BYTES = 4 << 20  # bytes; an object that never ends must not fill the memory
+MAX_OBJECT_BYTES = 4 << 20  # limits the memory that an object without an end can use
 
 
 class MalformedStreamError(ValueError):
-    """What is wrong with the stream: nothing behind this place can be found."""
+    """The stream is malformed, and nothing after this position can be parsed."""
 
 
 class JsonObjectStream:
-    """Cuts one object after the other out of what comes; linear in its length, bounded in size.
+    """Extracts JSON objects from incoming bytes, in linear time and bounded memory.
 
-    An object may be spread over lines, and several may share one. One that stands whole on its line, as an
-    agent mostly writes it, is found without a look at each of its strings.
+    An object may span several lines, and one line may hold several objects. An object that fills exactly one
+    line, which is the usual form, is parsed without scanning its strings.
     """
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._scanned = 0  # up to here an open object has been looked through
-        self._line_start = 0  # where its latest line begins
-        self._line_scanned = 0  # up to here that line has been looked through for its end
+        self._scanned = 0  # bytes of the open object that have been scanned
+        self._line_start = 0  # where the open object's latest line begins
+        self._line_scanned = 0  # bytes that have been searched for the end of that line
         self._depth = 0
-        self._in_string = False  # a string
+        self._in_string = False
 
     @property
     def has_partial_object(self) -> bool:
-        """Whether part of an object has come."""
+        """Whether part of an object has been received."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[dict[str, Any]]:
-        """The objects that these bytes complete, each as soon as it is found.
+        """Yields the objects that these bytes complete, each as soon as its end is found.
 
-        BrokenError for what is no object, for one too long, and for one that breaks off before another
-        list: the rest of it does not come any more.
+        Raises MalformedStreamError for data that is not an object, for an object that is too long, and for
+        one that is truncated and followed by another list.
         """
         self._buffer += data
         while (parsed := self._pop_object()) is not None:
@@ -54,7 +54,7 @@
         self._scanned = self._line_start = self._line_scanned = self._depth = 0
 
     def _pop_object(self) -> dict[str, Any] | None:
-        """Take the first object out; None as long as it is not whole."""
+        """Removes and returns the first object; None while it is incomplete."""
         buffer = self._buffer
         if not self._scanned:
             first = _NON_SPACE.search(buffer)
@@ -75,7 +75,7 @@
         return parsed
 
     def _object_end(self) -> int:
-        """Where the first object ends; 0 as long as it is not whole."""
+        """Returns where the first object ends; 0 while it is incomplete."""
         buffer = self._buffer
         while found := (_IN_STRING if self._in_string else _STRUCTURAL).search(buffer, self._scanned):
             at, token = found.start(), found[0]
@@ -96,7 +96,7 @@
         return 0
 
     def _check_lines(self) -> None:
-        """A whole list on a line of its own, within an object: what was open there has broken off."""
+        """Raises an error if a line within the open object holds a whole list: the object was truncated."""
         while (end := self._buffer.find(b"\n", max(self._line_start, self._line_scanned))) >= 0:
             parsed = _parse_line(self._buffer[self._line_start : end]) if self._line_start else None
             if parsed is not None and "hosts" in parsed:
@@ -106,7 +106,7 @@
 
 
 def _parse_line(line: bytearray) -> dict[str, Any] | None:
-    """The object that fills a line; None where none does."""
+    """Returns the object that fills a line; None if the line is not one object."""
     if not line.startswith(b"{") or not line.rstrip().endswith(b"}"):
         return None
     try:
@@ -116,7 +116,7 @@
 
 
 def _decode(raw: bytearray) -> dict[str, Any]:
-    """What stands between two braces that close; BrokenError where it can't be read."""
+    """Parses a JSON object; MalformedStreamError if it is invalid."""
     try:
         parsed: dict[str, Any] = json.loads(raw.decode())
     except (ValueError, RecursionError) as error:
--- a/basaltpoint/membership/lease.py
+++ b/basaltpoint/membership/lease.py
@@ -1,19 +1,20 @@
-"""Whether the list of servers may still be acted on: a lease that every word of discovery's watch renews.
+"""The membership lease: whether the list of servers is still current enough to send requests.
 
-A list is only as good as the certainty that its changes would have been heard. What the agent on this machine
-has counts as told to the limiter, whether or not a watch is open and from a process's first moment on. So the
-lease runs out as soon as a change could have been told for as long as the settings allow, unheard: at a start
-at once, after a watch has ended or while a list has come in part after the grace, after silence and after a
-change of configuration later. Until the next word nothing is sent.
+A list is valid only while the limiter can be sure that it would have received a change. What the agent on
+this host knows counts as delivered to the limiter, whether or not a watch is open, from the start of the
+process on. The lease therefore expires as soon as a change could have gone unnoticed for as long as the
+settings allow: at once at a start; after the drain grace when a watch has ended or a list is only partly
+received; later after silence and after a change of configuration. No request is sent until discovery responds
+again.
 
-Where lists are asked for instead (`registryMode` is `subscribe`), a change counts as told when it was
-written to the limiter. One that keeps asking, and is refused by a crowded discovery, has 6 s, and at a start
-four times `askWithinMs`: it acts on what it knows meanwhile.
+If lists are polled (`registryMode` is `subscribe`), a change counts as delivered when it was written to the
+limiter. A limiter that keeps polling and is refused by an overloaded discovery has 6 s, and at a start four
+times `askWithinMs`; meanwhile it uses the list that it knows.
 
-Where discovery can't be reached at all, nothing is told either, and a limiter serves on with what it knows
-(fail static). A living agent answers a call at once, so the sign is a row of calls without a word.
+While discovery is unreachable, no change can be announced, and the limiter keeps using the known list (fail
+static). A running agent responds to a call at once, so consecutive calls without a response show this state.
 
-A machine without I/O; all times are monotonic seconds.
+The lease is a state machine without I/O; all times are monotonic seconds.
 """
 
 from __future__ import annotations
@@ -23,29 +24,27 @@
 from basaltpoint.policy.send_rules import MAX_STALL_S
 
 WATCH_SILENCE_TIMEOUT_S = (
-    6.0  # what a silent watch misses counts as told so long after it fell silent (STANDING)
+    6.0  # changes missed on a silent watch count as delivered after this time (STANDING)
 )
-AGENT_CHANGE_TIMEOUT_S = (
-    4.0  # what the new agent has counts as told so long after a change of configuration (STANDING)
-)
-FAILED_CALL_INTERVALS = (
-    4  # times `askWithinMs` a limiter whose call failed need not know of a change (wire's page)
-)
-UNREACHABLE_TIMEOUT_S = (
-    1.25  # from the first call without a word on. Longer costs what limiters that restart in an
-)
-# outage do not serve (2.5 s: 0.06 of herd+mass); shorter breaks the rule on drains behind an agent that slow
-REFUSED_TIMEOUT_S = 3.0  # the same where discovery has refused a call: it lives, and may be heard in a moment
-MIN_UNREACHABLE_CALLS = 2  # at least so many: one may have been lost on its way
+# Changes known to a new agent count as delivered this long after the change of configuration (STANDING).
+AGENT_CHANGE_TIMEOUT_S = 4.0
+# A limiter whose calls fail may miss changes for this many times `askWithinMs` (protocol page).
+FAILED_CALL_INTERVALS = 4
+# Counted from the first call without a response. A longer time withholds requests on limiters that restart
+# during an outage (2.5 s: 0.06 of the requests of the herd+mass scenario); a shorter one breaks the rule on
+# drains if the agent is this slow.
+UNREACHABLE_TIMEOUT_S = 1.25
+REFUSED_TIMEOUT_S = 3.0  # the same after discovery has refused a call: it runs, and may respond soon
+MIN_UNREACHABLE_CALLS = 2  # a single call may have been lost on the network
 
 
 class MembershipLease:
-    """The lease of one limiter's list of servers; where lists are pushed it begins expired."""
+    """The lease on one limiter's list of servers. If lists are pushed, it is expired at first."""
 
     def __init__(self, now: float, drain_grace_s: float, max_poll_interval_s: float | None = None) -> None:
-        """`grace_s`: how long after a drain was told requests may still go to its server.
+        """`drain_grace_s`: how long after the announcement of a drain requests may still go to the server.
 
-        `ask_within_s`: where lists are asked for, how often at least; None where they are pushed.
+        `max_poll_interval_s`: the longest time between two polls; None if lists are pushed.
         """
         self._allowance_s = max(0.0, drain_grace_s - MAX_STALL_S)
         is_polled = max_poll_interval_s is not None
@@ -53,12 +52,12 @@
         self._expires_at = now + min(
             WATCH_SILENCE_TIMEOUT_S, FAILED_CALL_INTERVALS * (max_poll_interval_s or 0.0)
         )
-        self._first_call_at: float | None = None  # the first call since the last word
-        self._calls = 0  # since the last word
-        self._was_refused = False  # one of them, by discovery itself
+        self._first_call_at: float | None = None  # first call since discovery last responded
+        self._calls = 0  # since discovery last responded
+        self._was_refused = False  # discovery refused one of these calls
 
     def expires_at(self, now: float) -> float:
-        """When the lease expires, as things stand; infinite while discovery can't be reached."""
+        """Returns when the lease expires in the present state; infinite while discovery is unreachable."""
         return math.inf if self._is_unreachable(now) else self._expires_at
 
     def _is_unreachable(self, now: float) -> bool:
@@ -68,42 +67,42 @@
             REFUSED_TIMEOUT_S if self._was_refused else UNREACHABLE_TIMEOUT_S
         )
 
-    # --- What happens to the watch ---------------------------------------------------------------------
+    # --- Events of the watch ---------------------------------------------------------------------------
     def call_started(self, now: float) -> None:
-        """A call to discovery begins."""
+        """Records the start of a call to discovery."""
         self._calls += 1
         if self._first_call_at is None:
             self._first_call_at = now
 
     def call_failed_locally(self) -> None:
-        """The call could not be made by this machine's own trouble: it says nothing of discovery."""
+        """Discounts a call that failed through a local error: it says nothing about discovery."""
         self._calls -= 1
 
     def call_refused(self) -> None:
-        """Discovery answered a call with a refusal."""
+        """Records that discovery refused a call."""
         self._was_refused = True
 
     def closed_by_peer(self) -> None:
-        """The other side ended a call that was open: it is there, or is back after an absence.
+        """Records that the peer closed an open call: discovery is running, or back after an outage.
 
-        A machine that was cut off resets what stood open once it returns (protocol page, "The network").
+        A host that was cut off resets its open connections once it returns (protocol page, "The network").
         """
         self._first_call_at, self._calls = None, 0
 
     def partial_list_received(self, now: float) -> None:
-        """Part of a list came, and no more: discovery lives, has news, and may be heard in a moment."""
+        """Records part of a list: discovery runs and has changes, the rest of which may arrive soon."""
         self.watch_lost(now)
         self._first_call_at, self._calls, self._was_refused = None, 0, True
 
     def renew(self, now: float) -> None:
-        """The watch told a list, or that nothing is new."""
+        """Renews the lease: the watch delivered a list or a heartbeat."""
         self._expires_at = now + WATCH_SILENCE_TIMEOUT_S + self._allowance_s
         self._first_call_at, self._calls, self._was_refused = None, 0, False
 
     def watch_lost(self, now: float) -> None:
-        """From now on a change may go unheard: the watch has ended, or a list has come in part."""
+        """Shortens the lease: the watch has ended or a list is partly received, so changes may be missed."""
         self._expires_at = min(self._expires_at, now + self._unwatched_s)
 
     def agent_changed(self, now: float) -> None:
-        """The configuration names another agent."""
+        """Shortens the lease after the configuration has named another agent."""
         self._expires_at = min(self._expires_at, now + AGENT_CHANGE_TIMEOUT_S + self._allowance_s)
--- a/basaltpoint/membership/list_log.py
+++ b/basaltpoint/membership/list_log.py
@@ -1,4 +1,4 @@
-"""Log lines on lists of servers, one a second at most: a rolling fleet changes hundreds of times a second."""
+"""Rate-limited log lines on lists of servers, as a rolling release changes hundreds of entries a second."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 log = logging.getLogger(__name__)
 
-LOG_INTERVAL_S = 1.0  # between two lines
+LOG_INTERVAL_S = 1.0  # minimum time between two lines
 
 
 class ListLog:
-    """Sums up what lists said since the last line."""
+    """Sums up the lists received since the last log line."""
 
     def __init__(self) -> None:
         self._logged_at = -math.inf
@@ -21,7 +21,7 @@
         self._kind = ListKind.FULL
 
     def record(self, now_s: float, version: int, kind: ListKind, listed: int, changed: int) -> None:
-        """Take a list down; `named` and `changed` are counts of servers."""
+        """Adds a list; `listed` and `changed` are numbers of servers."""
         self._lists += 1
         self._listed += listed
         self._changed += changed
@@ -29,7 +29,7 @@
         self.flush(now_s)
 
     def flush(self, now_s: float) -> None:
-        """Log what was taken down, unless a line was written within the last second."""
+        """Logs the lists since the last line, unless that line is less than a second old."""
         if not self._lists or now_s < self._logged_at + LOG_INTERVAL_S:
             return
         lists = f" by {self._lists} lists" if self._lists > 1 else ""
--- a/basaltpoint/membership/server_starts.py
+++ b/basaltpoint/membership/server_starts.py
@@ -1,11 +1,11 @@
-"""When servers started, on this process's own clock, though wall clocks step.
-
-Discovery tells a start in Unix time (`born_ms`). What that is on the monotonic clock depends on how the
-two clocks stood to each other then: a step of the wall clock, ours or all machines', moves every start
-that is converted by the wrong offset, into the past (slow start is skipped, and a cold server is pushed
-over) or the future (it stays cold). So each offset that was seen is remembered, and a start is the
-latest one that does not lie in the future: where that errs, a server is spared for longer than it had to
-be. A start that was told before stays what it was.
+"""Start times of servers on this process's monotonic clock, unaffected by steps of wall clocks.
+
+Discovery reports a start in Unix time (`born_ms`). Its monotonic equivalent depends on the offset between the
+two clocks at that moment. After a step of the wall clock, on this host or on all hosts, the wrong offset
+moves a start into the past (slow start is skipped and a cold server is overloaded) or into the future (the
+server stays cold). All offsets seen are therefore remembered, and a start is converted to the latest time
+that does not lie in the future. Where that is wrong, a server is protected for longer than necessary. A start
+that was converted once keeps its value.
 """
 
 from __future__ import annotations
@@ -15,35 +15,34 @@
 
 log = logging.getLogger(__name__)
 
-MIN_STEP_MS = (
-    200.0  # a change of the offset by more is a step; clocks that are slewed drift less between two looks
-)
-MAX_OFFSETS = 16  # offsets; older steps concern servers that are warm by now
-MAX_AHEAD_MS = 1000.0  # by which a start may seem to lie in the future: clocks of machines differ a little
+# A larger change of the offset is a step; clocks that are slewed drift less between two observations.
+MIN_STEP_MS = 200.0
+MAX_OFFSETS = 16  # older steps only concern servers whose slow start is over
+MAX_AHEAD_MS = 1000.0  # how far a start may seem to lie in the future, as the clocks of hosts differ slightly
 
 
 class ServerStarts:
-    """The starts of the servers of one list; times in ms."""
+    """The start times of the servers of one list, in milliseconds."""
 
     def __init__(self, offset_ms: float) -> None:
-        """`offset_ms`: what has to be added to Unix time for this process's clock."""
+        """`offset_ms`: this process's clock minus Unix time."""
         self._offsets = deque([offset_ms], maxlen=MAX_OFFSETS)
-        self._starts: dict[str, tuple[float, float]] = {}  # as told, and as converted then
+        self._starts: dict[str, tuple[float, float]] = {}  # `born_ms` as reported, and its converted time
 
     @property
     def offset_ms(self) -> float:
-        """The latest offset."""
+        """The latest offset between the clocks."""
         return self._offsets[-1]
 
     def observe_clocks(self, now_ms: float, wall_ms: float) -> None:
-        """Look at both clocks at once."""
+        """Records the present offset between the clocks, if it has changed by a step."""
         offset = now_ms - wall_ms
         if abs(offset - self._offsets[-1]) > MIN_STEP_MS:
             log.warning("the wall clock has stepped by %+.3f s", (self._offsets[-1] - offset) / 1000)
             self._offsets.append(offset)
 
     def started_ms(self, name: str, born_ms: float, now_ms: float) -> float:
-        """When the server started that discovery tells so; 0: long ago."""
+        """Returns a server's start on this process's clock; 0 if it lies far in the past or is unknown."""
         if born_ms <= 0:
             return 0.0
         known_born_ms, start_ms = self._starts.get(name, (0.0, 0.0))
@@ -56,5 +55,5 @@
         return start_ms
 
     def forget(self, name: str) -> None:
-        """The server is gone."""
+        """Removes a server that has left the list."""
         self._starts.pop(name, None)
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -278,7 +278,7 @@
     names = [line.partition(b":")[0].lower() for line in lines]
     assert not message.HOP_BY_HOP_HEADERS & set(names)
     named = message.connection_options(request.fields.get("connection", ""))
-    assert not {n for n in names if n in named} - message.WAY - message.REBUILT_HEADERS
+    assert not {n for n in names if n in named} - message.FORWARDED_HEADERS - message.REBUILT_HEADERS
     assert names.count(b"host") == names.count(b"via") == names.count(b"x-forwarded-for") == 1
 
 
--- a/tests/test_standalone_accept.py
+++ b/tests/test_standalone_accept.py
@@ -31,7 +31,7 @@
             failing = FailingListener(acceptor, name, 4)
             client = await rig.connect()
             assert (await client.ask(request())).code == 200
-            assert failing.left == 0
+            assert failing.failures_left == 0
             left = [other for other in kept if not other.reader.at_eof()]
             # Where this process has no descriptors left, one that rests makes room at each try.
             assert len(left) == (5 if name == "EMFILE" else 9)
