--- a/basaltpoint/fronts/http/relay.py
+++ b/basaltpoint/fronts/http/relay.py
@@ -121,7 +121,7 @@
         self.servers.update_settings(upstream.connect_ms / 1000, upstream.idle_ms / 1000)
         self._servers_by_number = {spec.number: spec for spec in setup.servers}
         for spec in setup.servers:
-            self.servers.update_server(spec.number, spec.address, not spec.drain, spec.connections)
+            self.servers.update_server(spec.number, spec.address, not spec.drain, spec.max_connections)
             if spec.number not in previous:  # later log lines name a server by its number
                 log.info("server %d is %s at %s:%d", spec.number, spec.name, *spec.address)
             self._first_seen_ms.setdefault(spec.number, 0.0 if first else now)
@@ -133,7 +133,7 @@
         for number in previous.keys() - self._servers_by_number.keys():
             self.servers.remove_server(number)
             del self._first_seen_ms[number]
-        rules = {spec.number: spec.probe for spec in setup.servers if spec.probe and not spec.drain}
+        rules = {spec.number: spec.probe_rule for spec in setup.servers if spec.probe_rule and not spec.drain}
         for number in self._checks.update_servers(now, rules):
             self.do(self.table.handle_event(now, api.HealthCheckResult(number, True)))
         self._arm_checks()
@@ -155,7 +155,7 @@
                 raise BadRequestError(405, "no route takes this method here", [(b"Allow", allow)])
             raise BadRequestError(404, "no route takes this request")
         forwarded = request.fields.get("x-forwarded-for", "")
-        address = client_address(connection.peer, forwarded, setup.trusted)
+        address = client_address(connection.peer, forwarded, setup.trusted_networks)
         account = setup.accounts.account_of(request.fields, address)
         if isinstance(account, UnknownClient):
             reason = "the key is unknown" if account.has_key else "a key is needed"
@@ -186,7 +186,7 @@
             if identity.bearer and identity.header not in request.fields:
                 drop_headers |= {b"authorization"}
         peer = exchange.connection.peer
-        trusted = is_trusted(peer, self.setup.trusted)
+        trusted = is_trusted(peer, self.setup.trusted_networks)
         return message.upstream_request(
             request, Origin(peer, self.name, trusted), RequestRewrite(path, route.set_headers, drop_headers)
         )
