--- a/basaltpoint/daemon/platform.py
+++ b/basaltpoint/daemon/platform.py
@@ -19,8 +19,8 @@
 from basaltpoint.daemon.platform_upgrade import PlatformUpgrade, read_predecessor_state
 from basaltpoint.fronts.control.console import Console
 from basaltpoint.fronts.platform import config as configuration
-from basaltpoint.fronts.platform.clients import BACKLOG, Clients
-from basaltpoint.fronts.platform.limiter import MARGIN, SERVER_PART, Limiter
+from basaltpoint.fronts.platform.clients import BACKLOG, ClientConnections
+from basaltpoint.fronts.platform.limiter import RESERVED_DESCRIPTORS, SERVER_SOCKET_FRACTION, Limiter
 from basaltpoint.handover.link import connect_to_predecessor, socket_path
 from basaltpoint.membership.backoff import Backoff
 from basaltpoint.membership.discovery import Watch
@@ -35,7 +35,7 @@
 SEED = 0x5BD1E995  # sets the watch's chance apart from the module's
 
 
-async def _sweep(limiter: Limiter, clients: Clients) -> None:
+async def _sweep(limiter: Limiter, clients: ClientConnections) -> None:
     while True:
         await asyncio.sleep(SWEEP_S)
         try:
@@ -56,7 +56,7 @@
     watch.set_address(address)
 
 
-async def _answer_operators(address: Address, limiter: Limiter, clients: Clients) -> None:
+async def _answer_operators(address: Address, limiter: Limiter, clients: ClientConnections) -> None:
     """Answer operators' calls until cancelled; where the address can't be had, serve without."""
 
     def readyz() -> Iterable[str]:
@@ -65,7 +65,11 @@
         elif clients.draining:
             yield "fail draining"
         else:
-            yield "fail no server is known" if limiter.started.is_set() else "fail servers are not confirmed"
+            yield (
+                "fail no server is known"
+                if limiter.list_confirmed.is_set()
+                else "fail servers are not confirmed"
+            )
 
     def telemetry() -> Iterable[str]:
         yield "ok"
@@ -75,7 +79,7 @@
     def rules() -> Iterable[str]:
         yield "ok"
         yield from limiter.guard.metric_lines()
-        yield from clients.close_guard.lines()
+        yield from clients.close_guard.metric_lines()
         yield "eof"
 
     try:
@@ -91,10 +95,10 @@
         console.close()
 
 
-async def _listen(limiter: Limiter, clients: Clients, wait: bool) -> None:
+async def _listen(limiter: Limiter, clients: ClientConnections, wait: bool) -> None:
     """Take clients; with `wait` only once the list of servers may be acted on: the older process serves."""
     if wait:
-        await limiter.started.wait()
+        await limiter.list_confirmed.wait()
     clients.listen()
 
 
@@ -111,11 +115,11 @@
     lease = MembershipLease(time.monotonic(), grace_s, ask_within_s)
     log.info("lists of servers are %s", "pushed" if ask_within_s is None else "asked for")
     limiter = Limiter(config, read_predecessor_state(found[1]) if found else None, lease)
-    most = int((config.sockets - MARGIN) * (1 - SERVER_PART))
-    clients = Clients(limiter, config.settings, config.listen, most, config.body_bytes, held, own)
+    most = int((config.sockets - RESERVED_DESCRIPTORS) * (1 - SERVER_SOCKET_FRACTION))
+    clients = ClientConnections(limiter, config.settings, config.listen, most, config.body_bytes, held, own)
     rng = random.Random(config.seed ^ SEED)
     backoff = Backoff(rng, grace_s)
-    watch = Watch(config.discovery, limiter.listed, backoff, lease, limiter.lease_changed)
+    watch = Watch(config.discovery, limiter.update_servers, backoff, lease, limiter.lease_changed)
     watch.seq = limiter.known_seq
     loop.add_signal_handler(signal.SIGHUP, _reload, watch)
     if signals.was_received(signal.SIGHUP):
--- a/basaltpoint/daemon/platform_upgrade.py
+++ b/basaltpoint/daemon/platform_upgrade.py
@@ -7,7 +7,7 @@
 import socket
 import time
 
-from basaltpoint.fronts.platform.clients import Clients
+from basaltpoint.fronts.platform.clients import ClientConnections
 from basaltpoint.fronts.platform.limiter import Limiter
 from basaltpoint.handover import platform_state, state
 from basaltpoint.handover.link import HandoverLink, SuccessorHandler, SuccessorListener
@@ -29,13 +29,15 @@
 class PlatformUpgrade:
     """This process between the one before it and the one after it."""
 
-    def __init__(self, limiter: Limiter, clients: Clients, path: str, older: socket.socket | None) -> None:
+    def __init__(
+        self, limiter: Limiter, clients: ClientConnections, path: str, older: socket.socket | None
+    ) -> None:
         self._limiter = limiter
         self._clients = clients
         self.started_s = time.monotonic()  # no connection lay longer on its way from the older process
         self._since = limiter.now()  # from here on own draws are not in what the older one told
         self._older = HandoverLink(older, _Older(self)) if older else None
-        clients.part = state.SHARED_FRACTION if older else 1.0
+        clients.connection_share = state.SHARED_FRACTION if older else 1.0
         self._successor: HandoverLink | None = None
         self._joined = False
         self._path = path
@@ -61,7 +63,7 @@
             return
         if bad := state.merge_customers(gateway, inherited.module.get("customers"), now, self._since):
             log.warning("%d customers of the older process could not be read", bad)
-        self._limiter.reserve(inherited.open_req_ids)
+        self._limiter.reserve_ids(inherited.open_req_ids)
         log.info(
             "took over from the older process, which has %d requests in hand", len(inherited.open_req_ids)
         )
@@ -69,8 +71,8 @@
     def predecessor_disconnected(self) -> None:
         """The older one has gone."""
         self._older = None
-        self._limiter.unreserve()
-        self._clients.part = 1.0 if self._successor is None else state.SHARED_FRACTION
+        self._limiter.release_all_ids()
+        self._clients.connection_share = 1.0 if self._successor is None else state.SHARED_FRACTION
         self._clients.listen()  # nobody else takes what comes, whether the list is confirmed by now or not
         if not self._joined:
             log.info("the older process ended without a last word")
@@ -81,7 +83,7 @@
         if self._successor:
             self._successor.close()
         self._successor = HandoverLink(sock, SuccessorHandler(self.successor_disconnected))
-        self._clients.part = state.SHARED_FRACTION
+        self._clients.connection_share = state.SHARED_FRACTION
         self._successor.send_document(platform_state.encode(self._limiter.state_for_successor(halved=True)))
 
     def successor_disconnected(self) -> None:
@@ -90,7 +92,7 @@
         if not self._clients.draining:
             log.warning("the newer process ended; this one goes on alone")
             self._listen_for_successor()  # the name was the newer one's
-            self._clients.part = 1.0
+            self._clients.connection_share = 1.0
             state.restore_full_limits(self._limiter.decision_module, self._limiter.now())
 
     async def hand_over(self) -> None:
@@ -99,7 +101,7 @@
             return
         self._clients.stop_listening()
         successor.send_document(platform_state.encode(self._limiter.state_for_successor(halved=False)))
-        self._limiter.on_ended = successor.send_request_completed
+        self._limiter.on_request_ended = successor.send_request_completed
         await self._clients.hand_over(successor.send_connection)
         end = time.monotonic() + FLUSH_TIMEOUT_S
         while not successor.is_flushed and time.monotonic() < end:
@@ -126,7 +128,7 @@
         self._upgrade._clients.adopt(sock, self._upgrade.started_s)
 
     def request_completed(self, name: bytes) -> None:
-        self._upgrade._limiter.release_name(name)
+        self._upgrade._limiter.release_id(name)
 
     def link_closed(self) -> None:
         self._upgrade.predecessor_disconnected()
--- a/basaltpoint/daemon/store_adapter.py
+++ b/basaltpoint/daemon/store_adapter.py
@@ -54,11 +54,11 @@
             if account := accounts.get(name):
                 plan = setup.settings.plans[account.plan]
                 event = restore_balance(account.number, plan, balance, moment, keeper.downtime_s)
-                relay.do(relay.table.handle_event(relay.now(), event))
+                relay.apply_effects(relay.table.handle_event(relay.now(), event))
         for name, (light, mean_ms) in keeper.learned_latencies.items() if recalls else ():
             if name in setup.pools:
                 learned = api.RestoredLatencies(setup.pools[name], light, mean_ms)
-                relay.do(relay.table.handle_event(relay.now(), learned))
+                relay.apply_effects(relay.table.handle_event(relay.now(), learned))
         if keeper.balances and recalls:
             log.info(
                 "store: %d accounts go on, %.1f s after the last life",
--- a/basaltpoint/fronts/control/console.py
+++ b/basaltpoint/fronts/control/console.py
@@ -15,15 +15,17 @@
 
 log = logging.getLogger(__name__)
 
-CALLERS = 12  # open at a time, each a descriptor; with one more the caller that is silent for longest goes
-LINE_LIMIT = 256  # bytes; the longest call has 10
-SILENT_S = 5.0  # for a line to come whole; no caller needs more, and each holds a descriptor
-ANSWERING_S = 2.0  # for the caller to read its answer
+MAX_CONNECTIONS = (
+    12  # open at a time, each a descriptor; with one more the caller that is silent for longest goes
+)
+MAX_LINE_BYTES = 256  # bytes; the longest call has 10
+READ_TIMEOUT_S = 5.0  # for a line to come whole; no caller needs more, and each holds a descriptor
+WRITE_TIMEOUT_S = 2.0  # for the caller to read its answer
 
-Answer = Callable[[], Iterable[str]]
+CommandHandler = Callable[[], Iterable[str]]
 
 
-class _Caller(asyncio.Protocol):
+class _Connection(asyncio.Protocol):
     """One connection of an operator."""
 
     def __init__(self, console: Console) -> None:
@@ -31,39 +33,39 @@
         self._line = b""
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._answered = False
+        self._has_responded = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)  # uvloop's own is no subclass of it
-        self._timer = asyncio.get_running_loop().call_later(SILENT_S, self.cut)
+        self._timer = asyncio.get_running_loop().call_later(READ_TIMEOUT_S, self.abort)
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self._timer:
             self._timer.cancel()
-        self._console.gone(self)
+        self._console.connection_closed(self)
 
     def data_received(self, data: bytes) -> None:
-        if self._answered:
+        if self._has_responded:
             return
-        self._line += data[: LINE_LIMIT + 1]
+        self._line += data[: MAX_LINE_BYTES + 1]
         line, newline, _ = self._line.partition(b"\n")
-        if newline or len(self._line) > LINE_LIMIT:
-            self._answer(line)
+        if newline or len(self._line) > MAX_LINE_BYTES:
+            self._respond(line)
 
     def eof_received(self) -> bool:
-        if not self._answered and self._line:
-            self._answer(self._line)  # whole all the same: nothing can follow
-        return self._answered  # what is written still goes out
+        if not self._has_responded and self._line:
+            self._respond(self._line)  # whole all the same: nothing can follow
+        return self._has_responded  # what is written still goes out
 
-    def _answer(self, line: bytes) -> None:
+    def _respond(self, line: bytes) -> None:
         assert self._transport and self._timer
-        self._answered = True
+        self._has_responded = True
         self._timer.cancel()
-        self._timer = asyncio.get_running_loop().call_later(ANSWERING_S, self.cut)
-        self._transport.write(self._console.answer(line).encode())
+        self._timer = asyncio.get_running_loop().call_later(WRITE_TIMEOUT_S, self.abort)
+        self._transport.write(self._console.run_command(line).encode())
         self._transport.close()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         if self._transport:
             self._transport.abort()
 
@@ -72,12 +74,12 @@
     """Listens at the second address. Who says nothing, half a line or too much costs a bounded number of
     descriptors, and is cut first."""
 
-    def __init__(self, listening: socket.socket, calls: Mapping[str, Answer]) -> None:
+    def __init__(self, listener: socket.socket, commands: Mapping[str, CommandHandler]) -> None:
         """`calls`: what is answered to each call, line by line."""
-        self._calls = calls
-        self._callers: dict[_Caller, None] = {}  # the one that came first, first
-        self._joining = PendingConnections()
-        self._listener = listening
+        self._commands = commands
+        self._connections: dict[_Connection, None] = {}  # the one that came first, first
+        self._pending = PendingConnections()
+        self._listener = listener
 
     @property
     def address(self) -> Address:
@@ -87,11 +89,11 @@
     def listen(self) -> None:
         asyncio.get_running_loop().add_reader(self._listener, self._accept)
 
-    def answer(self, line: bytes) -> str:
+    def run_command(self, line: bytes) -> str:
         """The answer to one call, with its line ends."""
         name = line.strip().decode("latin-1")
-        if (call := self._calls.get(name)) is None:
-            return f"fail no such call {name[:40]!r}; there are: {', '.join(self._calls)}\n"
+        if (call := self._commands.get(name)) is None:
+            return f"fail no such call {name[:40]!r}; there are: {', '.join(self._commands)}\n"
         try:
             return "".join(f"{each}\n" for each in call())
         except Exception:
@@ -99,7 +101,7 @@
             return "fail the call broke down; the log tells where\n"
 
     def _accept(self) -> None:
-        for _ in range(CALLERS):  # a few at a time: what is in hand elsewhere gets its turn
+        for _ in range(MAX_CONNECTIONS):  # a few at a time: what is in hand elsewhere gets its turn
             try:
                 sock, _ = self._listener.accept()
             except OSError as error:
@@ -109,24 +111,24 @@
                 if trouble is not ErrorOrigin.WOULD_BLOCK:
                     log.warning("no descriptor for an operator's call: %s: %s", trouble.value, error)
                 if trouble is ErrorOrigin.PROCESS:
-                    self._cut_first()
+                    self._close_oldest()
                 return
-            if len(self._callers) >= CALLERS:
-                self._cut_first()
-            caller = _Caller(self)
-            self._callers[caller] = None
-            self._joining.attach(sock, caller, partial(self.gone, caller))
+            if len(self._connections) >= MAX_CONNECTIONS:
+                self._close_oldest()
+            caller = _Connection(self)
+            self._connections[caller] = None
+            self._pending.attach(sock, caller, partial(self.connection_closed, caller))
 
-    def _cut_first(self) -> None:
-        if first := next(iter(self._callers), None):
-            self.gone(first)
-            first.cut()
+    def _close_oldest(self) -> None:
+        if first := next(iter(self._connections), None):
+            self.connection_closed(first)
+            first.abort()
 
-    def gone(self, caller: _Caller) -> None:
-        self._callers.pop(caller, None)
+    def connection_closed(self, caller: _Connection) -> None:
+        self._connections.pop(caller, None)
 
     def close(self) -> None:
         asyncio.get_running_loop().remove_reader(self._listener)
         self._listener.close()
-        for caller in list(self._callers):
-            caller.cut()
+        for caller in list(self._connections):
+            caller.abort()
--- a/basaltpoint/fronts/http/connection.py
+++ b/basaltpoint/fronts/http/connection.py
@@ -17,7 +17,7 @@
 
 from basaltpoint.fronts.http import message
 from basaltpoint.fronts.http.message import BadRequestError, Headers, Request
-from basaltpoint.fronts.unread import Unread, look
+from basaltpoint.fronts.unread import UnreadData, peek
 
 log = logging.getLogger(__name__)
 
@@ -130,7 +130,11 @@
 
     def can_close(self, since: float) -> bool:
         """Whether closing loses no request: none is expected, and the socket holds no unread data."""
-        return self.is_idle and not self.expects_first_request(since) and look(self._sock) is not Unread.BYTES
+        return (
+            self.is_idle
+            and not self.expects_first_request(since)
+            and peek(self._sock) is not UnreadData.BYTES
+        )
 
     @property
     def awaits_body(self) -> bool:
--- a/basaltpoint/fronts/http/exchange.py
+++ b/basaltpoint/fronts/http/exchange.py
@@ -48,9 +48,9 @@
     def release_memory(self, size: int) -> None: ...
     def submit(self, exchange: RequestExchange) -> None: ...
     def client_disconnected(self, exchange: RequestExchange) -> None: ...
-    def begun(self, exchange: RequestExchange) -> None: ...
-    def uploading(self, exchange: RequestExchange) -> None: ...
-    def uploaded(self, exchange: RequestExchange) -> None: ...
+    def response_started(self, exchange: RequestExchange) -> None: ...
+    def upload_started(self, exchange: RequestExchange) -> None: ...
+    def upload_finished(self, exchange: RequestExchange) -> None: ...
     def attempt_ended(self, exchange: RequestExchange, status: Status, final: bool) -> None: ...
     def refusal_headers(self, exchange: RequestExchange, effect: Reply) -> Headers: ...
 
@@ -74,9 +74,9 @@
         self.upstream_request: UpstreamRequest
         self.class_number = route.class_rules.class_number
         self.wait_ms = route.class_rules.deadline_ms
-        self.ident = 0
+        self.request_number = 0
         self.attempt: StreamAttempt | None = None
-        self.number = 0
+        self.attempt_number = 0
         self.stream: StreamConnection | None = None
         self.is_finished = False
         # The request's body. It is buffered up to the route's limit; a longer one is streamed and not
@@ -85,12 +85,12 @@
         self.body_bytes = 0
         self.reserved_bytes = 0
         self.body_complete = False
-        self.whole_at = monotonic()
+        self.body_complete_at = monotonic()
         self.body_streamed = False
         self.server_blocked = False  # the server's connection accepts no more data at present
         self.body_trailers: Headers = []
         # The response.
-        self.passing = False
+        self.response_started = False
         self.status = Status.OK
         self.response_head: tuple[int, bytes, Headers, int | None] | None = None
         self.buffered_body: list[bytes] | None = None  # of an error response that is withheld for a retry
@@ -115,7 +115,7 @@
                 self._send_body()
 
     def body_completed(self, trailers: Headers) -> None:
-        self.body_complete, self.whole_at, self.body_trailers = True, monotonic(), trailers
+        self.body_complete, self.body_complete_at, self.body_trailers = True, monotonic(), trailers
         if self.body_streamed:
             self._send_body()
         else:
@@ -125,10 +125,10 @@
         """Sends an error response while the body is being received; the connection is closed after it."""
         if self.is_finished:
             return
-        if self.ident:
+        if self.request_number:
             self.relay.client_disconnected(self)
         self._finish()
-        if self.passing:
+        if self.response_started:
             self.connection.reset()
         else:
             self.connection.send_response(code, reason, [])
@@ -144,7 +144,7 @@
             self.reserved_bytes -= len(data)
             if self.body_complete:
                 stream.finish_body(message.trailer_section(self.body_trailers))
-                self.relay.uploaded(self)
+                self.relay.upload_finished(self)
         self.connection.pause_upload(self.body_streamed and self.reserved_bytes > self.relay.buffer_bytes)
 
     # --- Events of the attempt ---------------------------------------------------------------------
@@ -157,7 +157,7 @@
         self.stream = stream
         if self.body_streamed:
             stream.start_body(self.request.body_length is None)
-            self.relay.uploading(self)
+            self.relay.upload_started(self)
             self._send_body()
 
     def writable(self, ready: bool) -> None:
@@ -183,8 +183,8 @@
         """Starts forwarding the response; cancels the attempt if no client waits for it any more."""
         assert self.response_head and self.attempt
         self.attempt.stop_timeout()
-        self.relay.begun(self)
-        if not self.passing:
+        self.relay.response_started(self)
+        if not self.response_started:
             self.attempt.cancel()
             return
         code, reason, headers, length = self.response_head
@@ -199,7 +199,7 @@
             self.connection.send_body(piece)
 
     def data(self, piece: bytes) -> None:
-        if self.passing:
+        if self.response_started:
             self.connection.send_body(piece)
         elif self.buffered_body is not None:
             self.buffered_body.append(piece)
@@ -215,17 +215,17 @@
         status = self.status if is_complete else result.status
         self.attempt = self.stream = None
         self.server_blocked = False
-        self.relay.attempt_ended(self, status, is_complete and self.passing)
+        self.relay.attempt_ended(self, status, is_complete and self.response_started)
 
     # --- Events of the client connection ------------------------------------------------------------
     def client_writable(self, ready: bool) -> None:
-        if self.stream and self.passing:
+        if self.stream and self.response_started:
             self.stream.set_paused(not ready)
 
     def client_disconnected(self) -> None:
         if not self.is_finished:
             self._finish()
-            if self.ident:
+            if self.request_number:
                 self.relay.client_disconnected(self)
 
     # --- The response ----------------------------------------------------------------------------
@@ -234,7 +234,7 @@
         if self.is_finished:
             return
         self._finish()
-        if self.passing:
+        if self.response_started:
             if effect.result is RequestResult.CUT:
                 self.connection.reset()
             else:
--- a/basaltpoint/fronts/http/relay.py
+++ b/basaltpoint/fronts/http/relay.py
@@ -36,8 +36,8 @@
     RequestRewrite,
     UpstreamRequest,
 )
-from basaltpoint.fronts.shell import EARLY_MS, Shell
-from basaltpoint.fronts.unread import FIRST_S
+from basaltpoint.fronts.shell import RESPONSE_MARGIN_MS, RequestTableDriver
+from basaltpoint.fronts.unread import FIRST_REQUEST_GRACE_S
 from basaltpoint.interface import Effect as Repeats
 from basaltpoint.interface import RefusalReason, ServerState, Status
 from basaltpoint.membership.checks import Checks
@@ -54,7 +54,7 @@
 SERVER_SOCKET_FRACTION = 0.4  # fraction of the sockets that may be connections to servers
 
 
-class Relay(Shell):
+class Relay(RequestTableDriver):
     """Owns the request table, the client and server connections and the current configuration."""
 
     def __init__(
@@ -83,7 +83,7 @@
                 self.decision_module, setup.settings.max_attempts, file.limits.requests, self.figures
             )
         )
-        self._origin = self._origin if origin_s is None else origin_s
+        self._clock_origin_s = self._clock_origin_s if origin_s is None else origin_s
         self._pending_connections = PendingConnections()
         self.connections: dict[ClientConnection, None] = {}
         make = partial(
@@ -110,7 +110,7 @@
     def apply_settings(self, setup: Setup) -> None:
         """Applies a new configuration at once; requests in hand keep the settings they were admitted with."""
         self.figures.update_classes([cls.name for cls in setup.settings.classes])
-        self.do(self.table.handle_event(self.now(), api.SettingsChanged(setup.settings)))
+        self.apply_effects(self.table.handle_event(self.now(), api.SettingsChanged(setup.settings)))
         self._apply(setup, first=False)
 
     def _apply(self, setup: Setup, first: bool) -> None:
@@ -128,14 +128,14 @@
         pools = set(setup.pools.values())
         for pool in sorted(pools | self._pools):
             members = tuple(self._server(spec) for spec in setup.servers if pool in spec.pools)
-            self.do(self.table.handle_event(now, api.ServerList(api.ListKind.FULL, members, pool)))
+            self.apply_effects(self.table.handle_event(now, api.ServerList(api.ListKind.FULL, members, pool)))
         self._pools = pools
         for number in previous.keys() - self._servers_by_number.keys():
             self.servers.remove_server(number)
             del self._first_seen_ms[number]
         rules = {spec.number: spec.probe_rule for spec in setup.servers if spec.probe_rule and not spec.drain}
         for number in self._checks.update_servers(now, rules):
-            self.do(self.table.handle_event(now, api.HealthCheckResult(number, True)))
+            self.apply_effects(self.table.handle_event(now, api.HealthCheckResult(number, True)))
         self._arm_checks()
 
     def _server(self, spec: ServerSpec) -> api.Server:
@@ -201,17 +201,17 @@
             route.units,
             1,
             exchange.wait_ms,
-            EARLY_MS,
+            RESPONSE_MARGIN_MS,
             route.pool,
         )
-        exchange.ident, effects = self.table.admit(self.now(), new_request)
-        self._exchanges[exchange.ident] = exchange
-        self.do(effects)
+        exchange.request_number, effects = self.table.admit(self.now(), new_request)
+        self._exchanges[exchange.request_number] = exchange
+        self.apply_effects(effects)
 
     def client_disconnected(self, exchange: RequestExchange) -> None:
         """Drops a request whose client has disconnected."""
-        self._exchanges.pop(exchange.ident, None)
-        self.do(self.table.client_disconnected(self.now(), exchange.ident))
+        self._exchanges.pop(exchange.request_number, None)
+        self.apply_effects(self.table.client_disconnected(self.now(), exchange.request_number))
 
     def reserve_memory(self, size: int) -> bool:
         """Reserves memory for bytes of bodies; returns False if the limit is reached."""
@@ -238,7 +238,7 @@
 
     def make_room(self) -> bool:
         """Closes the connection that has been idle for longest, to make room for a new one."""
-        since = time.monotonic() - FIRST_S
+        since = time.monotonic() - FIRST_REQUEST_GRACE_S
         closable = (c for c in self.connections if c.can_close(since))
         idle = min(closable, key=lambda c: c.last_activity_at, default=None)
         if idle is None:
@@ -248,13 +248,13 @@
         return True
 
     # --- Effects -------------------------------------------------------------------------------------
-    def carry_out(self, effect: Effect) -> None:
+    def apply_effect(self, effect: Effect) -> None:
         match effect:
             case StartAttempt():
                 self._dispatch(effect)
             case StartResponse():
                 if exchange := self._exchanges.get(effect.request):
-                    exchange.passing = True
+                    exchange.response_started = True
             case Reply():
                 if exchange := self._exchanges.pop(effect.request, None):
                     exchange.reply(effect)
@@ -269,7 +269,7 @@
 
     def _dispatch(self, effect: StartAttempt) -> None:
         exchange = self._exchanges[effect.request]  # the table starts attempts for open requests only
-        end_by = self.loop_time(effect.end_by_ms)
+        end_by = self.to_loop_time(effect.end_by_ms)
         head_only = exchange.request.method == b"HEAD"
         ident = effect.request
         attempt = StreamAttempt(
@@ -278,11 +278,11 @@
             partial(self._ended, ident, exchange),
             exchange,
             head_only,
-            write_by=self.loop_time(effect.write_by_ms),
+            write_by=self.to_loop_time(effect.write_by_ms),
         )
         # Registered before the start: on a reused connection a streamed body may be sent at once and whole.
         exchange.attempt = self._attempts[ident] = attempt
-        exchange.number = effect.attempt
+        exchange.attempt_number = effect.attempt
         self.servers.start_attempt(effect.server, attempt)
 
     def _ended(self, ident: int, exchange: RequestExchange, result: AttemptResult) -> None:
@@ -291,7 +291,11 @@
 
     def attempt_ended(self, exchange: RequestExchange, status: Status, final: bool) -> None:
         """Reports the end of an attempt to the request table."""
-        self.do(self.table.attempt_ended(self.now(), exchange.ident, exchange.number, status, is_final=final))
+        self.apply_effects(
+            self.table.attempt_ended(
+                self.now(), exchange.request_number, exchange.attempt_number, status, is_final=final
+            )
+        )
 
     def _cancel(self, effect: CancelAttempt) -> None:
         if attempt := self._attempts.get(effect.request):
@@ -303,7 +307,7 @@
             self._check_timer.cancel()
             self._check_timer = None
         if (due := self._checks.next_due_ms) is not None:
-            when = self.loop_time(due) + TIMER_RESOLUTION_S
+            when = self.to_loop_time(due) + TIMER_RESOLUTION_S
             self._check_timer = asyncio.get_running_loop().call_at(when, self._check_due)
 
     def _check_due(self) -> None:
@@ -322,10 +326,10 @@
             is_healthy = answer.status is Status.OK and check.is_healthy
             if (is_up := self._checks.record_result(self.now(), server, is_healthy)) is not None:
                 log.info("server %d is %s by its checks", server, "up" if is_up else "down")
-                self.do(self.table.handle_event(self.now(), api.HealthCheckResult(server, is_up)))
+                self.apply_effects(self.table.handle_event(self.now(), api.HealthCheckResult(server, is_up)))
             self._arm_checks()
 
-        end_by = self.loop_time(self.now() + health.timeout_ms)
+        end_by = self.to_loop_time(self.now() + health.timeout_ms)
         self.servers.start_attempt(server, StreamAttempt(raw.encode(), end_by, ended, check, False))
 
     # --- Headers of a refusal --------------------------------------------------------------------------
@@ -365,7 +369,7 @@
             stream = exchange.stream
             if (
                 stream
-                and exchange.passing
+                and exchange.response_started
                 and not stream.is_paused
                 and now - stream.last_received_at > clients.stall_s
             ):
@@ -375,7 +379,7 @@
     @property
     def open_requests(self) -> int:
         """The number of requests in hand, including those still being received or possibly on their way."""
-        since = time.monotonic() - FIRST_S
+        since = time.monotonic() - FIRST_REQUEST_GRACE_S
         in_use = sum(
             1
             for connection in self.connections
@@ -386,7 +390,7 @@
     @property
     def origin_s(self) -> float:
         """Start of the limiter's clock, in seconds of the host's monotonic clock."""
-        return self._origin
+        return self._clock_origin_s
 
     def first_seen_ms(self) -> dict[str, float]:
         """When each server was first seen, in milliseconds of the limiter's clock, by name."""
@@ -404,7 +408,7 @@
 
     def close_idle(self) -> None:
         """Closes, during a drain, the connections that no request can be lost on."""
-        since = time.monotonic() - FIRST_S
+        since = time.monotonic() - FIRST_REQUEST_GRACE_S
         for connection in [c for c in self.connections if c.can_close(since)]:
             connection.close()
 
@@ -417,4 +421,4 @@
         self.servers.close()
         if self._check_timer:
             self._check_timer.cancel()
-        self.disarm()
+        self.cancel_tick()
--- a/basaltpoint/fronts/platform/client_connection.py
+++ b/basaltpoint/fronts/platform/client_connection.py
@@ -14,23 +14,23 @@
 
 import httptools
 
-from basaltpoint.fronts.platform.call import Call
+from basaltpoint.fronts.platform.client_request import ClientRequest
 from basaltpoint.fronts.platform.close_guard import CloseGuard
 from basaltpoint.fronts.platform.limiter import Limiter
 from basaltpoint.fronts.platform.request_check import BadRequestError, RequestCheck
-from basaltpoint.fronts.unread import Unread, look, unread_s
+from basaltpoint.fronts.unread import UnreadData, peek, time_unread_s
 from basaltpoint.telemetry import trace
 from basaltpoint.upstream.buffered import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
 
 log = logging.getLogger(__name__)
 
-HEAD_LIMIT = 16 * 1024
-PIPELINED = 4  # requests read ahead on a connection; further ones stay in the socket
-LEAST_RATE = 32_000  # bytes a second of a body, on the mean; clients may send 64,000
+MAX_HEAD_BYTES = 16 * 1024
+MAX_PIPELINED = 4  # requests read ahead on a connection; further ones stay in the socket
+MIN_BODY_BYTES_PER_S = 32_000  # bytes a second of a body, on the mean; clients may send 64,000
 LINGER_S = 1.0  # how long a refused sender may go on before its connection is cut
-ESTABLISHED = 1  # of TCP_INFO's states; after the other side's end, or a reset, it is another
+TCP_ESTABLISHED = 1  # of TCP_INFO's states; after the other side's end, or a reset, it is another
 # Where one of these comes twice and differs, another reader may go by the other one.
-SINGLE = frozenset(
+SINGLE_VALUE_HEADERS = frozenset(
     [
         b"content-length",
         b"idempotency-key",
@@ -43,9 +43,11 @@
         b"x-tier",
     ]
 )
-FRAMING = (b"content-length", b"transfer-encoding", b"expect")
-MOST_HEADERS = 100  # of one request, by name
-LINES = {status.value: f"HTTP/1.1 {status.value} {status.phrase}\r\n".encode() for status in HTTPStatus}
+BODY_HEADERS = (b"content-length", b"transfer-encoding", b"expect")
+MAX_HEADERS = 100  # of one request, by name
+STATUS_LINES = {
+    status.value: f"HTTP/1.1 {status.value} {status.phrase}\r\n".encode() for status in HTTPStatus
+}
 
 
 class ConnectionOwner(Protocol):
@@ -54,27 +56,27 @@
     limiter: Limiter
     checker: RequestCheck
     close_guard: CloseGuard
-    idle: dict[ClientConnection, None]
-    coming: dict[ClientConnection, None]
+    idle_connections: dict[ClientConnection, None]
+    receiving: dict[ClientConnection, None]
 
     @property
-    def keeps(self) -> bool:
+    def keeps_connections(self) -> bool:
         """Whether a connection stays open behind its answer."""
 
     @property
     def ready(self) -> bool:
         """Whether a front may bring clients."""
 
-    def hold(self, size: int) -> bool:
+    def reserve_body(self, size: int) -> bool:
         """Account for bytes of bodies; False where there is no memory for them."""
 
-    def release(self, size: int) -> None:
+    def release_body(self, size: int) -> None:
         """So many bytes of bodies are held no more."""
 
-    def gone(self, client: ClientConnection) -> None:
+    def connection_closed(self, client: ClientConnection) -> None:
         """It has ended."""
 
-    def passes(self, client: ClientConnection) -> None:
+    def connection_idle(self, client: ClientConnection) -> None:
         """It has fallen idle: it may be another process's."""
 
 
@@ -87,89 +89,93 @@
         self._sock = sock  # to look at what has not been read
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
-        self._calls: deque[Call] = deque()
-        self._reading = False  # bytes are being parsed
-        self._rejected = False  # its sender may still be at it
-        self._deaf = False  # no further request is read from it
-        self._ending = False  # its last answer is on its way: what comes is read past
-        self._paused = False
-        self._stuck = False  # it does not read its answers
-        self.stuck_since: float | None = None
-        self._held_up = False  # the server does not take more of its body
-        self._paused_at = 0.0
-        self._upload: Call | None = None  # whose body is coming, and goes on as it comes
-        self._turn: Call | None = None  # whose answer is being passed on
+        self._requests: deque[ClientRequest] = deque()
+        self._is_parsing = False  # bytes are being parsed
+        self._has_rejected = False  # its sender may still be at it
+        self._ignores_input = False  # no further request is read from it
+        self._is_lingering = False  # its last answer is on its way: what comes is read past
+        self._is_read_paused = False
+        self._is_write_paused = False  # it does not read its answers
+        self.write_paused_since: float | None = None
+        self._is_upload_paused = False  # the server does not take more of its body
+        self._read_paused_at = 0.0
+        self._upload: ClientRequest | None = None  # whose body is coming, and goes on as it comes
+        self._streaming_response: ClientRequest | None = None  # whose answer is being passed on
         self._url = b""
         self._headers: dict[bytes, bytes] = {}
-        self._body: list[bytes] = []
-        self._size = 0
-        self._body_at = 0.0  # when the latest piece of a body came
-        self._headed = False
-        self.begun: float | None = None  # since when a request is coming in
-        self.made = monotonic()
-        self._old = False  # it speaks HTTP/1.0 and knows no chunks
-        self.served = False
-        self.taken = False  # a whole request has come
-        self._waited = True  # what is read next may have lain in the socket for long
-        self._read_lain_s = 0.0  # how long what is being read lay there
-        self._begin_lain_s = 0.0  # how long the beginning of the request lay there that is coming in
+        self._body_pieces: list[bytes] = []
+        self._received_bytes = 0
+        self._last_body_at = 0.0  # when the latest piece of a body came
+        self._has_headers = False
+        self.request_begun_at: float | None = None  # since when a request is coming in
+        self.connected_at = monotonic()
+        self._is_http10 = False  # it speaks HTTP/1.0 and knows no chunks
+        self.has_responded = False
+        self.has_received_request = False  # a whole request has come
+        self._may_have_waited = True  # what is read next may have lain in the socket for long
+        self._read_unread_s = 0.0  # how long what is being read lay there
+        self._begin_unread_s = 0.0  # how long the beginning of the request lay there that is coming in
 
     # --- Connection ----------------------------------------------------------------------------
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)  # uvloop's own is no subclass of it
-        self._clients.idle[self] = None
+        self._clients.idle_connections[self] = None
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._deaf = True
+        self._ignores_input = True
         del self._parser  # it holds this object, too: together they would wait for the collector
-        self._clients.gone(self)
-        calls, self._calls = self._calls, deque()
+        self._clients.connection_closed(self)
+        calls, self._requests = self._requests, deque()
         self._drop_body()
-        self._upload = self._turn = None
+        self._upload = self._streaming_response = None
         for call in calls:
-            self._clients.release(len(call.body))
-            if call.passage:
-                self._clients.limiter.abandon(call.passage)
+            self._clients.release_body(len(call.body))
+            if call.exchange:
+                self._clients.limiter.abandon(call.exchange)
 
     def pause_writing(self) -> None:
-        self._stuck, self.stuck_since = True, monotonic()
-        self._pace()
+        self._is_write_paused, self.write_paused_since = True, monotonic()
+        self._update_reading()
 
     def resume_writing(self) -> None:
-        self._stuck, self.stuck_since = False, None
-        self._pace()
+        self._is_write_paused, self.write_paused_since = False, None
+        self._update_reading()
 
-    def hold_upload(self, held: bool) -> None:
+    def pause_upload(self, held: bool) -> None:
         """Take no more of a body while the server does not."""
-        self._held_up = held
-        self._pace()
+        self._is_upload_paused = held
+        self._update_reading()
 
-    def release(self, size: int) -> None:
-        self._clients.release(size)
+    def release_body(self, size: int) -> None:
+        self._clients.release_body(size)
 
-    def _pace(self) -> None:
+    def _update_reading(self) -> None:
         """Read on only where what was read before moves on: else one client could fill the memory."""
-        if self._turn and self._turn.passage:
-            self._turn.passage.reading(not self._stuck)
-        full = self._stuck or self._held_up or len(self._calls) >= PIPELINED
-        full = full and not self._ending
-        if self._transport and full != self._paused and not self._transport.is_closing():
-            self._paused = full
+        if self._streaming_response and self._streaming_response.exchange:
+            self._streaming_response.exchange.client_writable(not self._is_write_paused)
+        full = self._is_write_paused or self._is_upload_paused or len(self._requests) >= MAX_PIPELINED
+        full = full and not self._is_lingering
+        if self._transport and full != self._is_read_paused and not self._transport.is_closing():
+            self._is_read_paused = full
             if full:
-                self._paused_at = monotonic()
+                self._read_paused_at = monotonic()
                 self._transport.pause_reading()
             else:
-                waited = monotonic() - self._paused_at  # by us, not by the client
-                self.made += waited
-                self.begun = self.begun + waited if self.begun is not None else None
-                self._body_at += waited
-                self._waited, self._unread_since = True, self._paused_at
+                waited = monotonic() - self._read_paused_at  # by us, not by the client
+                self.connected_at += waited
+                self.request_begun_at = (
+                    self.request_begun_at + waited if self.request_begun_at is not None else None
+                )
+                self._last_body_at += waited
+                self._may_have_waited, self._unread_since = True, self._read_paused_at
                 self._transport.resume_reading()
 
     def close(self, reason: str) -> None:
-        unread = not self._deaf and look(self._sock) is Unread.BYTES
-        self._clients.close_guard.closing(reason, [call.name for call in self._calls if call.due], unread)
-        self._deaf = True
+        unread = not self._ignores_input and peek(self._sock) is UnreadData.BYTES
+        self._clients.close_guard.check_close(
+            reason, [call.request_id for call in self._requests if call.is_unanswered], unread
+        )
+        self._ignores_input = True
         self._trace_close(reason)
         if self._transport:
             self._transport.close()
@@ -179,131 +185,142 @@
             trace.event("client's connection %d closes: %s", self._sock.fileno(), reason)
 
     @property
-    def closable(self) -> bool:
+    def is_closable(self) -> bool:
         """Whether it stands between two requests, and the next one does not lie in the socket already."""
-        return self.idle and look(self._sock) is not Unread.BYTES
+        return self.is_idle and peek(self._sock) is not UnreadData.BYTES
 
     @property
-    def left(self) -> bool:
+    def client_left_unnoticed(self) -> bool:
         """Whether the client has gone while nothing was read: its end lies behind what it had sent."""
-        return self._paused and self.gone()
+        return self._is_read_paused and self.is_client_gone()
 
-    def gone(self) -> bool:
+    def is_client_gone(self) -> bool:
         """Whether the client has ended its side, whatever lies unread before that."""
         try:
             state = self._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
         except OSError:
-            state = ESTABLISHED
-        return state != ESTABLISHED or look(self._sock) is Unread.END
+            state = TCP_ESTABLISHED
+        return state != TCP_ESTABLISHED or peek(self._sock) is UnreadData.END
 
     def abort(self, reason: str) -> None:
-        self._deaf = True
+        self._ignores_input = True
         self._trace_close(reason)
         if self._transport:
             self._transport.abort()
 
-    def pass_on(self, send: Callable[[int], bool]) -> bool:
+    def hand_over(self, send: Callable[[int], bool]) -> bool:
         """Give the connection, between two requests, to another process; False where that can't be now."""
         transport = self._transport
-        if transport is None or transport.is_closing() or not self.idle or self._paused:
+        if transport is None or transport.is_closing() or not self.is_idle or self._is_read_paused:
             return False
         if transport.get_write_buffer_size():
             return False
         if not send(transport.get_extra_info("socket").fileno()):
             return False
-        self._deaf = True
+        self._ignores_input = True
         # In the same turn, so that nothing is read here that the other needs. The connection lives on in its
         # descriptor.
         transport.abort()
         return True
 
-    def cut(self) -> None:
+    def close_if_answered(self) -> None:
         """Close without waiting for a sender that is still at it, once what is due is answered."""
-        if self._transport and not self._calls:
+        if self._transport and not self._requests:
             self._trace_close("its request took too long to come")
             self._transport.close()
 
-    def due(self, since: float) -> bool:
+    def may_have_request(self, since: float) -> bool:
         """Whether a request may be on its way: the connection is new, or its bytes have begun to come."""
-        return (not self.served and self.made > since) or (self.begun is not None and self.begun > since)
+        return (not self.has_responded and self.connected_at > since) or (
+            self.request_begun_at is not None and self.request_begun_at > since
+        )
 
-    def stalled(self, limit: float) -> bool:
+    def is_request_stalled(self, limit: float) -> bool:
         """Whether a request, or any word on a new connection, has been awaited since before the limit."""
-        since = self.begun if self.taken else self.made
-        if since is None or self._deaf or self._paused:
+        since = self.request_begun_at if self.has_received_request else self.connected_at
+        if since is None or self._ignores_input or self._is_read_paused:
             return False
-        return since + (self._size / LEAST_RATE if self._headed else 0.0) < limit
+        return since + (self._received_bytes / MIN_BODY_BYTES_PER_S if self._has_headers else 0.0) < limit
 
-    def quiet(self, limit: float) -> bool:
+    def is_body_stalled(self, limit: float) -> bool:
         """Whether a body has begun to come, and nothing of it since the limit: its sender has stopped."""
-        waits = self.begun is not None and self._headed and not self._deaf and not self._paused
-        return waits and self._body_at < limit
+        waits = (
+            self.request_begun_at is not None
+            and self._has_headers
+            and not self._ignores_input
+            and not self._is_read_paused
+        )
+        return waits and self._last_body_at < limit
 
     @property
-    def idle(self) -> bool:
-        return not self._calls and self.begun is None
+    def is_idle(self) -> bool:
+        return not self._requests and self.request_begun_at is None
 
     # --- Reading -------------------------------------------------------------------------------
     def data_received(self, data: bytes) -> None:
         # In pieces, so that a head's size is known to one piece however much is read at once. Nothing is
         # answered between them: a drain closes behind the last answer, and a request may follow in here.
-        self._reading = True
+        self._is_parsing = True
         since = self._unread_since
-        self._read_lain_s = 0.0 if since is None else unread_s(self._sock, since, len(data), self.served)
-        if len(data) <= HEAD_LIMIT:
+        self._read_unread_s = (
+            0.0 if since is None else time_unread_s(self._sock, since, len(data), self.has_responded)
+        )
+        if len(data) <= MAX_HEAD_BYTES:
             self._feed(data)
         else:
-            for start in range(0, len(data), HEAD_LIMIT):
-                self._feed(data[start : start + HEAD_LIMIT])
-        self._reading = False
-        self._waited = self._waited and (self._paused or len(data) > HEAD_LIMIT)
-        if not self._waited and self.begun is None:  # of a request that is half read the rest may lie there
+            for start in range(0, len(data), MAX_HEAD_BYTES):
+                self._feed(data[start : start + MAX_HEAD_BYTES])
+        self._is_parsing = False
+        self._may_have_waited = self._may_have_waited and (self._is_read_paused or len(data) > MAX_HEAD_BYTES)
+        if (
+            not self._may_have_waited and self.request_begun_at is None
+        ):  # of a request that is half read the rest may lie there
             self._unread_since = None
-        first = self._calls[0] if self._calls else None
-        if first is None or first.reply or first.started or first.broken:
+        first = self._requests[0] if self._requests else None
+        if first is None or first.reply or first.streamed_head or first.broken:
             self.flush()
 
     def _feed(self, data: bytes) -> None:
-        if self._deaf:
+        if self._ignores_input:
             return
-        self._size += 0 if self._headed else len(data)
+        self._received_bytes += 0 if self._has_headers else len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._deaf = True  # the request itself was taken as any other
+            self._ignores_input = True  # the request itself was taken as any other
         except httptools.HttpParserError:
             self.reject(400)
-        if not self._headed and self._size > HEAD_LIMIT:
+        if not self._has_headers and self._received_bytes > MAX_HEAD_BYTES:
             self.reject(431)
 
     def on_message_begin(self) -> None:
         # Not with the first bytes: an empty line behind a request is the start of none.
-        self.begun = monotonic()
-        self._begin_lain_s = self._read_lain_s
-        self._clients.idle.pop(self, None)
-        self._clients.coming[self] = None
-        self._url, self._headers, self._body, self._headed = b"", {}, [], False
+        self.request_begun_at = monotonic()
+        self._begin_unread_s = self._read_unread_s
+        self._clients.idle_connections.pop(self, None)
+        self._clients.receiving[self] = None
+        self._url, self._headers, self._body_pieces, self._has_headers = b"", {}, [], False
 
     def on_url(self, url: bytes) -> None:
         self._url += url
-        if len(self._url) > HEAD_LIMIT:
+        if len(self._url) > MAX_HEAD_BYTES:
             self.reject(431)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         name, value = name.lower(), value.strip()
         headers = self._headers
-        if name in headers and name in SINGLE and headers[name] != value:
+        if name in headers and name in SINGLE_VALUE_HEADERS and headers[name] != value:
             self.reject(400)
         headers[name] = value
-        if len(name) + len(value) > HEAD_LIMIT or len(headers) > MOST_HEADERS:
+        if len(name) + len(value) > MAX_HEAD_BYTES or len(headers) > MAX_HEADERS:
             self.reject(431)
 
     def on_headers_complete(self) -> None:
-        self._headed, self._size = True, 0
-        self._body_at = math.inf  # until its first piece the head's time counts
-        self._old = self._parser.get_http_version() == "1.0"
+        self._has_headers, self._received_bytes = True, 0
+        self._last_body_at = math.inf  # until its first piece the head's time counts
+        self._is_http10 = self._parser.get_http_version() == "1.0"
         headers = self._headers
-        if not headers.keys().isdisjoint(FRAMING):
+        if not headers.keys().isdisjoint(BODY_HEADERS):
             length = headers.get(b"content-length", b"0")
             if (coding := headers.get(b"transfer-encoding")) is not None and (
                 b"content-length" in headers or coding.lower() != b"chunked"
@@ -312,71 +329,76 @@
             elif length.isdigit() and int(length[:9]) > MAX_BODY_BYTES:
                 self.reject(413)
             elif length.isdigit() and int(length) > MAX_BUFFERED_BODY_BYTES:
-                self._stream()
-            elif self._expects and not self._calls:
-                self._go_ahead()
+                self._accept_streamed()
+            elif self._expects_continue and not self._requests:
+                self._send_continue()
 
     def on_body(self, body: bytes) -> None:
-        if self._deaf:
+        if self._ignores_input:
             return
-        self._body_at = monotonic()
-        self._size += len(body)
-        if self._size > MAX_BODY_BYTES:
+        self._last_body_at = monotonic()
+        self._received_bytes += len(body)
+        if self._received_bytes > MAX_BODY_BYTES:
             self.reject(413)
-        elif not self._clients.hold(len(body)):
+        elif not self._clients.reserve_body(len(body)):
             self.reject(503)  # many at once could pass the limit on memory
-        elif self._upload and self._upload.passage:
-            self._upload.passage.feed(body)
+        elif self._upload and self._upload.exchange:
+            self._upload.exchange.add_body(body)
         else:
-            self._body.append(body)
-            if self._size > MAX_BUFFERED_BODY_BYTES:
-                self._stream()
+            self._body_pieces.append(body)
+            if self._received_bytes > MAX_BUFFERED_BODY_BYTES:
+                self._accept_streamed()
 
     def on_message_complete(self) -> None:
-        self.begun, self._headed, self._size = None, False, 0
-        self.taken = True
-        self._clients.coming.pop(self, None)
+        self.request_begun_at, self._has_headers, self._received_bytes = None, False, 0
+        self.has_received_request = True
+        self._clients.receiving.pop(self, None)
         upload, self._upload = self._upload, None
-        if self._deaf:
+        if self._ignores_input:
             return
-        if upload and upload.passage:
-            self._deaf = not upload.keep
-            upload.passage.fed(self._read_lain_s)
-            self._pace()
-            if self._deaf and not self._calls:
-                self._end()  # its answer went out ahead of the body's end, with nothing to close behind it
+        if upload and upload.exchange:
+            self._ignores_input = not upload.keep_alive
+            upload.exchange.finish_body(self._read_unread_s)
+            self._update_reading()
+            if self._ignores_input and not self._requests:
+                self._end_after_response()  # the response was sent before the body ended
             return
-        if self._waited and self.gone():
-            self._deaf = True  # it left while this lay here; its end is read next
+        if self._may_have_waited and self.is_client_gone():
+            self._ignores_input = True  # it left while this lay here; its end is read next
             return
-        keep = self._keep
-        self._deaf = not keep
-        self._take(keep)
-        if self._paused or self._stuck or self._turn or len(self._calls) >= PIPELINED:
-            self._pace()
+        keep = self._can_keep_alive
+        self._ignores_input = not keep
+        self._accept_request(keep)
+        if (
+            self._is_read_paused
+            or self._is_write_paused
+            or self._streaming_response
+            or len(self._requests) >= MAX_PIPELINED
+        ):
+            self._update_reading()
 
-    def _take(self, keep: bool) -> None:
+    def _accept_request(self, keep: bool) -> None:
         """Take a whole request on, or answer at once that it is none."""
         method, url, body = self._parser.get_method(), self._url, b""
-        if self._body:
-            body, self._body = b"".join(self._body), []
-            self._clients.release(len(body))
+        if self._body_pieces:
+            body, self._body_pieces = b"".join(self._body_pieces), []
+            self._clients.release_body(len(body))
         if url.partition(b"?")[0] == b"/up":
-            self._reply(keep, 200 if self._clients.ready else 503)
+            self._respond(keep, 200 if self._clients.ready else 503)
             return
         try:
-            terms = self._clients.checker.terms(method, url, self._headers, bool(body))
+            terms = self._clients.checker.parse_terms(method, url, self._headers, bool(body))
         except BadRequestError as error:
-            self._reply(keep, error.code, str(error))
+            self._respond(keep, error.code, str(error))
             return
         if body:
-            self._clients.hold(len(body))  # what was just released, until it is answered
+            self._clients.reserve_body(len(body))  # what was just released, until it is answered
         framing = b"Content-Length: %d\r\n" % len(body) if method == b"POST" else b""
-        call = Call(self, keep, self._forward(method, url) + framing, body)
-        self._calls.append(call)
-        call.passage = self._clients.limiter.take(call, terms, self._lain_s)
+        call = ClientRequest(self, keep, self._forwarded_head(method, url) + framing, body)
+        self._requests.append(call)
+        call.exchange = self._clients.limiter.accept_request(call, terms, self._request_unread_s)
 
-    def _forward(self, method: bytes, url: bytes) -> bytes:
+    def _forwarded_head(self, method: bytes, url: bytes) -> bytes:
         head = [method, b" ", url, b" HTTP/1.1\r\nHost: backend.local\r\nReq-Id: ", self._headers[b"req-id"]]
         if key := self._headers.get(b"idempotency-key"):
             head += [b"\r\nIdempotency-Key: ", key]
@@ -385,163 +407,165 @@
         return b"".join([*head, b"\r\n"])
 
     @property
-    def _lain_s(self) -> float:
+    def _request_unread_s(self) -> float:
         """How long the request lay unread that is taken on; later bytes of it may come only as it is read."""
-        begin, read = self._begin_lain_s, self._read_lain_s
+        begin, read = self._begin_unread_s, self._read_unread_s
         return begin if begin > read else read
 
     @property
-    def _expects(self) -> bool:
+    def _expects_continue(self) -> bool:
         return self._headers.get(b"expect", b"").lower() == b"100-continue"
 
     @property
-    def _keep(self) -> bool:
+    def _can_keep_alive(self) -> bool:
         """Whether another request may follow; behind one for another protocol none of ours can be told."""
         return self._parser.should_keep_alive() and not self._parser.should_upgrade()
 
-    def _go_ahead(self) -> None:
+    def _send_continue(self) -> None:
         if self._transport:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def _stream(self) -> None:
+    def _accept_streamed(self) -> None:
         """Take a request on whose body is too long to be held; it goes on as it comes."""
         method, url = self._parser.get_method(), self._url
         try:
-            terms = self._clients.checker.terms(method, url, self._headers, True)
+            terms = self._clients.checker.parse_terms(method, url, self._headers, True)
         except BadRequestError as error:
             self.reject(error.code)
             return
         length = self._headers.get(b"content-length")
         framing = b"Content-Length: " + length if length else b"Transfer-Encoding: chunked"
-        forward = self._forward(method, url) + framing + b"\r\n"
-        call = Call(self, self._keep, forward, streamed=True, chunked=length is None)
-        self._calls.append(call)
+        forward = self._forwarded_head(method, url) + framing + b"\r\n"
+        call = ClientRequest(self, self._can_keep_alive, forward, streamed=True, chunked=length is None)
+        self._requests.append(call)
         self._upload = call
-        call.passage = passage = self._clients.limiter.take(call, terms, self._lain_s)
-        if self._expects and length:  # where it is not told the go-ahead was given with the head
-            if passage.over:
-                call.keep, self._upload = False, None  # the body may never come, or come all the same
-                self._deaf = self._rejected = True
-                self._clients.coming.pop(self, None)
-            elif len(self._calls) == 1:
-                self._go_ahead()
-        pieces, self._body = self._body, []
+        call.exchange = passage = self._clients.limiter.accept_request(call, terms, self._request_unread_s)
+        if self._expects_continue and length:  # where it is not told the go-ahead was given with the head
+            if passage.is_over:
+                call.keep_alive, self._upload = False, None  # the body may never come, or come all the same
+                self._ignores_input = self._has_rejected = True
+                self._clients.receiving.pop(self, None)
+            elif len(self._requests) == 1:
+                self._send_continue()
+        pieces, self._body_pieces = self._body_pieces, []
         for piece in pieces:
-            passage.feed(piece)
+            passage.add_body(piece)
 
-    def _reply(self, keep: bool, code: int, text: str = "") -> None:
-        call = Call(self, keep)
-        self._calls.append(call)
-        call.answer(code, text.encode(), b"text/plain" if text else b"")
+    def _respond(self, keep: bool, code: int, text: str = "") -> None:
+        call = ClientRequest(self, keep)
+        self._requests.append(call)
+        call.send_response(code, text.encode(), b"text/plain" if text else b"")
 
     def _drop_body(self) -> None:
-        self._clients.release(sum(map(len, self._body)))
-        self._body = []
+        self._clients.release_body(sum(map(len, self._body_pieces)))
+        self._body_pieces = []
 
     def reject(self, code: int) -> None:
         """Answer what can't be read to its end, behind the answers that are due before it."""
-        if not self._deaf:
-            self._deaf = self._rejected = True
-            self._clients.coming.pop(self, None)
+        if not self._ignores_input:
+            self._ignores_input = self._has_rejected = True
+            self._clients.receiving.pop(self, None)
             self._drop_body()
             call, self._upload = self._upload, None
-            if call is None or call not in self._calls:
-                self._reply(False, code)
+            if call is None or call not in self._requests:
+                self._respond(False, code)
                 return
-            if call.passage:
-                self._clients.limiter.abandon(call.passage)
-            call.keep = False
-            if call.started:
-                call.cut()
+            if call.exchange:
+                self._clients.limiter.abandon(call.exchange)
+            call.keep_alive = False
+            if call.streamed_head:
+                call.abort_response()
             else:
-                call.answer(code)
+                call.send_response(code)
 
     # --- Answering -----------------------------------------------------------------------------
     def flush(self) -> None:
         """Write the answers that are there, in the order of their requests, in one piece."""
-        if self._transport is None or self._transport.is_closing() or self._reading:
+        if self._transport is None or self._transport.is_closing() or self._is_parsing:
             return
         parts: list[bytes] = []
         last = False
-        while self._calls and not last:
-            call = self._calls[0]
+        while self._requests and not last:
+            call = self._requests[0]
             if reply := call.reply:
-                self._calls.popleft()
+                self._requests.popleft()
                 if call.body:
-                    self._clients.release(len(call.body))
+                    self._clients.release_body(len(call.body))
                 code, headers, body = reply
                 # What is still coming of its body is read past, for its sender to find the answer.
-                last = not self._calls and call is not self._upload
-                last = last and not (call.keep and self._clients.keeps)
-                parts.append(b"%sContent-Length: %d\r\n%s" % (LINES[code], len(body), headers))
+                last = not self._requests and call is not self._upload
+                last = last and not (call.keep_alive and self._clients.keeps_connections)
+                parts.append(b"%sContent-Length: %d\r\n%s" % (STATUS_LINES[code], len(body), headers))
                 parts.append(b"Connection: close\r\n\r\n" if last else b"\r\n")
                 parts.append(body)
                 continue
             if call.broken:
                 self.abort("an answer can't be finished")  # the client must see that it is not whole
                 return
-            if not call.started:
+            if not call.streamed_head:
                 break
-            self._turn = call
-            parts += self._passed_on(call)
-            if not call.done:
+            self._streaming_response = call
+            parts += self._streamed_parts(call)
+            if not call.is_complete:
                 break
-            self._calls.popleft()
-            self._clients.release(len(call.body))
-            self._turn, last = None, call.ends
+            self._requests.popleft()
+            self._clients.release_body(len(call.body))
+            self._streaming_response, last = None, call.closes_connection
         if parts:
-            self.served = True
+            self.has_responded = True
             self._transport.write(b"".join(parts))
-            if self._paused or self._turn:
-                self._pace()
+            if self._is_read_paused or self._streaming_response:
+                self._update_reading()
         if last:
-            self._end()
-        elif self.idle and not self._deaf:
-            self._clients.idle[self] = None
-            self._clients.passes(self)
+            self._end_after_response()
+        elif self.is_idle and not self._ignores_input:
+            self._clients.idle_connections[self] = None
+            self._clients.connection_idle(self)
 
-    def _passed_on(self, call: Call) -> list[bytes]:
+    def _streamed_parts(self, call: ClientRequest) -> list[bytes]:
         """What there is by now of an answer that is passed on, framed for this client."""
-        assert call.started
-        headers, length = call.started
+        assert call.streamed_head
+        headers, length = call.streamed_head
         pieces, call.pieces = call.pieces, []
-        bare = length is not None or self._old
+        bare = length is not None or self._is_http10
         if not bare:
             pieces = [part for piece in pieces if piece for part in (b"%x\r\n" % len(piece), piece, b"\r\n")]
-            if call.done:
+            if call.is_complete:
                 pieces.append(b"0\r\n\r\n")
-        if call.begun:
+        if call.is_head_written:
             return pieces
-        call.begun = True
-        call.ends = not call.keep or (length is None and self._old)
-        call.ends = call.ends or (len(self._calls) == 1 and self._upload is None and not self._clients.keeps)
-        if call.ends:
-            self._deaf = True
-        framing = b"" if self._old else b"Transfer-Encoding: chunked\r\n"
+        call.is_head_written = True
+        call.closes_connection = not call.keep_alive or (length is None and self._is_http10)
+        call.closes_connection = call.closes_connection or (
+            len(self._requests) == 1 and self._upload is None and not self._clients.keeps_connections
+        )
+        if call.closes_connection:
+            self._ignores_input = True
+        framing = b"" if self._is_http10 else b"Transfer-Encoding: chunked\r\n"
         framing = b"Content-Length: %d\r\n" % length if length is not None else framing
-        ends = b"Connection: close\r\n\r\n" if call.ends else b"\r\n"
+        ends = b"Connection: close\r\n\r\n" if call.closes_connection else b"\r\n"
         return [b"HTTP/1.1 200 OK\r\n", framing, headers, ends, *pieces]
 
-    def _end(self) -> None:
+    def _end_after_response(self) -> None:
         """Close behind the last answer, and lose none of it to what its sender is still at.
 
         Closing over bytes that were not read, or that come while the answer is still on its way, resets the
         connection, and what the client has not got of the answer goes with it. So where either may be, the
         sending ends first, and what comes is read past for a while.
         """
-        self._deaf = True
+        self._ignores_input = True
         if self._transport is None or self._transport.is_closing():
             return
         self._trace_close("behind its last answer")
         if (
-            not self._rejected
+            not self._has_rejected
             and not self._transport.get_write_buffer_size()
-            and look(self._sock) is not Unread.BYTES
+            and peek(self._sock) is not UnreadData.BYTES
         ):
             self._transport.close()
             return
-        self.begun, self._ending = None, True
-        self._pace()
+        self.request_begun_at, self._is_lingering = None, True
+        self._update_reading()
         self._transport.write_eof()
         self._linger()
 
--- a/basaltpoint/fronts/platform/call.py
+++ b/basaltpoint/fronts/platform/client_request.py
@@ -4,17 +4,17 @@
 
 from typing import Protocol
 
-from basaltpoint.fronts.platform.passage import Passage
+from basaltpoint.fronts.platform.request_exchange import RequestExchange
 
 
-class CallConnection(Protocol):
+class RequestConnection(Protocol):
     """What a call needs of the connection that it came over."""
 
     @property
-    def left(self) -> bool:
+    def client_left_unnoticed(self) -> bool:
         """Whether its client has gone unnoticed, as nothing is read from it for now."""
 
-    def gone(self) -> bool:
+    def is_client_gone(self) -> bool:
         """Whether its client has gone, as the system knows now."""
 
     def abort(self, reason: str) -> None:
@@ -23,36 +23,36 @@
     def flush(self) -> None:
         """Write the answers that are there."""
 
-    def hold_upload(self, held: bool) -> None:
+    def pause_upload(self, held: bool) -> None:
         """Take no more of a body while the server does not."""
 
-    def release(self, size: int) -> None:
+    def release_body(self, size: int) -> None:
         """So many bytes of a body are held no more."""
 
 
-class Call:
+class ClientRequest:
     """One request of a client and, once it is there, its answer."""
 
     __slots__ = (
         "_connection",
-        "begun",
         "body",
         "broken",
         "chunked",
-        "done",
-        "ends",
+        "closes_connection",
+        "exchange",
         "forward",
-        "keep",
-        "passage",
+        "is_complete",
+        "is_head_written",
+        "keep_alive",
         "pieces",
         "reply",
-        "started",
         "streamed",
+        "streamed_head",
     )
 
     def __init__(
         self,
-        connection: CallConnection,
+        connection: RequestConnection,
         keep: bool,
         forward: bytes = b"",
         body: bytes = b"",
@@ -60,43 +60,45 @@
         chunked: bool = False,
     ) -> None:
         self._connection = connection
-        self.keep = keep
+        self.keep_alive = keep
         self.forward = forward
         self.body = body
         self.streamed = streamed
         self.chunked = chunked
-        self.passage: Passage | None = None  # of one that was taken on
+        self.exchange: RequestExchange | None = None  # of one that was taken on
         self.reply: tuple[int, bytes, bytes] | None = None
         # Of an answer that goes on in pieces.
-        self.started: tuple[bytes, int | None] | None = None  # its headers and length
-        self.begun = False  # its head was written
+        self.streamed_head: tuple[bytes, int | None] | None = None  # its headers and length
+        self.is_head_written = False  # its head was written
         self.pieces: list[bytes] = []  # that wait for their turn
-        self.done = self.broken = False
-        self.ends = False  # the connection ends behind it
+        self.is_complete = self.broken = False
+        self.closes_connection = False  # the connection ends behind it
 
     @property
-    def due(self) -> bool:
+    def is_unanswered(self) -> bool:
         """Whether no final answer to it is there, or on its way."""
-        return self.reply is None and self.started is None
+        return self.reply is None and self.streamed_head is None
 
     @property
-    def name(self) -> str:
+    def request_id(self) -> str:
         """The request's id, as its client words it."""
-        return self.passage.name.decode("latin-1") if self.passage else "without an id"
+        return self.exchange.request_id.decode("latin-1") if self.exchange else "without an id"
 
     @property
-    def left(self) -> bool:
+    def client_left_unnoticed(self) -> bool:
         """Whether its client has gone unnoticed, as nothing is read from the connection for now."""
-        return self._connection.left
+        return self._connection.client_left_unnoticed
 
-    def gone(self) -> bool:
+    def is_client_gone(self) -> bool:
         """Whether its client has gone, as the system knows now; asks it twice."""
-        return self._connection.gone()
+        return self._connection.is_client_gone()
 
-    def hang_up(self) -> None:
+    def close_connection(self) -> None:
         self._connection.abort("its client has left")
 
-    def answer(self, code: int, body: bytes = b"", content_type: bytes = b"", retry_s: float = 0.0) -> None:
+    def send_response(
+        self, code: int, body: bytes = b"", content_type: bytes = b"", retry_s: float = 0.0
+    ) -> None:
         if self.reply is None:
             headers = b"Content-Type: " + content_type + b"\r\n" if content_type else b""
             if retry_s > 0:
@@ -104,26 +106,26 @@
             self.reply = code, headers, body
             self._connection.flush()
 
-    def start(self, content_type: bytes, length: int | None) -> None:
-        self.started = (b"Content-Type: " + content_type + b"\r\n" if content_type else b""), length
+    def start_response(self, content_type: bytes, length: int | None) -> None:
+        self.streamed_head = (b"Content-Type: " + content_type + b"\r\n" if content_type else b""), length
         self._connection.flush()
-        if not self.begun and self.passage:
-            self.passage.reading(False)  # until its turn comes
+        if not self.is_head_written and self.exchange:
+            self.exchange.client_writable(False)  # until its turn comes
 
-    def piece(self, data: bytes) -> None:
+    def send_piece(self, data: bytes) -> None:
         self.pieces.append(data)
         self._connection.flush()
 
-    def finish(self) -> None:
-        self.done = True
+    def finish_response(self) -> None:
+        self.is_complete = True
         self._connection.flush()
 
-    def cut(self) -> None:
+    def abort_response(self) -> None:
         self.broken = True
         self._connection.flush()
 
-    def hold_upload(self, held: bool) -> None:
-        self._connection.hold_upload(held)
+    def pause_upload(self, held: bool) -> None:
+        self._connection.pause_upload(held)
 
-    def release(self, size: int) -> None:
-        self._connection.release(size)
+    def release_body(self, size: int) -> None:
+        self._connection.release_body(size)
--- a/basaltpoint/fronts/platform/close_guard.py
+++ b/basaltpoint/fronts/platform/close_guard.py
@@ -15,7 +15,7 @@
 log = logging.getLogger(__name__)
 
 
-class Dropped(Enum):
+class CloseViolation(Enum):
     """What a close cost."""
 
     UNANSWERED = "requests in hand have no answer"
@@ -26,20 +26,20 @@
     """What one process closed over."""
 
     def __init__(self) -> None:
-        self.violations: Counter[Dropped] = Counter()
+        self.violations: Counter[CloseViolation] = Counter()
 
-    def closing(self, reason: str, unanswered: Sequence[str], unread: bool) -> None:
+    def check_close(self, reason: str, unanswered: Sequence[str], unread: bool) -> None:
         """A connection is closed for this reason; `unanswered`: the ids of its requests with no answer."""
         if unanswered:
-            self.violations[Dropped.UNANSWERED] += 1
+            self.violations[CloseViolation.UNANSWERED] += 1
             log.error(
                 "violation: a connection was closed (%s) over requests %s", reason, ", ".join(unanswered)
             )
         if unread:
-            self.violations[Dropped.UNREAD] += 1
+            self.violations[CloseViolation.UNREAD] += 1
             log.error("violation: a connection was closed (%s) over bytes that were not read", reason)
 
-    def lines(self) -> Iterator[str]:
+    def metric_lines(self) -> Iterator[str]:
         """The counts, one a line, for the control address."""
-        for dropped in Dropped:
+        for dropped in CloseViolation:
             yield f'gw_violations{{rule="{dropped.name.lower()}"}} {self.violations[dropped]}'
--- a/basaltpoint/fronts/platform/listed_servers.py
+++ b/basaltpoint/fronts/platform/listed_servers.py
@@ -19,7 +19,7 @@
 from basaltpoint.telemetry import trace
 from basaltpoint.upstream.servers import ServerConnections
 
-SLICE = 100  # new servers taken up at a time, some ms of work, before clients have their turn
+NEW_SERVERS_BATCH = 100  # new servers taken up at a time, some ms of work, before clients have their turn
 
 
 class ListedServers:
@@ -43,10 +43,10 @@
         self._next_number = itertools.count(max(self.numbers.values(), default=-1) + 1)
         self._new: deque[Host] = deque()  # listed and not taken up yet
         self._zones = {zone: number for number, zone in enumerate(zones)}
-        self._connections, self._now, self._tell = connections, now, tell
+        self._connections, self._now, self._apply_list = connections, now, tell
         self._log = ListLog()
 
-    def take(self, told: HostList, kind: api.ListKind) -> None:
+    def update(self, told: HostList, kind: api.ListKind) -> None:
         """Take up a list. What concerns known servers holds at once, new ones come in slices.
 
         So a list that names thousands of new servers keeps no client waiting for all of them, and no drain,
@@ -56,7 +56,7 @@
         self.version = told.seq
         hosts = told.hosts
         if kind is not api.ListKind.DELTA:
-            hosts = (*self._unnamed(told), *hosts)
+            hosts = (*self._unlisted(told), *hosts)
         latest = {host.name: host for host in hosts}
         changed = [host for name, host in latest.items() if self.hosts.get(name) != host]
         self._log.record(monotonic(), told.seq, kind, len(told.hosts), len(changed))
@@ -66,7 +66,7 @@
         if kind is api.ListKind.CACHED:
             self._apply(changed, kind)
             for name in self.numbers.keys() - self.hosts.keys():  # an older process knew more
-                self._forget(name)
+                self._remove(name)
             return
         self._apply([host for host in changed if host.name in self.hosts])
         self._new = deque(
@@ -74,7 +74,7 @@
         )
         self._add_new()
 
-    def _unnamed(self, told: HostList) -> list[Host]:
+    def _unlisted(self, told: HostList) -> list[Host]:
         """The servers that a whole list leaves out, as gone."""
         named = {host.name for host in told.hosts}
         left = [host for name, host in self.hosts.items() if name not in named]
@@ -82,7 +82,7 @@
 
     def _add_new(self) -> None:
         """Take up a slice of the new servers, and the others in later turns of the loop."""
-        slice_ = [self._new.popleft() for _ in range(min(SLICE, len(self._new)))]
+        slice_ = [self._new.popleft() for _ in range(min(NEW_SERVERS_BATCH, len(self._new)))]
         if slice_:
             self._apply(slice_)
         if self._new:
@@ -96,19 +96,19 @@
 
     def _apply(self, hosts: Sequence[Host], kind: api.ListKind = api.ListKind.DELTA) -> None:
         """Have connections and decisions go by these entries."""
-        self._look_at_clocks()
+        self._observe_clocks()
         servers = tuple(self._server(host) for host in hosts)
         for host in hosts:
             if host.state is ServerState.GONE:
                 self.hosts.pop(host.name, None)
             else:
                 self.hosts[host.name] = host
-        self._tell(api.ServerList(kind, servers))
+        self._apply_list(api.ServerList(kind, servers))
         for host in hosts:
             if host.state is ServerState.GONE:
-                self._forget(host.name)
+                self._remove(host.name)
 
-    def _forget(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         """A server is gone."""
         self._connections.remove_server(self.numbers.pop(name))
         self.starts.forget(name)
@@ -125,10 +125,10 @@
 
     def sweep(self) -> None:
         """Look at the clocks for a step, and log what was not yet."""
-        self._look_at_clocks()
+        self._observe_clocks()
         self._log.flush(monotonic())
 
-    def _look_at_clocks(self) -> None:
+    def _observe_clocks(self) -> None:
         self.starts.observe_clocks(self._now(), time.time() * 1000)
 
     def document(self) -> dict[str, Any]:
--- a/basaltpoint/fronts/platform/request_check.py
+++ b/basaltpoint/fronts/platform/request_check.py
@@ -5,15 +5,18 @@
 import math
 import re
 
-from basaltpoint.fronts.platform.limiter import Terms
+from basaltpoint.fronts.platform.limiter import RequestTerms
 from basaltpoint.interface import Effect, Settings
 
-CUSTOMER = re.compile(rb"[0-9A-Fa-f]{16}")
+CUSTOMER_KEY = re.compile(rb"[0-9A-Fa-f]{16}")
 REQ_ID = re.compile(rb"[!-~]{1,128}")
 DECIMAL = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
-WHOLE = re.compile(rb"[0-9]{1,5}")
-FIRST_PART = re.compile(rb"/([^/?#]*)")
-TERMS_KEPT, TERMS_LENGTH = 1024, 128  # terms of calls that are remembered as good, and bytes of the longest
+INTEGER = re.compile(rb"[0-9]{1,5}")
+FIRST_SEGMENT = re.compile(rb"/([^/?#]*)")
+MAX_CACHED_TERMS, MAX_CACHED_TERMS_BYTES = (
+    1024,
+    128,
+)  # terms of calls that are remembered as good, and bytes of the longest
 
 
 class BadRequestError(Exception):
@@ -30,38 +33,38 @@
     def __init__(self, settings: Settings) -> None:
         self._classes = {c.name.encode(): (n, c.effect) for n, c in enumerate(settings.classes)}
         self._plans = {plan.name.encode(): n for n, plan in enumerate(settings.plans)}
-        self._gateways = settings.limiter_count
-        self._most_units = settings.max_request_units or math.inf
-        self._told: dict[bytes, tuple[float, int]] = {}  # terms that were read lately and were good
+        self._limiter_count = settings.limiter_count
+        self._max_units = settings.max_request_units or math.inf
+        self._parsed_terms: dict[bytes, tuple[float, int]] = {}  # terms that were read lately and were good
 
-    def terms(self, method: bytes, url: bytes, headers: dict[bytes, bytes], body: bool) -> Terms:
-        path = FIRST_PART.match(url)
+    def parse_terms(self, method: bytes, url: bytes, headers: dict[bytes, bytes], body: bool) -> RequestTerms:
+        path = FIRST_SEGMENT.match(url)
         if path is None or path[1] not in self._classes:
             raise BadRequestError(404, "no such class in the path")
         if headers.get(b"req-kind") != path[1]:
             raise BadRequestError(400, "Req-Kind is not the class in the path")
         cls, effect = self._classes[path[1]]
-        self._method(method, effect, headers, body)
+        self._check_method(method, effect, headers, body)
         name = headers.get(b"req-id", b"")
         if not REQ_ID.fullmatch(name):
             raise BadRequestError(400, "Req-Id is missing or wrong")
         plan, key = self._plans.get(headers.get(b"x-tier", b"")), headers.get(b"x-api-key", b"")
         if plan is None:
             raise BadRequestError(400, "X-Tier is missing or names no plan")
-        if not CUSTOMER.fullmatch(key) or (customer := int(key, 16)) >= 1 << 33:
+        if not CUSTOMER_KEY.fullmatch(key) or (customer := int(key, 16)) >= 1 << 33:
             raise BadRequestError(400, "X-Api-Key is missing or names no customer")
         wait = _number(headers.get(b"req-deadline", b""), "Req-Deadline")
         raw = headers.get(b"x-call-terms", b"")
-        if (told := self._told.get(raw)) is None:
-            told = self._call_terms(raw)
-            if len(raw) <= TERMS_LENGTH:
-                if len(self._told) >= TERMS_KEPT:
-                    self._told.clear()
-                self._told[raw] = told
+        if (told := self._parsed_terms.get(raw)) is None:
+            told = self._parse_call_terms(raw)
+            if len(raw) <= MAX_CACHED_TERMS_BYTES:
+                if len(self._parsed_terms) >= MAX_CACHED_TERMS:
+                    self._parsed_terms.clear()
+                self._parsed_terms[raw] = told
         units, doors = told
-        return Terms(name, cls, plan, customer, units, doors, wait)
+        return RequestTerms(name, cls, plan, customer, units, doors, wait)
 
-    def _method(self, method: bytes, effect: Effect, headers: dict[bytes, bytes], body: bool) -> None:
+    def _check_method(self, method: bytes, effect: Effect, headers: dict[bytes, bytes], body: bool) -> None:
         if method != (b"GET" if effect is Effect.SAFE else b"POST"):
             raise BadRequestError(405, "not the method of this class")
         if effect is Effect.SAFE and body:
@@ -69,7 +72,7 @@
         if (effect is Effect.KEYED) != bool(headers.get(b"idempotency-key")):
             raise BadRequestError(400, "Idempotency-Key is missing, or not of this class")
 
-    def _call_terms(self, raw: bytes) -> tuple[float, int]:
+    def _parse_call_terms(self, raw: bytes) -> tuple[float, int]:
         """The units, and how many limiters the customer comes through.
 
         What is out of range is turned down here: in the module it would bind the customer it names.
@@ -80,11 +83,11 @@
             raise BadRequestError(400, "X-Call-Terms tells something twice")
         units = _number(told.get(b"units", b""), "units in X-Call-Terms")
         spread, first = told.get(b"spread", b""), told.get(b"first", b"")
-        if units > self._most_units:
+        if units > self._max_units:
             raise BadRequestError(400, "more units than a request can take")
-        if not (WHOLE.fullmatch(spread) and WHOLE.fullmatch(first)):
+        if not (INTEGER.fullmatch(spread) and INTEGER.fullmatch(first)):
             raise BadRequestError(400, "spread or first in X-Call-Terms is missing or wrong")
-        if not (0 < int(spread) <= self._gateways and int(first) < self._gateways):
+        if not (0 < int(spread) <= self._limiter_count and int(first) < self._limiter_count):
             raise BadRequestError(400, "spread or first in X-Call-Terms is out of range")
         return units, int(spread)
 
--- a/basaltpoint/fronts/unread.py
+++ b/basaltpoint/fronts/unread.py
@@ -17,15 +17,15 @@
 
 # Bytes that a new socket takes at least while nobody reads it (half of the default of tcp_rmem, less heads of
 # packets). What lies there up to this may be all that was sent.
-FULL_WINDOW = 60_000
-FIRST_S = 0.3  # what a new connection gets for its first request before it may be closed
+MIN_RECEIVE_BUFFER_BYTES = 60_000
+FIRST_REQUEST_GRACE_S = 0.3  # what a new connection gets for its first request before it may be closed
 
 # `struct tcp_info` of linux/tcp.h: eight bytes, then 32-bit numbers. The tenth says how many milliseconds ago
 # data was last sent, the twelfth how many ago data last came in; both begin as the connection comes up.
 _TIMES = struct.Struct("=44xI4xI")
 
 
-class Unread(Enum):
+class UnreadData(Enum):
     """What is read next from a socket."""
 
     NOTHING = auto()
@@ -33,17 +33,17 @@
     END = auto()  # its other side has gone
 
 
-def look(sock: socket.socket) -> Unread:
+def peek(sock: socket.socket) -> UnreadData:
     """What lies in a socket, without taking it."""
     try:
-        return Unread.BYTES if sock.recv(1, socket.MSG_PEEK) else Unread.END
+        return UnreadData.BYTES if sock.recv(1, socket.MSG_PEEK) else UnreadData.END
     except (BlockingIOError, InterruptedError):
-        return Unread.NOTHING
+        return UnreadData.NOTHING
     except OSError:
-        return Unread.END
+        return UnreadData.END
 
 
-def last_moved_s(sock: socket.socket) -> tuple[float, float] | None:
+def seconds_since_data(sock: socket.socket) -> tuple[float, float] | None:
     """Seconds since data was last sent, and since it last came in; None where the system does not tell."""
     try:
         sent, received = _TIMES.unpack(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TIMES.size))
@@ -60,7 +60,7 @@
         return 0
 
 
-def unread_s(sock: socket.socket, since: float, size: int, answered: bool) -> float:
+def time_unread_s(sock: socket.socket, since: float, size: int, has_responded: bool) -> float:
     """How long what was just read may have lain there, in seconds.
 
     `since`: since when the socket may not have been looked at, monotonic seconds.
@@ -68,12 +68,12 @@
     Of several requests in one read it is the last one's time.
     """
     longest = monotonic() - since
-    moved = last_moved_s(sock)
+    moved = seconds_since_data(sock)
     if moved is None:
         return longest
     sent_s, received_s = moved
-    if size + unread_bytes(sock) < FULL_WINDOW:
+    if size + unread_bytes(sock) < MIN_RECEIVE_BUFFER_BYTES:
         return min(longest, received_s)
     # Its sender may have been held up since; the last bytes came as there was room, or as probes for it.
-    age_s = longest if answered else sent_s
+    age_s = longest if has_responded else sent_s
     return min(longest, age_s)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -15,14 +15,14 @@
 from waiting import until as until
 
 from basaltpoint.config.settings import parse_settings
-from basaltpoint.fronts.platform.clients import Clients
+from basaltpoint.fronts.platform.clients import ClientConnections
 from basaltpoint.fronts.platform.config import Config
 from basaltpoint.fronts.platform.limiter import Limiter
 from basaltpoint.membership.backoff import Backoff
 from basaltpoint.membership.discovery import Watch
 from basaltpoint.rehearsal.soak.processes import own_address
 
-PATIENCE_S = 30.0  # only a hanging test meets it
+TEST_TIMEOUT_S = 30.0  # only a hanging test meets it
 
 SETTINGS: dict[str, Any] = {
     "balancers": 3,
@@ -58,7 +58,7 @@
 }
 
 
-run = partial(waiting.run, within_s=PATIENCE_S)
+run = partial(waiting.run, timeout_s=TEST_TIMEOUT_S)
 
 
 # --- Servers --------------------------------------------------------------------------------------
@@ -174,7 +174,7 @@
         self._writer = writer
         self.watches.put_nowait(line.split(" ")[1])
 
-    def tell(self, line: bytes | dict[str, Any]) -> None:
+    def send(self, line: bytes | dict[str, Any]) -> None:
         assert self._writer
         raw = line if isinstance(line, bytes) else json.dumps(line).encode() + b"\n"
         self._writer.write(b"%x\r\n%s\r\n" % (len(raw), raw))
@@ -235,8 +235,8 @@
 class Rig:
     def __init__(self, made: Config) -> None:
         self.limiter = Limiter(made)
-        self.clients = Clients(self.limiter, made.settings, made.listen, 100, made.body_bytes)
-        self.watch = Watch(made.discovery, self.limiter.listed, Backoff(random.Random(1)))
+        self.clients = ClientConnections(self.limiter, made.settings, made.listen, 100, made.body_bytes)
+        self.watch = Watch(made.discovery, self.limiter.update_servers, Backoff(random.Random(1)))
         self.watch.seq = self.limiter.known_seq
 
     async def connect(self) -> Client:
--- a/tests/storeprocs.py
+++ b/tests/storeprocs.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 import trustme
-from waiting import PATIENCE_S
+from waiting import TEST_TIMEOUT_S
 
 from basaltpoint.links.transport import Tls
 from basaltpoint.store.client import Client, Endpoint, StoreError
@@ -99,13 +99,13 @@
     def kill(self, name: str, number: int = signal.SIGKILL) -> None:
         process = self.running.pop(name)
         process.send_signal(number)
-        process.wait(PATIENCE_S)
+        process.wait(TEST_TIMEOUT_S)
 
     def stop(self) -> None:
         for process in self.running.values():
             process.send_signal(signal.SIGCONT)
             process.kill()
-            process.wait(PATIENCE_S)
+            process.wait(TEST_TIMEOUT_S)
         self.running.clear()
 
     def log(self, name: str) -> str:
@@ -122,7 +122,7 @@
 
     async def leader(self) -> str:
         """Wait for one."""
-        end = time.monotonic() + PATIENCE_S
+        end = time.monotonic() + TEST_TIMEOUT_S
         while time.monotonic() < end:
             for name in list(self.running):
                 with contextlib.suppress(StoreError, FileNotFoundError):
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -111,7 +111,7 @@
             if how == "close":
                 writer.close()
             assert await read_response(client) == (200, body)
-            assert rig.limiter.open == 0 and rig.limiter.figures.counts_of(2).answered == 1
+            assert rig.limiter.open_requests == 0 and rig.limiter.figures.counts_of(2).answered == 1
 
     run(test())
 
@@ -150,7 +150,7 @@
             assert got == body
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
             assert await read_response(client) == (200, b"done")
-            assert rig.limiter.open == 0 and rig.clients._bytes == 0
+            assert rig.limiter.open_requests == 0 and rig.clients._body_bytes == 0
 
     run(test())
 
@@ -162,7 +162,7 @@
             client.send(message("upload", Content_Length="200000") + b"a" * 70_000)
             reader, writer, _ = await server.request()
             assert await reader.readexactly(70_000) == b"a" * 70_000  # the client has sent no more
-            assert rig.limiter.open == 1
+            assert rig.limiter.open_requests == 1
             client.send(b"b" * 130_000)
             assert await reader.readexactly(130_000) == b"b" * 130_000
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + b"c" * 10)
@@ -170,7 +170,7 @@
             assert await client.reader.readexactly(10) == b"c" * 10  # the server has sent no more
             writer.write(b"c" * 99_990)
             assert await client.reader.readexactly(99_990) == b"c" * 99_990
-            await until(lambda: rig.limiter.open == 0)
+            await until(lambda: rig.limiter.open_requests == 0)
 
     run(test())
 
@@ -197,13 +197,13 @@
                     client.reader.readexactly(3_000_000) if how == "length" else read_chunked(client.reader)
                 )
             await until(lambda: rig.limiter.figures.counts_of(0).errored == 1)
-            assert server.arrived.empty() and rig.limiter.open == 0
+            assert server.arrived.empty() and rig.limiter.open_requests == 0
 
     run(test())
 
 
 def test_a_response_that_stalls_after_the_first_megabyte(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(limiting, "SILENT_S", 0.2)
+    monkeypatch.setattr(limiting, "SERVER_TIMEOUT_S", 0.2)
 
     async def test() -> None:
         async with raw_server() as server, limiter(host("a", server.address)) as rig:
@@ -219,7 +219,7 @@
                 await asyncio.sleep(0.02)
             with contextlib.suppress(ConnectionError):
                 assert await ended == b""
-            assert rig.limiter.open == 0
+            assert rig.limiter.open_requests == 0
 
     run(test())
 
@@ -227,7 +227,7 @@
 def test_a_client_that_stops_reading_uses_a_connection_but_little_memory(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(clients, "STUCK_S", 0.3)
+    monkeypatch.setattr(clients, "WRITE_TIMEOUT_S", 0.3)
 
     async def test() -> None:
         async with raw_server() as server, limiter(host("a", server.address)) as rig:
@@ -245,7 +245,7 @@
             assert sent < 32 * MB  # the server is held back by back pressure
             [connection] = rig.clients._open
             assert connection._transport and connection._transport.get_write_buffer_size() < MB
-            while rig.limiter.open:
+            while rig.limiter.open_requests:
                 rig.clients.sweep()
                 await asyncio.sleep(0.02)
             assert not rig.clients._open
@@ -263,7 +263,9 @@
             reader, writer, _ = await server.request()
             await reader.readexactly(70_000)
             [connection] = rig.clients._open
-            connection.made -= clients.STALL_S + 70_000 / client_connection.LEAST_RATE - 0.5
+            connection.connected_at -= (
+                clients.HEAD_TIMEOUT_S + 70_000 / client_connection.MIN_BODY_BYTES_PER_S - 0.5
+            )
             rig.clients.sweep()
             client.send(b"x" * 30_000)
             await reader.readexactly(30_000)
@@ -271,13 +273,15 @@
             assert (await read_response(client))[0] == 200
             client.send(message("upload", "stops", Content_Length="100000") + b"x" * 70_000)
             reader, _, _ = await server.request() if server.arrived.qsize() else (reader, writer, {})
-            await until(lambda: rig.limiter.open == 1)
-            assert connection.begun
-            connection.begun -= clients.STALL_S + 70_000 / client_connection.LEAST_RATE + 0.5
+            await until(lambda: rig.limiter.open_requests == 1)
+            assert connection.request_begun_at
+            connection.request_begun_at -= (
+                clients.HEAD_TIMEOUT_S + 70_000 / client_connection.MIN_BODY_BYTES_PER_S + 0.5
+            )
             rig.clients.sweep()
             assert (await read_response(client))[0] == 408
-            await until(lambda: rig.limiter.open == 0 and not rig.limiter.table.requests)
-            assert rig.clients._bytes == 0
+            await until(lambda: rig.limiter.open_requests == 0 and not rig.limiter.table.requests)
+            assert rig.clients._body_bytes == 0
 
     run(test())
 
@@ -315,7 +319,7 @@
             assert (await read_response(other))[0] == 429
             other.send(b"x" * 200_000 + message("fix", "next"))
             assert (await read_response(other))[0] == 429
-            assert rig.clients._bytes == 0 and rig.limiter.open == 0
+            assert rig.clients._body_bytes == 0 and rig.limiter.open_requests == 0
 
     run(test())
 
@@ -362,7 +366,7 @@
             client.close()
             with contextlib.suppress(ConnectionError):
                 assert not (await reader.read()).endswith(b"0\r\n\r\n")
-            await until(lambda: rig.limiter.open == 0 and rig.clients._bytes == 0)
+            await until(lambda: rig.limiter.open_requests == 0 and rig.clients._body_bytes == 0)
 
     run(test())
 
@@ -380,11 +384,11 @@
                     client.send(b"x" * MB)
                     await asyncio.wait_for(client.writer.drain(), 0.3)
                     sent += MB
-            assert sent < 32 * MB and rig.clients._bytes < MB
-            assert rig.limiter.open == 1  # the request is delayed, not refused
+            assert sent < 32 * MB and rig.clients._body_bytes < MB
+            assert rig.limiter.open_requests == 1  # the request is delayed, not refused
             reader._transport.resume_reading()  # type: ignore[attr-defined]
             client.close()
-            await until(lambda: rig.limiter.open == 0 and rig.clients._bytes == 0)
+            await until(lambda: rig.limiter.open_requests == 0 and rig.clients._body_bytes == 0)
 
     run(test())
 
@@ -398,8 +402,11 @@
             client.close()
             with contextlib.suppress(ConnectionError):
                 await reader.read()
-            await until(lambda: rig.limiter.open == 0 and not rig.limiter.table.requests)
-            assert rig.clients._bytes == 0 and rig.limiter.decision_module.pools[0].lane_outstanding == [0, 0]
+            await until(lambda: rig.limiter.open_requests == 0 and not rig.limiter.table.requests)
+            assert rig.clients._body_bytes == 0 and rig.limiter.decision_module.pools[0].lane_outstanding == [
+                0,
+                0,
+            ]
 
     run(test())
 
@@ -414,7 +421,7 @@
                 _, writer, headers = await server.request()
                 found[headers["req-id"]] = writer
             found["second"].write(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"s" * 300_000)
-            await until(lambda: any(p.passing for p in rig.limiter._passages.values()))
+            await until(lambda: any(p.response_started for p in rig.limiter._exchanges.values()))
             found["first"].write(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nf")
             assert await read_response(client) == (200, b"f")
             assert await read_response(client) == (200, b"s" * 300_000)
@@ -476,7 +483,7 @@
                     group.create_task(one(rig, n))
             grown = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before
             assert grown < 48 * 1024  # KB; client and server are in this process, too
-            await until(lambda: rig.limiter.open == 0 and rig.clients._bytes == 0)
+            await until(lambda: rig.limiter.open_requests == 0 and rig.clients._body_bytes == 0)
             serving.cancel()
 
     run(test())
--- a/tests/test_change_batch.py
+++ b/tests/test_change_batch.py
@@ -61,7 +61,7 @@
                 await told.watches.get()
                 first, second = host("a", one.address, "leaving"), host("b", two.address)
                 for number, entry in enumerate((first, second), start=2):
-                    told.tell(listing(number, entry, whole=False))
+                    told.send(listing(number, entry, whole=False))
                 await until(lambda: rig.limiter.known_seq == 3)
                 client = await rig.connect()
                 for number in range(5):
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -124,7 +124,7 @@
             client = await rig.connect()
             assert (await client.ask(raw)).code == code
             assert (await client.ask(message(ident="good"))).body == b"good"
-            assert len(server.requests) == 1 and rig.limiter.open == 0
+            assert len(server.requests) == 1 and rig.limiter.open_requests == 0
 
     run(test())
 
@@ -160,7 +160,7 @@
             assert (answer.code, answer.headers["connection"]) == (code, "close")
             await client.closed()
             assert (await neighbour.ask(message(ident="good"))).body == b"good"
-            assert len(server.requests) == 2 and rig.limiter.open == 0
+            assert len(server.requests) == 2 and rig.limiter.open_requests == 0
 
     run(test())
 
@@ -198,7 +198,7 @@
             request = await server.arrived.get()
             client.close()
             await request.closed()
-            assert (len(server.requests), rig.limiter.open) == (1, 0)
+            assert (len(server.requests), rig.limiter.open_requests) == (1, 0)
 
     run(test())
 
@@ -264,7 +264,7 @@
             Module(rig, api.Arrival)
             client = await rig.connect()
             assert (await client.ask(message(Req_Deadline="0.1"))).code == 504
-            assert rig.limiter.open == 0
+            assert rig.limiter.open_requests == 0
 
     run(test())
 
@@ -285,7 +285,7 @@
             client = await rig.connect()
             broken = Failing(rig, event)
             assert (await client.ask(message("fix"))).code == 500
-            assert rig.limiter.open == 0
+            assert rig.limiter.open_requests == 0
             broken.events = ()
             assert (await client.ask(message("fix"))).code == 502
 
@@ -368,7 +368,7 @@
 
     async def test() -> None:
         async with backend() as server, limiter(host("a", server.address)) as rig:
-            rig.clients._most = 2
+            rig.clients._max_connections = 2
             busy = await rig.connect()
             busy.send(message(ident="busy"))
             held = await server.arrived.get()
@@ -386,14 +386,14 @@
 
 def test_new_connections_get_their_turn(monkeypatch: pytest.MonkeyPatch) -> None:
     """At the bound a connection that has not had time for its first request does not give way."""
-    monkeypatch.setattr(clients, "FIRST_S", 60.0)
+    monkeypatch.setattr(clients, "FIRST_REQUEST_GRACE_S", 60.0)
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
-            rig.clients._most = 2
+            rig.clients._max_connections = 2
             names = ["one", "two", "three"]
             made = [await rig.connect() for _ in names]
-            await until(lambda: len(rig.clients.idle) == 2)
+            await until(lambda: len(rig.clients.idle_connections) == 2)
             for name, client in zip(names, made, strict=True):
                 assert (await client.ask(message(ident=name))).body == name.encode()
 
@@ -411,7 +411,7 @@
             client.send(b"\r\n")
             other = await rig.connect()  # while it is served the empty line is read
             assert (await other.ask(message(ident="other"))).body == b"other"
-            assert connection.begun is None and connection in rig.clients.idle
+            assert connection.request_begun_at is None and connection in rig.clients.idle_connections
             assert (await client.ask(message(ident="two"))).body == b"two"
 
     run(test())
@@ -419,15 +419,15 @@
 
 def test_half_read_request_in_a_drain(monkeypatch: pytest.MonkeyPatch) -> None:
     """A kept connection whose next request has begun to come is not closed under it."""
-    monkeypatch.setattr(clients, "DRAIN_S", 0.05)
-    monkeypatch.setattr(clients, "FIRST_S", 60.0)
+    monkeypatch.setattr(clients, "MIN_DRAIN_LISTEN_S", 0.05)
+    monkeypatch.setattr(clients, "FIRST_REQUEST_GRACE_S", 60.0)
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             assert (await client.ask(message(ident="one"))).body == b"one"
             client.send(message(ident="two")[:-2])
-            await until(lambda: not rig.clients.idle)
+            await until(lambda: not rig.clients.idle_connections)
             drain = asyncio.create_task(rig.clients.drain())
             await until(lambda: rig.clients._acceptor._listener.fileno() < 0)
             for _ in range(5):  # turns of the drain
@@ -448,10 +448,10 @@
         async with limiter(host("a", "127.0.0.1:1")) as rig:
             client = await rig.connect()
             client.send(raw)
-            await until(lambda: bool(rig.clients.coming if raw else rig.clients.idle))
+            await until(lambda: bool(rig.clients.receiving if raw else rig.clients.idle_connections))
             rig.clients.sweep()
             [connection] = rig.clients._open
-            connection.made -= clients.STALL_S  # counted from the connecting on
+            connection.connected_at -= clients.HEAD_TIMEOUT_S  # counted from the connecting on
             rig.clients.sweep()
             if raw:
                 assert (await client.answer()).code == 408
@@ -462,11 +462,11 @@
 
 def test_crowd_of_half_requests(monkeypatch: pytest.MonkeyPatch) -> None:
     """At the bound those that have been at it for longest give way to one that asks."""
-    monkeypatch.setattr(clients, "FIRST_S", 0.05)
+    monkeypatch.setattr(clients, "FIRST_REQUEST_GRACE_S", 0.05)
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
-            rig.clients._most = 3
+            rig.clients._max_connections = 3
             crowd = [await rig.connect() for _ in range(9)]
             for client in crowd:
                 client.send(message()[:20])
@@ -490,7 +490,7 @@
             assert (await one.answer()).body == b"same"
             server.script = echo
             assert (await two.ask(message(ident="same"))).body == b"same"
-            assert (len(server.requests), rig.limiter.open) == (2, 0)
+            assert (len(server.requests), rig.limiter.open_requests) == (2, 0)
 
     run(test())
 
@@ -526,12 +526,12 @@
             await echo(held)
             assert (await one.answer()).body == b"one"
             three.send(message("fix", "three", b"x" * 60_000)[:-1])
-            await until(lambda: rig.clients._bytes > 50_000)
+            await until(lambda: rig.clients._body_bytes > 50_000)
             three.close()
-            await until(lambda: rig.clients._bytes == 0)
+            await until(lambda: rig.clients._body_bytes == 0)
             server.script = echo
             assert (await one.ask(message("fix", "again", b"x" * 60_000))).body == b"again"
-            assert rig.clients._bytes == 0
+            assert rig.clients._body_bytes == 0
 
     run(test())
 
@@ -543,7 +543,7 @@
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
             for late in (5.0, 6.0, -50.0):
                 rig.limiter.table._schedule(rig.limiter.now() - late, 0, 77)
-                rig.limiter.arm()
+                rig.limiter.schedule_tick()
             client = await rig.connect()
             assert (await client.ask(message())).code == 200
             await until(lambda: rig.limiter.table.next_tick_ms is None)
@@ -556,7 +556,7 @@
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
-            rig.clients._most = 8
+            rig.clients._max_connections = 8
             first, second = await rig.connect(), await rig.connect()
             for client in (first, second):
                 answer = await client.ask(message())
@@ -576,7 +576,7 @@
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
-            rig.clients._stays_s = 1.0
+            rig.clients._keep_open_s = 1.0
             client = await rig.connect()
             assert (await client.ask(message(ident="one"))).body == b"one"
             drain = asyncio.create_task(rig.clients.drain())
@@ -613,4 +613,4 @@
         replace(cls, aim_ms=aim, deadline_ms=deadline, late_worth=late)
         for cls, aim, deadline in zip(made.classes, aims, deadlines, strict=False)
     )
-    assert clients.stays_s(replace(made, classes=classes)) == pytest.approx(stays)
+    assert clients.keep_open_s(replace(made, classes=classes)) == pytest.approx(stays)
--- a/tests/test_close_guard.py
+++ b/tests/test_close_guard.py
@@ -8,7 +8,7 @@
 from sockets import backend, host, limiter, message, run
 from waiting import until
 
-from basaltpoint.fronts.platform.close_guard import CloseGuard, Dropped
+from basaltpoint.fronts.platform.close_guard import CloseGuard, CloseViolation
 
 
 def test_a_close_over_a_request_in_hand_is_a_violation_that_names_it(
@@ -21,7 +21,7 @@
             await server.arrived.get()
             [connection] = rig.clients._open
             connection.close("a test")
-            assert rig.clients.close_guard.violations == {Dropped.UNANSWERED: 1}
+            assert rig.clients.close_guard.violations == {CloseViolation.UNANSWERED: 1}
             await client.closed()
 
     run(test())
@@ -32,14 +32,14 @@
     async def test() -> None:
         async with limiter() as rig:
             client = await rig.connect()
-            await until(lambda: bool(rig.clients.idle))
+            await until(lambda: bool(rig.clients.idle_connections))
             [connection] = rig.clients._open
             assert connection._transport
             connection._transport.pause_reading()
             client.send(b"GET /up HTTP/1.1\r\n")
-            await until(lambda: not connection.closable)
+            await until(lambda: not connection.is_closable)
             connection.close("a test")
-            assert rig.clients.close_guard.violations == {Dropped.UNREAD: 1}
+            assert rig.clients.close_guard.violations == {CloseViolation.UNREAD: 1}
 
     run(test())
 
@@ -69,6 +69,9 @@
 
 def test_each_count_is_a_line_for_operators() -> None:
     guard = CloseGuard()
-    guard.closing("a test", [], False)
-    guard.closing("a test", ["x", "y"], True)
-    assert list(guard.lines()) == ['gw_violations{rule="unanswered"} 1', 'gw_violations{rule="unread"} 1']
+    guard.check_close("a test", [], False)
+    guard.check_close("a test", ["x", "y"], True)
+    assert list(guard.metric_lines()) == [
+        'gw_violations{rule="unanswered"} 1',
+        'gw_violations{rule="unread"} 1',
+    ]
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -17,7 +17,7 @@
 
 from basaltpoint import interface as api
 from basaltpoint.core.table import NewRequest, Reply, RequestResult, RequestTable, StartAttempt
-from basaltpoint.fronts.control.console import CALLERS, LINE_LIMIT, Console
+from basaltpoint.fronts.control.console import MAX_CONNECTIONS, MAX_LINE_BYTES, Console
 from basaltpoint.fronts.platform.config import load
 from basaltpoint.interface import Status
 from basaltpoint.system.listening import open_listener
@@ -226,14 +226,14 @@
         crowd = []
         for n in range(400):
             reader, writer = await asyncio.open_connection(*made.address)
-            writer.write(b"" if n % 2 else b"read" if n % 4 else b"x" * LINE_LIMIT)
+            writer.write(b"" if n % 2 else b"read" if n % 4 else b"x" * MAX_LINE_BYTES)
             crowd.append((reader, writer))
             if n % 40 == 0:
                 assert (await call(made.address, b"readyz\n")) == ["ok"]
         assert (await call(made.address, b"telemetry\n"))[-1] == "eof"
         # All but the latest were cut; each of them holds the descriptor of its own end here.
-        assert len(os.listdir("/proc/self/fd")) - before <= 400 + 2 * CALLERS
-        for reader, _ in crowd[: 400 - CALLERS]:
+        assert len(os.listdir("/proc/self/fd")) - before <= 400 + 2 * MAX_CONNECTIONS
+        for reader, _ in crowd[: 400 - MAX_CONNECTIONS]:
             assert await reader.read() == b""
         made.close()
         for _, writer in crowd:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -43,7 +43,7 @@
                 client.send(message("fix", "first"))
                 held = await one.arrived.get()
                 assert await watched.watches.get() == "/discovery/hosts?follow=1&since=1"
-                watched.tell(
+                watched.send(
                     listing(2, host("a", one.address, "leaving"), host("b", two.address), whole=False)
                 )
                 await until(lambda: rig.watch.seq == 2)
@@ -64,7 +64,7 @@
                 await watched.watches.get()
                 client = await rig.connect()
                 assert (await client.ask(message("fix", "before"))).code == 200
-                watched.tell(listing(5, host("b", two.address)))
+                watched.send(listing(5, host("b", two.address)))
                 await one.requests[0].closed()
                 for n in range(4):
                     assert (await client.ask(message("fix", f"{n}"))).code == 200
@@ -78,14 +78,14 @@
         async with backend(echo) as one, backend(echo) as two, agent() as watched:
             async with limiter(host("a", one.address), watched=watched) as rig:
                 await watched.watches.get()
-                watched.tell(listing(3, host("a", one.address), whole=False))
+                watched.send(listing(3, host("a", one.address), whole=False))
                 await until(lambda: rig.watch.seq == 3)
-                watched.tell(b'{"seq":4,"whole":true,"hosts":[')  # a line that never ends
+                watched.send(b'{"seq":4,"whole":true,"hosts":[')  # a line that never ends
                 watched.cut()
                 assert await watched.watches.get() == "/discovery/hosts?follow=1&since=3"
                 client = await rig.connect()
                 assert (await client.ask(message("fix", "known"))).code == 200
-                watched.tell(listing(4, host("a", one.address, "left"), host("b", two.address), whole=False))
+                watched.send(listing(4, host("a", one.address, "left"), host("b", two.address), whole=False))
                 await until(lambda: rig.watch.seq == 4)
                 assert (await client.ask(message("fix", "moved"))).code == 200
                 assert (len(one.requests), len(two.requests)) == (1, 1)
@@ -214,7 +214,7 @@
                 fleet = rig.limiter.decision_module.pools[0].servers
                 before = fleet.records[0]
                 for seq in range(2, 50):
-                    watched.tell(listing(seq, host("a", "127.0.0.1:1", born_ms=born)))
+                    watched.send(listing(seq, host("a", "127.0.0.1:1", born_ms=born)))
                 await until(lambda: rig.watch.seq == 49)
                 assert fleet.records[0] is before
                 assert 2500 < rig.limiter.now() - before.entry.started_ms < 30_000
@@ -235,7 +235,7 @@
                 client = await rig.connect()
                 await watched.watches.get()
                 await send(1, one)
-                watched.tell(listing(2, host("a", two.address), whole=False))
+                watched.send(listing(2, host("a", two.address), whole=False))
                 await one.requests[0].closed()
                 await send(2, two)
 
@@ -249,13 +249,13 @@
         async with backend(echo) as one, backend(echo) as two, agent() as old, agent() as new:
             async with limiter(host("a", one.address), watched=old) as rig:
                 await old.watches.get()
-                old.tell(listing(41, host("a", one.address)))
+                old.send(listing(41, host("a", one.address)))
                 await until(lambda: rig.watch.seq == 41)
                 rig.watch.set_address(new.address)
                 assert await new.watches.get() == "/discovery/hosts?follow=1&since=0"
                 client = await rig.connect()
                 assert (await client.ask(message("fix", "known"))).code == 200
-                new.tell(listing(2, host("a", one.address, "leaving"), host("b", two.address)))
+                new.send(listing(2, host("a", one.address, "leaving"), host("b", two.address)))
                 await until(lambda: rig.watch.seq == 2)
                 assert (await client.ask(message("fix", "moved"))).code == 200
                 assert (len(one.requests), len(two.requests)) == (1, 1)
@@ -292,10 +292,10 @@
                 for n in range(1, 200):
                     new = host(f"s-{n}", server.address)
                     if n % 2:
-                        watched.tell(listing(n + 1, new))
+                        watched.send(listing(n + 1, new))
                     else:
                         left = {"host": f"s-{n - 1}", "health": "left"}
-                        watched.tell(listing(n + 1, new, left, whole=False))
+                        watched.send(listing(n + 1, new, left, whole=False))
                     await until(lambda n=n: rig.watch.seq == n + 1)  # type: ignore[misc]
                     assert len(rig.limiter.listed_servers.numbers) == len(rig.limiter._servers._servers) == 1
                     assert len(fleet.records) == 2  # and the one with work out
@@ -352,7 +352,7 @@
             rig.watch._on_list = count
             began = time.monotonic()
             for number in range(2, 302):
-                told.tell(listing(number, host(f"d-{number}", nowhere), whole=False))
+                told.send(listing(number, host(f"d-{number}", nowhere), whole=False))
                 await asyncio.sleep(0.001)
             await until(lambda: rig.limiter.known_seq == 301)
             assert len(applied) <= 3 + (time.monotonic() - began) / READ_BATCH_DELAY_S < 300
--- a/tests/test_discovery_backoff.py
+++ b/tests/test_discovery_backoff.py
@@ -72,7 +72,7 @@
                 assert (
                     await asyncio.wait_for(watched.watches.get(), 10) == "/discovery/hosts?follow=1&since=1"
                 )
-                watched.tell(listing(2, host("a", one.address, "leaving"), host("b", two.address)))
+                watched.send(listing(2, host("a", one.address, "leaving"), host("b", two.address)))
                 await until(lambda: rig.watch.seq == 2)
 
     run(test())
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -21,7 +21,7 @@
     wait_until_agreed,
     wait_until_seen,
 )
-from waiting import PATIENCE_S, run, until
+from waiting import TEST_TIMEOUT_S, run, until
 
 from basaltpoint.cli import main
 from basaltpoint.config import fleets
@@ -96,13 +96,13 @@
                     for name in s.record.unreachable
                 )
 
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 while not await is_reported():
                     await asyncio.sleep(0.1)
             saws, _ = made.journal()
             assert not [saw for saw in saws if saw.state == "dead"]
             await made.over(cut)
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 while await is_reported():
                     await asyncio.sleep(0.1)
 
@@ -124,7 +124,8 @@
             later_process.file.write_text(text)
             other.start()
             assert (
-                later_process.process and await asyncio.to_thread(later_process.process.wait, PATIENCE_S) == 1
+                later_process.process
+                and await asyncio.to_thread(later_process.process.wait, TEST_TIMEOUT_S) == 1
             )
             assert "the name l2 is in use at" in other.log("l2")
             await wait_until_agreed(made, "l1", "l2", "l3")
@@ -177,7 +178,7 @@
             assert await fleet_command("remove", "l3") == 0
             made.resume("l3")
             process = made.members["l3"].process
-            assert process and await asyncio.to_thread(process.wait, PATIENCE_S) == 1
+            assert process and await asyncio.to_thread(process.wait, TEST_TIMEOUT_S) == 1
             assert "l1 declared this member gone" in made.log("l3")
 
     run(test())
@@ -219,7 +220,7 @@
             ):
                 reader, writer = await asyncio.open_connection(host, int(port))
                 writer.write(greeting + raw)
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(TEST_TIMEOUT_S):
                     if not greeting or raw != encode_frame(Gossip()):
                         while await reader.read(4096):
                             pass
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -791,7 +791,7 @@
             relay = rig.limiter.relay
             for late in (5.0, 6.0, -50.0):
                 relay.table._schedule(relay.now() - late, 0, 77)
-                relay.arm()
+                relay.schedule_tick()
             client = await rig.connect()
             assert (await client.ask(request())).code == 200
             await until(lambda: relay.table.next_tick_ms is None)
@@ -809,7 +809,7 @@
             def fail(*_: object) -> None:
                 raise RuntimeError("a fault of this program")
 
-            for name in ("submit", "begun"):
+            for name in ("submit", "response_started"):
                 good = getattr(relay, name)
                 setattr(relay, name, fail)
                 client = await rig.connect()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -569,7 +569,7 @@
             run_on.raw["discovery"] = "{}:{}".format(*watched.address)
             old = await run_on.start()
             await watched.watches.get()
-            watched.tell(listing(2, host("a", one.address, "leaving"), host("b", two.address), whole=False))
+            watched.send(listing(2, host("a", one.address, "leaving"), host("b", two.address), whole=False))
             client = await run_on.connect()
             asked = 0
             while not two.requests:  # until it has heard
@@ -591,7 +591,7 @@
     run_on.raw["discovery"] = "{}:{}".format(*watched.address)
     starting = asyncio.create_task(run_on.start())
     await watched.watches.get()
-    watched.tell(listing(1, whole=False))
+    watched.send(listing(1, whole=False))
     old = await starting
     newer = asyncio.create_task(run_on.start())
     await watched.watches.get()
@@ -610,7 +610,7 @@
                 client.close()
             assert not newer.done()
             assert (await run_on.started[1].call("readyz"))[0] == "fail servers are not confirmed"
-            watched.tell(listing(1, whole=False))
+            watched.send(listing(1, whole=False))
             await newer
             assert await old.end() == 0
             client = await run_on.connect()
@@ -629,7 +629,7 @@
             client = await run_on.connect()
             assert (await client.ask(message("fix", "refused"))).code == 429
             assert not newer.done() and not server.requests
-            watched.tell(listing(1, whole=False))
+            watched.send(listing(1, whole=False))
             await newer
             assert (await client.ask(message("fix", "after"))).body == b"after"
 
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -21,7 +21,7 @@
 )
 
 from basaltpoint import interface as api
-from basaltpoint.fronts.platform.listed_servers import SLICE
+from basaltpoint.fronts.platform.listed_servers import NEW_SERVERS_BATCH
 from basaltpoint.interface import ServerState
 from basaltpoint.membership.hosts import HostList, parse_list
 
@@ -56,7 +56,7 @@
 
 async def first_list(watched: Agent, rig: Rig, *hosts: dict[str, Any]) -> None:
     await watched.watches.get()
-    watched.tell(listing(2, *hosts))
+    watched.send(listing(2, *hosts))
     await seen(rig, 2, len(hosts))
 
 
@@ -66,12 +66,14 @@
         async with agent() as watched, limiter(host("a", nowhere), watched=watched) as rig:
             await first_list(watched, rig, *many("old", nowhere))
             events = watch_events(rig)
-            watched.tell(listing(3, *many("new", nowhere)))
+            watched.send(listing(3, *many("new", nowhere)))
             await seen(rig, 3, MANY)
             first, *others = events
             assert {entry.state for entry in first.servers} == {ServerState.GONE}
             assert len(first.servers) == MANY
-            assert len(others) == MANY / SLICE and all(len(each.servers) == SLICE for each in others)
+            assert len(others) == MANY / NEW_SERVERS_BATCH and all(
+                len(each.servers) == NEW_SERVERS_BATCH for each in others
+            )
             assert len(rig.limiter.decision_module.pools[0].servers.ready) == MANY
             assert len(rig.limiter.listed_servers.numbers) == MANY
 
@@ -86,7 +88,7 @@
             await first_list(watched, rig, *hosts)
             events = watch_events(rig)
             hosts[7] = host("s-7", nowhere, "leaving")
-            watched.tell(listing(3, *hosts[:-1]))
+            watched.send(listing(3, *hosts[:-1]))
             await seen(rig, 3, MANY - 1)
             states = sorted(entry.state.value for event in events for entry in event.servers)
             assert states == [ServerState.DRAINING.value, ServerState.GONE.value]
@@ -107,8 +109,8 @@
                 host("s-3001", nowhere, "left"),
                 host("s-3002", elsewhere),
             ]
-            rig.limiter.listed(parsed(listing(3, *many("s", nowhere), whole=False)))
-            rig.limiter.listed(parsed(listing(4, *changed, whole=False)))
+            rig.limiter.update_servers(parsed(listing(3, *many("s", nowhere), whole=False)))
+            rig.limiter.update_servers(parsed(listing(4, *changed, whole=False)))
             assert not rig.limiter.listed_servers._new and len(events) >= 2
             hosts = rig.limiter.listed_servers.hosts
             assert hosts["s-3000"].state is ServerState.DRAINING
@@ -127,13 +129,13 @@
                 client = await rig.connect()
                 assert (await client.ask(message(ident="early"))).code == 200
                 left: list[int] = []
-                rig.limiter.listed(parsed(listing(3, *many("s", unused_address()), whole=False)))
+                rig.limiter.update_servers(parsed(listing(3, *many("s", unused_address()), whole=False)))
                 turns = 0
                 while rig.limiter.listed_servers._new:
                     left.append(len(rig.limiter.listed_servers._new))
                     turns += 1
                     await asyncio.sleep(0)
-                assert turns >= MANY / SLICE - 1 and left == sorted(left, reverse=True)
+                assert turns >= MANY / NEW_SERVERS_BATCH - 1 and left == sorted(left, reverse=True)
 
     run(test())
 
@@ -144,7 +146,7 @@
         async with agent() as watched, limiter(host("a", nowhere), watched=watched) as rig:
             await first_list(watched, rig, host("a", nowhere))
             twice = (host("a", nowhere, "left"), host("a", nowhere, born_ms=5.0))
-            rig.limiter.listed(parsed(listing(3, *twice, whole=False)))
+            rig.limiter.update_servers(parsed(listing(3, *twice, whole=False)))
             assert rig.limiter.ready and len(rig.limiter.listed_servers.numbers) == 1
             [peer] = rig.limiter.decision_module.pools[0].servers.ready
             assert peer.entry.id == rig.limiter.listed_servers.numbers["a"]
--- a/tests/test_membership_lease.py
+++ b/tests/test_membership_lease.py
@@ -27,7 +27,7 @@
 )
 
 from basaltpoint.config.address import parse_address
-from basaltpoint.fronts.platform.clients import Clients
+from basaltpoint.fronts.platform.clients import ClientConnections
 from basaltpoint.fronts.platform.config import Config
 from basaltpoint.fronts.platform.limiter import Limiter
 from basaltpoint.membership import discovery, lease
@@ -187,10 +187,10 @@
         grace_s = made.settings.drain_grace_ms / 1000
         self.lease = MembershipLease(monotonic(), grace_s)
         self.limiter = Limiter(made, None, self.lease)
-        self.clients = Clients(self.limiter, made.settings, made.listen, 100, made.body_bytes)
+        self.clients = ClientConnections(self.limiter, made.settings, made.listen, 100, made.body_bytes)
         backoff = Backoff(random.Random(1), grace_s)
         self.watch = Watch(
-            made.discovery, self.limiter.listed, backoff, self.lease, self.limiter.lease_changed
+            made.discovery, self.limiter.update_servers, backoff, self.lease, self.limiter.lease_changed
         )
         self.watch.seq = self.limiter.known_seq
 
--- a/tests/test_moments_ends.py
+++ b/tests/test_moments_ends.py
@@ -31,11 +31,11 @@
     until,
     unused_address,
 )
-from waiting import PATIENCE_S
+from waiting import TEST_TIMEOUT_S
 
 from basaltpoint.fronts.platform import client_connection, clients
-from basaltpoint.fronts.platform.clients import kill_s
-from basaltpoint.fronts.unread import Unread, look
+from basaltpoint.fronts.platform.clients import sigkill_after_s
+from basaltpoint.fronts.unread import UnreadData, peek
 from basaltpoint.system import accepting
 
 ROOT = Path(__file__).parent.parent
@@ -51,7 +51,7 @@
     monkeypatch: pytest.MonkeyPatch, cls: str
 ) -> None:
     """A server hangs under a request of 12 s when SIGTERM comes: it can't be waited for that long."""
-    monkeypatch.setattr(clients, "KILL_MOST_S", 0.2)  # SIGKILL 0.9 s after SIGTERM
+    monkeypatch.setattr(clients, "MAX_SIGKILL_DEADLINE_S", 0.2)  # SIGKILL 0.9 s after SIGTERM
 
     async def test() -> None:
         async with (
@@ -66,8 +66,8 @@
             # What may have run and must not be repeated has failed; of the rest a retry is harmless.
             assert answer.code == (502 if cls == "fix" else 429)
             await drain
-            assert rig.limiter.open == 0
-            assert rig.clients._kill_s == pytest.approx(0.9)
+            assert rig.limiter.open_requests == 0
+            assert rig.clients._sigkill_after_s == pytest.approx(0.9)
 
     run(test())
 
@@ -75,8 +75,8 @@
 def test_a_request_in_the_last_moment_of_a_drain_is_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """It came on an old connection when no answer of a server can be had any more."""
     monkeypatch.setattr(clients, "FLUSH_S", 20.0)
-    monkeypatch.setattr(clients, "DRAIN_S", 0.01)
-    monkeypatch.setattr(clients, "QUIET_S", 0.0)
+    monkeypatch.setattr(clients, "MIN_DRAIN_LISTEN_S", 0.01)
+    monkeypatch.setattr(clients, "DRAIN_QUIET_S", 0.0)
 
     async def test() -> None:
         async with (
@@ -85,7 +85,7 @@
         ):
             client = await rig.connect()
             client.send(message("fix", "one")[:30])
-            await until(lambda: bool(rig.clients.coming))
+            await until(lambda: bool(rig.clients.receiving))
             drain = asyncio.create_task(rig.clients.drain())
             await until(lambda: rig.clients.closing)
             rig.limiter.table.final_deadline_ms = rig.limiter.now()  # the time has come
@@ -101,18 +101,18 @@
 
 def test_a_body_that_still_comes_ends_with_the_process(monkeypatch: pytest.MonkeyPatch) -> None:
     """A long one on its way to a server when the drain's time is up: failed, not waited for."""
-    monkeypatch.setattr(clients, "KILL_MOST_S", 0.2)
+    monkeypatch.setattr(clients, "MAX_SIGKILL_DEADLINE_S", 0.2)
 
     async def test() -> None:
         async with backend() as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             head = message("fix", "long").replace(b"Content-Length: 0", b"Content-Length: 200000")
             client.send(head + b"x" * 100_000)
-            await until(lambda: any(p.stream for p in rig.limiter._passages.values()))
+            await until(lambda: any(p.stream for p in rig.limiter._exchanges.values()))
             drain = asyncio.create_task(rig.clients.drain())
             assert (await client.answer()).code in (429, 502)
             await drain
-            assert rig.limiter.open == 0
+            assert rig.limiter.open_requests == 0
 
     run(test())
 
@@ -159,7 +159,7 @@
     async def test() -> None:
         async with backend() as server, ending(tmp_path, server.address) as (process, name, port):
             asked: list[Client] = []
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 await ready(name, port)
             for n, cls in enumerate(["read", "upload", "fix"]):
                 asked.append(Client(*await asyncio.open_connection(name, port)))
@@ -199,21 +199,23 @@
         async with limiter(settings={"services": services}) as rig:
             client = await rig.connect()
             client.send(message(ident="half")[:40])
-            await until(lambda: bool(rig.clients.coming))
+            await until(lambda: bool(rig.clients.receiving))
             monkeypatch.setattr(clients, "asyncio", given)
             monkeypatch.setattr(clients, "monotonic", lambda: given.now)
-            [half] = rig.clients.coming
-            half.made = half.begun = 1e9  # it goes on coming
+            [half] = rig.clients.receiving
+            half.connected_at = half.request_begun_at = 1e9  # it goes on coming
             await rig.clients.drain()
-            assert given.now < 1000.0 + rig.clients._kill_s
+            assert given.now < 1000.0 + rig.clients._sigkill_after_s
 
     run(test())
 
 
 def test_the_time_to_sigkill_is_the_settings() -> None:
     made = config(**with_long_deadlines()).settings
-    assert kill_s(made) == 3.7
-    assert kill_s(replace(made, classes=(replace(made.classes[0], deadline_ms=80.0),))) == pytest.approx(0.78)
+    assert sigkill_after_s(made) == 3.7
+    assert sigkill_after_s(
+        replace(made, classes=(replace(made.classes[0], deadline_ms=80.0),))
+    ) == pytest.approx(0.78)
 
 
 # --- Connections that close ---------------------------------------------------------------------------
@@ -224,12 +226,12 @@
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             assert (await client.ask(message(ident="one"))).body == b"one"
-            [kept] = rig.clients.idle
-            assert look(kept._sock) is Unread.NOTHING
+            [kept] = rig.clients.idle_connections
+            assert peek(kept._sock) is UnreadData.NOTHING
             client.send(message(ident="two"))
-            end = time.monotonic() + PATIENCE_S
+            end = time.monotonic() + TEST_TIMEOUT_S
             while (
-                look(kept._sock) is Unread.NOTHING and time.monotonic() < end
+                peek(kept._sock) is UnreadData.NOTHING and time.monotonic() < end
             ):  # holds the loop: nothing is read meanwhile
                 pass
             rig.clients._close_idle(time.monotonic())
@@ -252,11 +254,11 @@
             [kept] = rig.clients._open
             assert kept._transport
             kept._transport.pause_reading()
-            kept._paused = True
+            kept._is_read_paused = True
             client.send(message(ident="two") * 50)
-            await until(lambda: look(kept._sock) is Unread.BYTES)
+            await until(lambda: peek(kept._sock) is UnreadData.BYTES)
             await echo(first)
-            await until(lambda: bool(kept.served))
+            await until(lambda: bool(kept.has_responded))
             await asyncio.sleep(0.05)  # a reset would have come by now, and gone before what is unread here
             assert (await client.answer()).body == b"one"
             await client.closed()
@@ -285,9 +287,9 @@
             kept._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             if early:
                 sock.sendall(b"no request\r\n\r\n")
-                await until(lambda: kept._rejected)
+                await until(lambda: kept._has_rejected)
             first.reply(body=body)
-            await until(lambda: not kept._calls)
+            await until(lambda: not kept._requests)
             assert kept._transport
             assert kept._transport.get_write_buffer_size() > 0
             if not early:
@@ -312,8 +314,8 @@
 def test_the_backlog_is_taken_whole_before_nobody_listens_any_more(monkeypatch: pytest.MonkeyPatch) -> None:
     """More connections than are accepted at a time, each with a whole request, when the listener closes."""
     monkeypatch.setattr(accepting, "MAX_ACCEPT_BATCH", 2)
-    monkeypatch.setattr(clients, "DRAIN_S", 0.0)
-    monkeypatch.setattr(clients, "QUIET_S", -1.0)
+    monkeypatch.setattr(clients, "MIN_DRAIN_LISTEN_S", 0.0)
+    monkeypatch.setattr(clients, "DRAIN_QUIET_S", -1.0)
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
@@ -383,7 +385,7 @@
             client.send(message(ident="left"))
             await held.wait()
             client.close()
-            await until(lambda: rig.limiter.open == 0)
+            await until(lambda: rig.limiter.open_requests == 0)
             loop.sock_connect = connect  # type: ignore[method-assign]
             gate.set()
             await until(lambda: not servers._connecting)
@@ -461,7 +463,7 @@
             [kept] = rig.clients._open
             client.send(message(ident="one", Connection="close"))
             await until(lambda: kept._transport is not None and kept._transport.is_closing())
-            assert not kept._ending
+            assert not kept._is_lingering
             assert (await client.answer()).body == b"one"
 
     run(test())
--- a/tests/test_moments_lists.py
+++ b/tests/test_moments_lists.py
@@ -102,7 +102,7 @@
 
 def in_pieces(watched: Agent, raw: bytes) -> None:
     for start in range(0, len(raw), 5):
-        watched.tell(raw[start : start + 5])
+        watched.send(raw[start : start + 5])
 
 
 def test_indented_lists_count_at_a_start_after_a_break_and_after_a_move() -> None:
@@ -114,7 +114,7 @@
                 await until(lambda: rig.watch.seq == 3)
                 old.cut()
                 assert await old.watches.get() == "/discovery/hosts?follow=1&since=3"
-                old.tell(spread(listing(4, host("b", "127.0.0.1:2", "leaving"), whole=False)))
+                old.send(spread(listing(4, host("b", "127.0.0.1:2", "leaving"), whole=False)))
                 await until(lambda: rig.watch.seq == 4)
                 rig.watch.set_address(new.address)
                 await new.watches.get()
@@ -132,17 +132,17 @@
     async def test() -> None:
         async with agent() as watched, limiter(host("a", "127.0.0.1:1"), watched=watched) as rig:
             await watched.watches.get()
-            watched.tell(spread(listing(2, host("a", "127.0.0.1:1", "leaving")))[:60])
+            watched.send(spread(listing(2, host("a", "127.0.0.1:1", "leaving")))[:60])
 
             async def lines() -> None:
                 while True:
-                    watched.tell(b"\n")
+                    watched.send(b"\n")
                     await asyncio.sleep(0.005)
 
             task = asyncio.create_task(lines())
             assert await watched.watches.get() == "/discovery/hosts?follow=1&since=1"
             task.cancel()
-            watched.tell(spread(listing(2, host("a", "127.0.0.1:1", "leaving"))))
+            watched.send(spread(listing(2, host("a", "127.0.0.1:1", "leaving"))))
             await until(lambda: rig.watch.seq == 2)
 
     run(test())
@@ -163,7 +163,7 @@
             rig.watch._backoff = Noting(random.Random(1))
             await watched.watches.get()
             for _ in range(4):
-                watched.tell(b"\n")
+                watched.send(b"\n")
                 await until(lambda: rig.watch._backoff._failures == 0)
                 watched.cut()
                 await watched.watches.get()
@@ -312,7 +312,7 @@
                 await asyncio.sleep(0)  # the turn's time-out has run, what it cancels has not
                 rig.watch.set_address(three.address)
                 await three.watches.get()
-                three.tell(listing(2, B))
+                three.send(listing(2, B))
                 await until(lambda: rig.watch.seq == 2)
                 assert two.watches.empty()
 
--- a/tests/test_moments_servers.py
+++ b/tests/test_moments_servers.py
@@ -11,8 +11,8 @@
 from sockets import SETTINGS, Backend, Request, Rig, backend, echo, host, limiter, message, run, until
 
 from basaltpoint.core.table import StartAttempt
-from basaltpoint.fronts.platform.config import REST_S
-from basaltpoint.fronts.platform.passage import LOOK_AGAIN_S
+from basaltpoint.fronts.platform.config import MIN_REUSE_IDLE_S
+from basaltpoint.fronts.platform.request_exchange import CLIENT_CHECK_AFTER_S
 from basaltpoint.interface import Status
 from basaltpoint.policy.send_rules import Denial
 from basaltpoint.upstream.buffered import BufferedAttempt, platform_connection
@@ -33,7 +33,10 @@
             if request.connection > 1 or len(server.requests) == 1:
                 await echo(request)
 
-        async with backend(script) as server, limiter(host("a", server.address), rest_s=REST_S) as rig:
+        async with (
+            backend(script) as server,
+            limiter(host("a", server.address), rest_s=MIN_REUSE_IDLE_S) as rig,
+        ):
             client = await rig.connect()
             assert (await client.ask(message("fix", "one"))).body == b"one"
             assert (await client.ask(message("fix", "two"))).body == b"two"
@@ -122,7 +125,7 @@
             client.send(message("fix", "broken"))
             assert (await client.answer()).code == 502
             assert (await other.ask(message("fix", "sound"))).body == b"sound"
-            assert rig.limiter.open == 0 and not rig.limiter.table.requests
+            assert rig.limiter.open_requests == 0 and not rig.limiter.table.requests
 
     run(test())
     assert any(r.levelno == logging.ERROR and "StartAttempt" in r.getMessage() for r in caplog.records)
@@ -215,17 +218,17 @@
     async def test() -> None:
         async with backend() as server, limiter(host("a", server.address)) as rig:
             sock, held, client = await paused(server, rig)
-            assert client._paused
+            assert client._is_read_paused
             if how == "reset":
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             if how == "half-close":
                 sock.shutdown(socket.SHUT_WR)
             else:
                 sock.close()
-            await until(lambda: client.gone())
+            await until(lambda: client.is_client_gone())
             for request in held:
                 request.reply("500 Internal Server Error")  # each would be sent once more
-            await until(lambda: not rig.clients._open and not rig.limiter.open)
+            await until(lambda: not rig.clients._open and not rig.limiter.open_requests)
             assert len(server.requests) == 4
             sock.close()
 
@@ -239,7 +242,7 @@
         async with backend() as server, limiter(host("a", server.address)) as rig:
             sock, held, client = await paused(server, rig)
             sock.shutdown(socket.SHUT_WR)
-            await until(lambda: client.gone())
+            await until(lambda: client.is_client_gone())
             for request in held:
                 await echo(request)
             await until(lambda: not rig.clients._open)
@@ -259,7 +262,9 @@
                 sock.sendall(message(ident=f"first-{number}"))
             for request in [await server.arrived.get() for _ in socks]:
                 await echo(request)
-            await until(lambda: not rig.limiter.open)  # two connections are free: a retry would go at once
+            await until(
+                lambda: not rig.limiter.open_requests
+            )  # two connections are free: a retry would go at once
             socks[0].sendall(message(ident="left"))
             await server.arrived.get()
             [attempt] = rig.limiter._attempts.values()
@@ -289,13 +294,13 @@
             sock.sendall(b"".join(message(ident=f"r-{n}") for n in range(4)))
             await until(lambda: len(rig.limiter._servers._connecting) == 4)
             [client] = rig.clients._open
-            assert client._paused
+            assert client._is_read_paused
             sock.close()
-            await asyncio.sleep(2 * LOOK_AGAIN_S)
+            await asyncio.sleep(2 * CLIENT_CHECK_AFTER_S)
             loop.sock_connect = connect  # type: ignore[method-assign]
             gate.set()
             await until(lambda: not rig.limiter._servers._connecting)
-            await until(lambda: not rig.limiter.open)
+            await until(lambda: not rig.limiter.open_requests)
             assert not server.requests
             assert rig.limiter.guard.withheld[Denial.CLIENT] >= 1  # with the first answer reading goes on
 
--- a/tests/test_server_starts.py
+++ b/tests/test_server_starts.py
@@ -74,10 +74,10 @@
             monkeypatch.setattr(time, "time", lambda: plain() + hours * 3600.0)
             rig.limiter.sweep()
             fresh = host("b", "127.0.0.1:2", born_ms=time.time() * 1000 - 100.0)
-            rig.limiter.listed(parse_list(listing(2, fresh, whole=False))[0])
+            rig.limiter.update_servers(parse_list(listing(2, fresh, whole=False))[0])
             assert share(rig, "b") == pytest.approx(0.2, abs=0.05)  # the settings' coldFrom
             early = host("c", "127.0.0.1:3", born_ms=time.time() * 1000 - 9_000.0)
-            rig.limiter.listed(parse_list(listing(3, early, whole=False))[0])
+            rig.limiter.update_servers(parse_list(listing(3, early, whole=False))[0])
             assert share(rig, "c") == pytest.approx(0.92, abs=0.05)  # of 10 s nine are over
 
     run(test())
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -23,7 +23,7 @@
     unused_address,
 )
 
-from basaltpoint.fronts.platform.config import REUSE_S
+from basaltpoint.fronts.platform.config import MAX_REUSE_IDLE_S
 from basaltpoint.interface import Status
 from basaltpoint.policy import server_set
 from basaltpoint.upstream import buffered
@@ -316,7 +316,7 @@
     """A request that was not written completely was not executed, however its attempt ends."""
 
     async def test() -> None:
-        listener, servers = Listener(), ServerConnections(10, 1.0, REUSE_S, platform_connection)
+        listener, servers = Listener(), ServerConnections(10, 1.0, MAX_REUSE_IDLE_S, platform_connection)
         servers.update_server(1, listener.address, True)
         large = b"POST /fix HTTP/1.1\r\nContent-Length: 64000000\r\n\r\n" + b"x" * 64_000_000
         task = asyncio.create_task(run_attempt(servers, 1, large, 0.3 if timed_out else 20.0))
@@ -336,7 +336,7 @@
         loop, listener, servers = (
             asyncio.get_running_loop(),
             Listener(),
-            ServerConnections(10, 1.0, REUSE_S, platform_connection),
+            ServerConnections(10, 1.0, MAX_REUSE_IDLE_S, platform_connection),
         )
         servers.update_server(1, listener.address, True)
         first = asyncio.create_task(run_attempt(servers, 1, REQUEST))
@@ -400,7 +400,7 @@
         loop, listener, servers = (
             asyncio.get_running_loop(),
             Listener(),
-            ServerConnections(10, 1.0, REUSE_S, platform_connection),
+            ServerConnections(10, 1.0, MAX_REUSE_IDLE_S, platform_connection),
         )
         servers.update_server(1, listener.address, True)
         ended: asyncio.Future[AttemptResult] = loop.create_future()
@@ -417,7 +417,7 @@
 def test_idle_connections_are_closed_after_the_limit() -> None:
     async def test() -> None:
         async with backend() as server:
-            servers = ServerConnections(10, 1.0, REUSE_S, platform_connection)
+            servers = ServerConnections(10, 1.0, MAX_REUSE_IDLE_S, platform_connection)
             name, port = server.address.split(":")
             servers.update_server(1, (name, int(port)), True)
             tasks = [asyncio.create_task(run_attempt(servers, 1, REQUEST)) for _ in range(2)]
@@ -443,7 +443,7 @@
             request.reply()
 
         async with backend(script) as one, backend() as two:
-            servers = ServerConnections(1, 1.0, REUSE_S, platform_connection)
+            servers = ServerConnections(1, 1.0, MAX_REUSE_IDLE_S, platform_connection)
             for number, server in enumerate((one, two)):
                 name, port = server.address.split(":")
                 servers.update_server(number, (name, int(port)), True)
@@ -470,7 +470,7 @@
             request.reply("200 OK", b"", *next(headers))
 
         async with backend(script) as server:
-            servers = ServerConnections(10, 1.0, REUSE_S, platform_connection)
+            servers = ServerConnections(10, 1.0, MAX_REUSE_IDLE_S, platform_connection)
             name, port = server.address.split(":")
             servers.update_server(1, (name, int(port)), True)
             reply = await run_attempt(servers, 1, REQUEST)
@@ -518,17 +518,21 @@
                 hung_up = [await rig.connect() for _ in range(5)]
                 for n, client in enumerate(hung_up):
                     client.send(message("fix", f"silent-h{n}"))
-                await until(lambda: rig.limiter.open >= 5)
+                await until(lambda: rig.limiter.open_requests >= 5)
                 for client in hung_up:
                     client.close()
-                watched.tell(
+                watched.send(
                     listing(2, host("d", server.address))
                 )  # the others are removed during their requests
                 assert {(await client.answer()).code for client in made} <= {200, 429, 502}
                 gateway, sockets = rig.limiter.decision_module, rig.limiter._servers
                 await until(lambda: not gateway.requests and not rig.limiter.table.requests)
                 await until(lambda: not sockets._connecting)
-                assert (rig.limiter.open, gateway.pools[0].lane_outstanding, rig.limiter.table.open_keys) == (
+                assert (
+                    rig.limiter.open_requests,
+                    gateway.pools[0].lane_outstanding,
+                    rig.limiter.table.open_keys,
+                ) == (
                     0,
                     [0, 0],
                     set(),
@@ -551,7 +555,7 @@
         async with backend(script) as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             assert (await client.ask(message("fix", "one"))).body == b"own"
-            await asyncio.sleep(REUSE_S * 2)
+            await asyncio.sleep(MAX_REUSE_IDLE_S * 2)
             assert (await client.ask(message("fix", "two"))).body == b"own"
             assert [request.connection for request in server.requests] == [1, 2]
             await server.requests[0].closed()
@@ -565,7 +569,7 @@
 
     async def test() -> None:
         loop, listener = asyncio.get_running_loop(), Listener()
-        servers = ServerConnections(10, 1.0, REUSE_S, platform_connection)
+        servers = ServerConnections(10, 1.0, MAX_REUSE_IDLE_S, platform_connection)
         servers.update_server(1, listener.address, True)
         ended: asyncio.Future[AttemptResult] = loop.create_future()
         servers.start_attempt(1, BufferedAttempt(REQUEST, loop.time() + 20, ended.set_result))
--- a/tests/test_store_daemon.py
+++ b/tests/test_store_daemon.py
@@ -15,7 +15,7 @@
 import pytest
 from sockets import Backend, Request, backend
 from standalone import KEY, StandaloneFixture, config, request
-from storeprocs import PATIENCE_S, Cluster, cluster
+from storeprocs import TEST_TIMEOUT_S, Cluster, cluster
 from waiting import run, until
 
 from basaltpoint.config.decode import FileError, load_toml
@@ -170,7 +170,7 @@
                 assert await ask(rig, 5) == [200] * 5
                 await until(lambda: keeper._replica_process is not before)
                 store = store_of(rig)
-                await store.put(DRAIN_PREFIX + "s0", b"{}", within_s=PATIENCE_S)
+                await store.put(DRAIN_PREFIX + "s0", b"{}", within_s=TEST_TIMEOUT_S)
                 await until(lambda: rig.limiter.setup.servers[0].drain)
                 store.close()
 
@@ -194,12 +194,12 @@
                     value = await store.get("limiter/basaltpoint")
                     return str(json.loads(value.value)["problem"]) if value else ""
 
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(TEST_TIMEOUT_S):
                     while not await told():
                         await asyncio.sleep(0.05)
                 assert 'found "mian", which is no pool' in await told()
                 await store.put(DOCUMENT_KEY, text.encode())
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(TEST_TIMEOUT_S):
                     while await told():
                         await asyncio.sleep(0.05)
                 store.close()
@@ -260,7 +260,7 @@
             client = made.client(*(name for name in made.names if name != dead))
             starting = limiter(tmp_path / "b.toml", text)
             entering = asyncio.create_task(starting.__aenter__())
-            await client.put(DRAIN_PREFIX + "s0", b"{}", within_s=PATIENCE_S)
+            await client.put(DRAIN_PREFIX + "s0", b"{}", within_s=TEST_TIMEOUT_S)
             made.start(dead)
             rig = await entering
             await until(lambda: any(spec.drain for spec in rig.limiter.setup.servers))
@@ -301,7 +301,7 @@
                 made.start(*made.names[:-1])
                 await until(lambda: "it answers again" in caplog.text)
                 client = made.client()
-                await client.put(DRAIN_PREFIX + "s0", b"{}", within_s=PATIENCE_S)
+                await client.put(DRAIN_PREFIX + "s0", b"{}", within_s=TEST_TIMEOUT_S)
                 await until(lambda: any(spec.drain for spec in rig.limiter.setup.servers))
                 client.close()
 
@@ -350,7 +350,7 @@
             assert not entering.done()
             made.start()
             client = made.client()
-            await client.put(DRAIN_PREFIX + "s0", b"{}", within_s=PATIENCE_S)
+            await client.put(DRAIN_PREFIX + "s0", b"{}", within_s=TEST_TIMEOUT_S)
             rig = await entering
             await until(lambda: any(spec.drain for spec in rig.limiter.setup.servers))
             assert await ask(rig) == [200]
@@ -391,16 +391,16 @@
             for turn, name in enumerate(made.names):
                 made.kill(name)
                 for at in range(5):
-                    await client.put(f"own/{turn}.{at}", b"x", within_s=PATIENCE_S)
+                    await client.put(f"own/{turn}.{at}", b"x", within_s=TEST_TIMEOUT_S)
                     acknowledged[f"own/{turn}.{at}"] = b"x"
                 if not told:
-                    await client.put(DRAIN_PREFIX + "s0", b"{}", within_s=PATIENCE_S)
+                    await client.put(DRAIN_PREFIX + "s0", b"{}", within_s=TEST_TIMEOUT_S)
                     await until(lambda: any(spec.drain for spec in rig.limiter.setup.servers))
                     told["s0"] = time.monotonic()
                 made.start(name)
                 await asyncio.sleep(0.5)
             stats = await task
-            found, _ = await client.range("own/", within_s=PATIENCE_S)
+            found, _ = await client.range("own/", within_s=TEST_TIMEOUT_S)
             assert found.keys() == acknowledged.keys()
             await until(lambda: rig.is_idle)
             client.close()
@@ -445,7 +445,7 @@
             async with limiter(path, config(server.address, extra=extra, rate=rate), end=False) as rig:
                 assert await ask(rig, 6) == [200] * 6
                 store = store_of(rig)
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(TEST_TIMEOUT_S):
                     while not (await store.range("balance/basaltpoint/one"))[0]:
                         await asyncio.sleep(0.02)
                 await asyncio.sleep(0.3)
--- a/tests/test_store_replicas.py
+++ b/tests/test_store_replicas.py
@@ -15,7 +15,7 @@
 
 import pytest
 from standalone import config
-from storeprocs import PATIENCE_S, Authority, Cluster, cluster
+from storeprocs import TEST_TIMEOUT_S, Authority, Cluster, cluster
 
 from basaltpoint.links.frames import LENGTH_PREFIX, PROTOCOL_VERSION, Greeting, encode_frame
 from basaltpoint.links.transport import Link, connect
@@ -28,7 +28,7 @@
 
 
 async def until(what: Callable[[], Awaitable[bool]]) -> None:
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         while not await what():
             await asyncio.sleep(0.02)
 
@@ -63,7 +63,7 @@
     async def write(self) -> None:
         self.count += 1
         key, value = f"{self.name}/{self.count % 50}", b"%d" % self.count
-        await self.client.put(key, value, within_s=PATIENCE_S)
+        await self.client.put(key, value, within_s=TEST_TIMEOUT_S)
         self.acked[key] = value
 
     async def run(self) -> None:
@@ -72,7 +72,7 @@
 
     async def check(self, client: Client) -> None:
         """All that was acknowledged is there; only a command under way may have gone further."""
-        found, _ = await client.range(self.name + "/", within_s=PATIENCE_S)
+        found, _ = await client.range(self.name + "/", within_s=TEST_TIMEOUT_S)
         held = {key: value.value for key, value in found.items()}
         for key, value in self.acked.items():
             assert int(held[key]) >= int(value), f"{key}: {value!r} was acknowledged, {held[key]!r} is there"
@@ -186,10 +186,10 @@
         await others.put("a", b"old")
         await at_old.get("a")  # connected
         made.running[old].send_signal(signal.SIGSTOP)
-        reading = [asyncio.create_task(at_old.get("a", within_s=PATIENCE_S)) for _ in range(5)]
+        reading = [asyncio.create_task(at_old.get("a", within_s=TEST_TIMEOUT_S)) for _ in range(5)]
         writing = asyncio.create_task(_tried(made.local(old), "b"))
         await asyncio.sleep(0.05)
-        await others.put("a", b"new", within_s=PATIENCE_S)
+        await others.put("a", b"new", within_s=TEST_TIMEOUT_S)
         made.running[old].send_signal(signal.SIGCONT)
         seen = await asyncio.gather(*reading)
         assert [value and value.value for value in seen] == [b"new"] * 5
@@ -218,7 +218,7 @@
         made.running[slow].send_signal(signal.SIGSTOP)
         client = made.client(*(name for name in made.names if name != slow))
         for at in range(60):  # more than all buffers between the two hold
-            await client.put(f"big{at % 8}", bytes(500_000), within_s=PATIENCE_S)
+            await client.put(f"big{at % 8}", bytes(500_000), within_s=TEST_TIMEOUT_S)
         made.running[slow].send_signal(signal.SIGCONT)
         await caught_up(made, slow)
 
@@ -266,7 +266,7 @@
         made.kill(name)
         rest = made.client(*made.names[1:])
         for at in range(70):
-            await rest.put("a", b"%d" % at, within_s=PATIENCE_S)
+            await rest.put("a", b"%d" % at, within_s=TEST_TIMEOUT_S)
         made.start(name)
         await caught_up(made, name)
         local = made.local(name)
@@ -400,7 +400,7 @@
         made.start()
         await made.leader()
         client = made.local("r0")
-        values, now = await client.range("k", within_s=PATIENCE_S)
+        values, now = await client.range("k", within_s=TEST_TIMEOUT_S)
         assert {key: value.value for key, value in values.items()} == {
             f"k{at}": b"%d" % at for at in range(30)
         }
@@ -441,7 +441,7 @@
     )  # type: ignore[arg-type]
     link.send(p.Get(1, "", local=True))
     link.send(p.ExecuteCommand(2, p.kv.Command(p.kv.OpenSession())))
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         await link.closed
     return heard.frames
 
@@ -482,7 +482,7 @@
         ):
             reader, writer = await asyncio.open_unix_connection(str(tmp_path / "a" / "socket"))
             writer.write(encode_frame(Greeting(PROTOCOL_VERSION, "c")) + raw)
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 rest = await reader.read()
             assert rest == encode_frame(replica._greeting())
             writer.close()
@@ -565,11 +565,11 @@
     async def count(client: Client, times: int) -> None:
         done = 0
         while done < times:
-            value = await client.get("n", within_s=PATIENCE_S)
+            value = await client.get("n", within_s=TEST_TIMEOUT_S)
             held, revision = (int(value.value), value.modified_revision) if value else (0, 0)
             try:
                 put = Put("n", b"%d" % (held + 1))
-                await client.txn([put], [Check("n", revision)], within_s=PATIENCE_S)
+                await client.txn([put], [Check("n", revision)], within_s=TEST_TIMEOUT_S)
                 done += 1
             except StoreError as error:
                 assert error.error == "check"
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -85,8 +85,8 @@
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Connections left in the backlog would be reset, with their requests."""
-    monkeypatch.setattr(clients, "DRAIN_S", 0.0)
-    monkeypatch.setattr(clients, "QUIET_S", -1.0)
+    monkeypatch.setattr(clients, "MIN_DRAIN_LISTEN_S", 0.0)
+    monkeypatch.setattr(clients, "DRAIN_QUIET_S", -1.0)
     services = [
         {"name": name, "aimMs": 500.0, "hardLimitMs": 2000.0, "effect": effect}
         for name, effect in (("read", "idempotent"), ("fix", "at_most_once"))
@@ -187,10 +187,10 @@
             client = await rig.connect()
             with FailingConnect("EADDRNOTAVAIL"):
                 client.send(message("fix", body=b"x" * 200_000))
-                await until(lambda: rig.limiter.open == 1)
+                await until(lambda: rig.limiter.open_requests == 1)
                 client.close()
                 async with asyncio.timeout(2.0):
-                    await until(lambda: rig.limiter.open == 0)
+                    await until(lambda: rig.limiter.open_requests == 0)
             other = await rig.connect()
             assert (await other.ask(message("fix", ident="other", body=b"x" * 200_000))).code == 200
             assert [request.headers["req-id"] for request in server.requests] == ["other"]
--- a/tests/test_unread_time.py
+++ b/tests/test_unread_time.py
@@ -11,7 +11,7 @@
 from sockets import backend, host, limiter, message, run
 
 from basaltpoint.fronts.platform.client_connection import ClientConnection
-from basaltpoint.fronts.unread import FULL_WINDOW, unread_bytes, unread_s
+from basaltpoint.fronts.unread import MIN_RECEIVE_BUFFER_BYTES, time_unread_s, unread_bytes
 from basaltpoint.system.accepting import Acceptor
 from basaltpoint.system.listening import open_listener
 
@@ -142,7 +142,7 @@
 def filled(near: socket.socket, far: socket.socket, size: int) -> None:
     near.setblocking(False)
     near.send(bytes(size))
-    while unread_bytes(far) < min(size, FULL_WINDOW):
+    while unread_bytes(far) < min(size, MIN_RECEIVE_BUFFER_BYTES):
         sleep(0.001)
 
 
@@ -156,10 +156,10 @@
         sleep(0.1)
         filled(near, far, size)
         far.recv(1)
-        found = unread_s(far, before - 5.0, 1, answered=False)
+        found = time_unread_s(far, before - 5.0, 1, has_responded=False)
         assert found <= monotonic() - before + 0.01
         assert (found >= 0.09) is lain
-        assert (unread_s(far, before - 5.0, 1, answered=True) >= 5.0) is lain
+        assert (time_unread_s(far, before - 5.0, 1, has_responded=True) >= 5.0) is lain
 
 
 def test_a_connection_that_comes_to_a_socket_with_nothing_waiting_has_not_lain() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -12,7 +12,7 @@
 import pytest
 from fleetprocs import assert_no_resurrection, running_fleet, wait_until_agreed, wait_until_seen
 from test_rehearsal import played
-from waiting import PATIENCE_S, run, until
+from waiting import TEST_TIMEOUT_S, run, until
 
 from basaltpoint.config.address import parse_address
 from basaltpoint.handover import upgrade_state
@@ -102,7 +102,7 @@
             for times, number in enumerate((signal.SIGKILL, signal.SIGTERM), 1):
                 newer = await waits(made, "l2")
                 newer.send_signal(number)
-                await asyncio.to_thread(newer.wait, PATIENCE_S)
+                await asyncio.to_thread(newer.wait, TEST_TIMEOUT_S)
                 await until(lambda times=times: said(made, "l2", "the newer process ended") == times)  # type: ignore[misc]
                 reader, writer = await asyncio.open_connection(*parse_address(made.members["l2"].listen))
                 assert await ask(reader, writer) == 401
@@ -138,7 +138,7 @@
                 other, _ = await asyncio.to_thread(listener.accept)
                 other.send(b"d" + text)
                 process = made.members["l1"].process
-                assert process and await asyncio.to_thread(process.wait, PATIENCE_S) == 1
+                assert process and await asyncio.to_thread(process.wait, TEST_TIMEOUT_S) == 1
                 other.close()
             assert why in made.log("l1") and "end it first" in made.log("l1")
 
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -8,22 +8,22 @@
 
 import uvloop
 
-PATIENCE_S = 90.0
+TEST_TIMEOUT_S = 90.0
 
 
-def run(test: Coroutine[Any, Any, None], within_s: float = 3 * PATIENCE_S) -> None:
+def run(test: Coroutine[Any, Any, None], timeout_s: float = 3 * TEST_TIMEOUT_S) -> None:
     """Run a test on the loop that the program uses; one that hangs fails."""
 
     async def bounded() -> None:
-        async with asyncio.timeout(within_s):
+        async with asyncio.timeout(timeout_s):
             await test
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(bounded())
 
 
-async def until(what: Callable[[], bool], look_s: float = 0.005) -> None:
+async def until(condition: Callable[[], bool], poll_interval_s: float = 0.005) -> None:
     """Wait for something to hold, with so long between two looks."""
-    async with asyncio.timeout(PATIENCE_S):
-        while not what():
-            await asyncio.sleep(look_s)
+    async with asyncio.timeout(TEST_TIMEOUT_S):
+        while not condition():
+            await asyncio.sleep(poll_interval_s)
