--- a/basaltpoint/store/client.py
+++ b/basaltpoint/store/client.py
@@ -1,4 +1,4 @@
-"""A client of the store: one connection to any replica, another where it fails, each command applied once."""
+"""Client of the replicated store: uses one replica at a time, fails over, and applies each command once."""
 
 from __future__ import annotations
 
@@ -19,25 +19,21 @@
 
 log = logging.getLogger(__name__)
 
-MAX_RESPONSE_WAIT_S = 3.0  # for one answer; then another replica is asked the same
-# While anything waits, a replica is asked this often whether it is there: one that stands still keeps its
-# connections, and looks like one that is slow. Smaller costs messages, larger adds to each such fault.
+MAX_RESPONSE_WAIT_S = 3.0  # for one response; then the request goes to another replica
+# While requests or watches are pending, the replica is sent a liveness check at this interval: a stopped
+# process keeps its connections open and looks like a slow one. A smaller interval costs messages, a larger
+# one delays the detection of each such fault.
 LIVENESS_CHECK_INTERVAL_S = 0.2
-SILENCE_TIMEOUT_S = (
-    0.5  # with nothing heard for so long, another is asked; doubled with each round that heard nothing
-)
-CONNECT_TIMEOUT_RANGE_S = (
-    0.5,
-    GREETING_TIMEOUT_S,
-)  # for a connection, at first and at most: doubled with each round of all replicas
-RETRY_DELAY_RANGE_S = (
-    0.02,
-    0.1,
-)  # first and longest wait between two tries: a new leader is there within a second
+# The client leaves a replica that sends nothing for this time. Doubled with each round of all replicas in
+# which none sent a frame.
+SILENCE_TIMEOUT_S = 0.5
+# First and longest timeout of a connection attempt; doubled with each round of all replicas.
+CONNECT_TIMEOUT_RANGE_S = (0.5, GREETING_TIMEOUT_S)
+RETRY_DELAY_RANGE_S = (0.02, 0.1)  # first and longest delay of a retry; electing a leader takes up to 1 s
 
 
 class StoreError(Exception):
-    """A request that the store does not grant; `error` is its kind, as in machine.Result."""
+    """The store refused a request; `error` is the kind of error, as in state_machine.Result."""
 
     def __init__(self, error: str, text: str) -> None:
         self.error = error
@@ -45,7 +41,7 @@
 
 
 class UnavailableError(StoreError):
-    """No replica could answer in time: whether a command takes effect yet is not known."""
+    """No replica responded in time; a command may or may not still take effect."""
 
     def __init__(self, text: str) -> None:
         super().__init__("unavailable", text)
@@ -53,30 +49,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A replica: HOST:PORT and the name that its certificate holds, or the path of its socket."""
+    """Address of a replica: HOST:PORT and the name in its certificate, or the path of its Unix socket."""
 
     address: str
     name: str = ""
 
 
 class Client:
-    """To be used by one loop; commands of one client go one after the other."""
+    """Must be used from a single event loop; executes the commands of one client one at a time, in order."""
 
     def __init__(self, endpoints: Sequence[Endpoint], cluster: str = "", tls: Tls | None = None) -> None:
         self._endpoints = list(endpoints)
         self._cluster, self._tls = cluster, tls
         self._link: Link | None = None
-        self._pending: dict[int, Callable[[Any], None]] = {}
+        self._pending: dict[int, Callable[[Any], None]] = {}  # frame handlers by frame ident
         self._last_ident = 0
-        self._endpoint_index = -1  # the first is asked first
-        self._connect_lock = asyncio.Lock()  # bound to the loop of its first use
+        # Incremented before each connection attempt: the first endpoint is used first.
+        self._endpoint_index = -1
+        self._connect_lock = asyncio.Lock()  # a lock is bound to the event loop of its first use
         self._command_lock = asyncio.Lock()
-        self._last_frame_s = 0.0  # loop time of the last frame over the connection
+        self._last_frame_s = 0.0  # loop time at which the last frame was received
         self._liveness_task: asyncio.Task[None] | None = None
-        self._failed_connects = 0  # connections in a row that did not come up
-        self._silent_connections = 0  # and of those that did, how many said nothing
+        self._failed_connects = 0  # consecutive connection attempts that failed
+        self._silent_connections = 0  # consecutive connections over which no frame was received
         self._session = self._command_number = 0
-        self.revision = 0  # of the latest answer
+        self.revision = 0  # highest revision in the responses received so far
 
     # --- Connection ---------------------------------------------------------------------------
     def greeting_received(self, link: Link) -> bool:
@@ -84,18 +81,18 @@
 
     def frame_received(self, link: Link, frame: p.AnyFrame) -> None:
         self._last_frame_s, self._silent_connections = asyncio.get_running_loop().time(), 0
-        if link is self._link and (wait := self._pending.get(getattr(frame, "ident", 0))):
-            wait(frame)
+        if link is self._link and (handle := self._pending.get(getattr(frame, "ident", 0))):
+            handle(frame)
 
     def link_closed(self, link: Link) -> None:
         if link is self._link:
             self._link = None
-            waits, self._pending = self._pending, {}
-            for wait in waits.values():
-                wait(None)
+            handlers, self._pending = self._pending, {}
+            for handle in handlers.values():
+                handle(None)
 
     async def _get_connection(self) -> Link:
-        """The connection, a new one where there is none. OSError, TimeoutError."""
+        """Returns the open connection, or connects to the next endpoint. Raises OSError or TimeoutError."""
         async with self._connect_lock:
             if self._link is not None:
                 return self._link
@@ -121,7 +118,9 @@
             return link
 
     def _start_liveness_checks(self) -> None:
-        """Look after the replica that is asked, for as long as anything waits for it."""
+        """Starts the liveness checks of the connected replica; they run while requests or watches are
+        pending.
+        """
         if self._liveness_task is None or self._liveness_task.done():
             self._liveness_task = asyncio.get_running_loop().create_task(self._check_liveness())
 
@@ -130,9 +129,10 @@
         while self._pending and (link := self._link) is not None:
             checked_at = loop.time()
             if self._last_frame_s < checked_at - LIVENESS_CHECK_INTERVAL_S:
-                link.send(p.GetStatus(0))  # answered once the replica is current: a sign of life, and no more
+                link.send(p.GetStatus(0))  # answered once the replica has confirmed that its state is current
             await asyncio.sleep(LIVENESS_CHECK_INTERVAL_S)
-            # What this process slept through is no silence of the other's: it is asked first.
+            # If this process itself was paused, frames may be waiting unread: check again before judging the
+            # replica.
             was_paused = loop.time() - checked_at > 2 * LIVENESS_CHECK_INTERVAL_S
             if was_paused:
                 self._last_frame_s = loop.time()
@@ -147,11 +147,11 @@
                 and loop.time() - self._last_frame_s > silence_timeout_s
             ):
                 self._silent_connections += 1
-                log.info("store: the replica that was asked keeps silent; another is asked")
+                log.info("store: the connected replica does not respond; connecting to another replica")
                 link.close()
 
     def disconnect(self) -> None:
-        """Go to another replica at the next request."""
+        """Closes the connection; the next request goes to another replica."""
         if self._link:
             self._link.close()
 
@@ -161,7 +161,7 @@
         self.disconnect()
 
     async def _send_once(self, make_frame: Callable[[int], Frame], timeout_s: float) -> Any:
-        """One try; None where it failed."""
+        """Sends a request once; returns None if there was no response."""
         try:
             link = await self._get_connection()
         except (OSError, TimeoutError):
@@ -177,7 +177,7 @@
             async with asyncio.timeout(timeout_s):
                 return await response
         except TimeoutError:
-            link.close()  # it hangs, or lost the answer: the next one is another's
+            link.close()  # the replica hangs or lost the response; the next attempt uses another one
             return None
         finally:
             self._pending.pop(ident, None)
@@ -185,7 +185,7 @@
     async def _request(
         self, make_frame: Callable[[int], Frame], is_final: Callable[[Any], bool], within_s: float
     ) -> Any:
-        """Ask until a good answer comes; UnavailableError after `within_s`."""
+        """Sends a request until it has a final response; raises UnavailableError after `within_s` seconds."""
         loop = asyncio.get_running_loop()
         deadline, (delay_s, max_delay_s) = loop.time() + within_s, RETRY_DELAY_RANGE_S
         text = "no replica answers"
@@ -205,7 +205,10 @@
 
     # --- Commands ---------------------------------------------------------------------------
     async def execute(self, action: kv.Action, within_s: float = 10.0) -> Result:
-        """Have a command applied, once. StoreError tells what is refused; UnavailableError: not known."""
+        """Executes a command exactly once.
+
+        Raises StoreError if the store refuses it, and UnavailableError if the outcome is unknown.
+        """
         async with self._command_lock:
             if not self._session:
                 self._session, self._command_number = (
@@ -224,13 +227,13 @@
     async def _execute_command(self, action: kv.Action, session: int, number: int, within_s: float) -> Result:
         command = kv.Command(action, session, number)
 
-        def good(frame: Any) -> bool:
+        def is_final(frame: Any) -> bool:
             return isinstance(frame, p.CommandResponse) and frame.result.error not in (
                 "unavailable",
                 "unknown",
             )
 
-        frame = await self._request(lambda ident: p.ExecuteCommand(ident, command), good, within_s)
+        frame = await self._request(lambda ident: p.ExecuteCommand(ident, command), is_final, within_s)
         result: Result = frame.result
         self.revision = max(self.revision, result.revision)
         return result
@@ -238,7 +241,9 @@
     async def transaction(
         self, operations: Sequence[Put | Delete], checks: Sequence[Check] = (), within_s: float = 10.0
     ) -> Result:
-        """Where all checks hold, all operations together; StoreError `check` where one does not."""
+        """Applies all operations atomically if all checks hold; otherwise raises StoreError with error
+        `check`.
+        """
         return await self.execute(kv.Transaction(tuple(checks), tuple(operations)), within_s)
 
     async def put(self, key: str, value: bytes, lease: int = 0, within_s: float = 10.0) -> Result:
@@ -251,16 +256,18 @@
         return (await self.execute(kv.GrantLease(ttl_ms), within_s)).ident
 
     async def renew_lease(self, lease: int, within_s: float = 10.0) -> None:
-        """StoreError `lease` where it has ended."""
+        """Raises StoreError with error `lease` if the lease has expired."""
         await self.execute(kv.RenewLease(lease), within_s)
 
     # --- Reads ---------------------------------------------------------------------------
     async def get_range(
         self, prefix: str, *, local: bool = False, exact: bool = False, within_s: float = 10.0
     ) -> tuple[dict[str, Value], int]:
-        """All under a prefix, and the revision that it is of at least; a watch goes on from the next.
+        """Returns all keys with a prefix, and a revision; a watch from the next revision misses no later
+        change.
 
-        `local`: what the replica has, which may be old. Changes between two pages show in the watch.
+        The values are at least as recent as the revision. `exact` reads the key `prefix` alone. `local` reads
+        the connected replica's own state, which may be stale. Changes between two pages appear in the watch.
         """
         values: dict[str, Value] = {}
         after, revision = "", 0
@@ -284,9 +291,10 @@
         return (await self.get_range(key, local=local, exact=True, within_s=within_s))[0].get(key)
 
     async def watch(self, prefix: str, revision: int) -> AsyncIterator[tuple[list[Event], int]]:
-        """Changes from a revision on, with the revision up to which they are all; for ever, over any replica.
+        """Yields changes from a revision on, each time with the revision up to which they are complete.
 
-        CompactedError where some are not held any more: read all anew, and watch from there.
+        The watch never ends and moves to another replica when a connection fails. Raises CompactedError if
+        some of the changes are no longer stored: the caller must read all values again and watch from there.
         """
         delivered_revision = revision - 1
         delay_s, max_delay_s = RETRY_DELAY_RANGE_S
@@ -296,7 +304,8 @@
                     delay_s = RETRY_DELAY_RANGE_S[0]
                     if frame.compacted:
                         raise CompactedError(frame.compacted)
-                    # A replica that is behind tells an older revision; what was told stays told.
+                    # A lagging replica reports an older revision; events that were delivered are not
+                    # repeated.
                     events = [event for event in frame.events if event.revision > delivered_revision]
                     delivered_revision = max(delivered_revision, frame.revision)
                     if events or frame.revision >= delivered_revision:
@@ -305,7 +314,7 @@
             delay_s = min(max_delay_s, delay_s * 2)
 
     async def _watch_connection(self, prefix: str, revision: int) -> AsyncGenerator[p.WatchEvents, None]:
-        """One watch of one connection, to its end."""
+        """Yields the frames of a watch on one connection until the connection closes."""
         try:
             link = await self._get_connection()
         except (OSError, TimeoutError):
@@ -323,21 +332,22 @@
             self._pending.pop(ident, None)
             link.send(p.CancelWatch(ident))
 
-    # --- Operators' ---------------------------------------------------------------------------
+    # --- Administration ---------------------------------------------------------------------------
     async def status(self, within_s: float = 5.0) -> p.ReplicaStatus:
-        """How the replica stands that is asked."""
+        """Returns the status of the connected replica."""
         found: p.ReplicaStatus = await self._request(
             p.GetStatus, lambda f: isinstance(f, p.ReplicaStatus), within_s
         )
         return found
 
     async def dump_state(self, within_s: float = 30.0) -> bytes:
-        """The whole state, current: what `restore` makes a cluster of."""
+        """Returns the whole current state, serialised, as `restore` takes it to create a cluster."""
         data, total = b"", -1
         while len(data) != total:
             offset = len(data)
             chunk = await self._request(partial(p.DumpState, offset=offset), _is_dump_chunk, within_s)
-            if offset and chunk.total_bytes != total:  # another replica, or another state: begin anew
+            # Another replica responded, or the state changed: start again.
+            if offset and chunk.total_bytes != total:
                 data, total = b"", -1
                 continue
             data, total = data + chunk.data, chunk.total_bytes
@@ -346,13 +356,14 @@
     async def change_membership(
         self, action: str, name: str, address: str = "", within_s: float = 10.0
     ) -> Result:
-        """Add a learner, promote it to a voter, remove a member. StoreError says what stands against it.
+        """Adds a learner, promotes it to a voter, or removes a member; raises StoreError if it is refused.
 
-        Asked again where its effect is not known; done where the membership is as asked for by then.
+        The request is repeated while its outcome is unknown. If the repetition is refused, but the membership
+        is as requested by then, the change counts as done.
         """
 
-        def reached(standing: p.ReplicaStatus) -> bool:
-            member = standing.membership.find(name)
+        def is_reached(status: p.ReplicaStatus) -> bool:
+            member = status.membership.find(name)
             match action:
                 case "add":
                     return member is not None and member.address == address
@@ -362,17 +373,17 @@
                     return member is None
 
         return await self._run_operation(
-            lambda ident: p.ChangeMembership(ident, action, name, address), reached, within_s
+            lambda ident: p.ChangeMembership(ident, action, name, address), is_reached, within_s
         )
 
     async def transfer_leadership(self, name: str, within_s: float = 10.0) -> Result:
-        """Hand the leadership to a voter; asked again where its effect is not known."""
+        """Transfers the leadership to a voter; the request is repeated while its outcome is unknown."""
         return await self._run_operation(
             lambda ident: p.TransferLeadership(ident, name), _not_reached, within_s
         )
 
     async def take_snapshot(self, within_s: float = 10.0) -> Result:
-        """Have the replica that is asked compact its log."""
+        """Makes the connected replica write a snapshot and compact its log."""
         return await self._run_operation(p.TakeSnapshot, _not_reached, within_s)
 
     async def _run_operation(
@@ -381,23 +392,24 @@
         is_reached: Callable[[p.ReplicaStatus], bool],
         within_s: float,
     ) -> Result:
-        """Have an operation carried out; StoreError where it is refused and `reached` finds it undone."""
+        """Runs an operation; raises StoreError if it is refused and `is_reached` finds its effect missing."""
         deadline = asyncio.get_running_loop().time() + within_s
-        possibly_applied = 0  # tries that may have taken effect: all but those told that nothing was begun
+        # Attempts that may have taken effect: all except those refused before anything was started.
+        possibly_applied = 0
 
-        def counted(ident: int) -> Frame:
+        def make_counted_frame(ident: int) -> Frame:
             nonlocal possibly_applied
             possibly_applied += 1
             return make_frame(ident)
 
-        def final(frame: Any) -> bool:
+        def is_final(frame: Any) -> bool:
             nonlocal possibly_applied
             if not isinstance(frame, p.CommandResponse):
                 return False
             possibly_applied -= frame.result.error not in ("", "unknown")
             return frame.result.error not in ("unavailable", "unknown")
 
-        result: Result = (await self._request(counted, final, within_s)).result
+        result: Result = (await self._request(make_counted_frame, is_final, within_s)).result
         if not result.error:
             return result
         remaining_s = deadline - asyncio.get_running_loop().time()
@@ -406,7 +418,7 @@
         raise StoreError(result.error, result.text)
 
     async def _current_status(self, within_s: float) -> p.ReplicaStatus:
-        """How a replica stands that has applied all that was committed when this was called."""
+        """Returns the status of a replica that has applied everything committed before this call."""
         deadline = asyncio.get_running_loop().time() + within_s
         while True:
             remaining_s = deadline - asyncio.get_running_loop().time()
@@ -420,7 +432,7 @@
 
 
 def _not_reached(status: p.ReplicaStatus) -> bool:
-    """For operations that may be repeated: a refusal says all."""
+    """For idempotent operations: a refusal is final."""
     return False
 
 
--- a/basaltpoint/store/command.py
+++ b/basaltpoint/store/command.py
@@ -1,4 +1,4 @@
-"""`basaltpoint store`: run a replica, look at the cluster, change it, back it up."""
+"""`basaltpoint store`: runs a replica; inspects, changes and backs up the cluster."""
 
 from __future__ import annotations
 
@@ -28,79 +28,88 @@
 
 log = logging.getLogger("basaltpoint")
 
-CRASH_POINT_VARIABLE = (
-    "BASALTPOINT_STORE_CRASH"  # POINT:COUNT, for tests: SIGKILL when it is reached so often
-)
-TRANSFER_RETRY_INTERVAL_S = 1.0  # for a transfer of the leadership, before it is asked for again
-DEFAULT_CATCH_UP_TIMEOUT_S = 60.0  # for a new member to catch up, by default
+# POINT:COUNT, for tests: SIGKILL when the point is reached for the COUNTth time.
+CRASH_POINT_VARIABLE = "BASALTPOINT_STORE_CRASH"
+TRANSFER_RETRY_INTERVAL_S = 1.0  # a transfer not done after this time is requested again
+DEFAULT_CATCH_UP_TIMEOUT_S = 60.0
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """The commands of `store`."""
+    """Adds the subcommands of `store`."""
     commands = parser.add_subparsers(dest="store_command", required=True)
 
     def command(
         name: str, text: str, act: Callable[[Client, argparse.Namespace], Awaitable[int]]
     ) -> argparse.ArgumentParser:
-        made = commands.add_parser(name, help=text)
-        add_client_arguments(made)
-        made.set_defaults(act=act)
-        return made
+        subparser = commands.add_parser(name, help=text)
+        add_client_arguments(subparser)
+        subparser.set_defaults(act=act)
+        return subparser
 
-    run = commands.add_parser("run", help="run the replica of a file until SIGTERM")
+    run = commands.add_parser("run", help="run the replica that a file configures until SIGTERM")
     run.add_argument("config", type=Path)
-    run.add_argument("--embedded", action="store_true", help="end when standard input does: with its parent")
+    run.add_argument(
+        "--embedded",
+        action="store_true",
+        help="stop at the end of standard input, that is, with the parent process",
+    )
     run.set_defaults(act=None)
     restore = commands.add_parser(
-        "restore", help="make the folder of a first replica of a new cluster from a backup"
+        "restore", help="create the folder of the first replica of a new cluster from a backup"
     )
     restore.add_argument("backup", type=Path)
     add_client_arguments(restore)
     restore.set_defaults(act=None)
-    command("status", "how the replica stands that is asked", _status)
-    command("members", "who belongs to the cluster", _members)
+    command("status", "print the status of the connected replica", _status)
+    command("members", "list the members of the cluster", _members)
     add = command("add", "add a replica: a learner until it has caught up, then a voter", _add)
     add.add_argument("name")
-    add.add_argument("address", help="HOST:PORT at which the others reach it")
-    add.add_argument("--learner", action="store_true", help="leave it a learner")
+    add.add_argument("address", help="HOST:PORT at which the other replicas reach it")
+    add.add_argument("--learner", action="store_true", help="do not promote it to a voter")
     add.add_argument(
-        "--wait", type=float, default=DEFAULT_CATCH_UP_TIMEOUT_S, metavar="S", help="for it to catch up"
+        "--wait",
+        type=float,
+        default=DEFAULT_CATCH_UP_TIMEOUT_S,
+        metavar="S",
+        help="time limit for it to catch up",
     )
     command("remove", "remove a replica", _remove).add_argument("name")
-    command("transfer", "hand the leadership to a replica", transfer_leadership).add_argument("name")
+    command("transfer", "transfer the leadership to a replica", transfer_leadership).add_argument("name")
     snapshot = command("snapshot", "compact the log; with FILE also write a backup of the cluster", _snapshot)
     snapshot.add_argument("file", type=Path, nargs="?")
-    get = command("get", "print keys and values; exit code 1 where there is none", _get)
+    get = command("get", "print keys and values; exit code 1 if there is none", _get)
     get.add_argument("key")
-    get.add_argument("--prefix", action="store_true", help="all keys that begin so")
-    get.add_argument("--local", action="store_true", help="what the replica has, which may be old")
-    put = command("put", "set a key to a text, or to standard input with -", _put)
+    get.add_argument("--prefix", action="store_true", help="all keys with this prefix")
+    get.add_argument("--local", action="store_true", help="read the replica's own state, which may be stale")
+    put = command("put", "set a key to a text; - reads standard input", _put)
     put.add_argument("key")
     put.add_argument("value")
     put.add_argument(
-        "--revision", type=int, help="only where it was last changed by it; 0: where there is none"
+        "--revision",
+        type=int,
+        help="only if the key was last modified at this revision; 0: only if it does not exist",
     )
     delete = command("delete", "remove a key", _delete)
     delete.add_argument("key")
-    delete.add_argument("--prefix", action="store_true", help="all keys that begin so")
-    watch = command("watch", "print changes as they come", _watch)
+    delete.add_argument("--prefix", action="store_true", help="all keys with this prefix")
+    watch = command("watch", "print changes as they happen", _watch)
     watch.add_argument("prefix")
-    watch.add_argument("--revision", type=int, help="from a revision on; without it, from now")
+    watch.add_argument("--revision", type=int, help="first revision to print; default: from now on")
 
 
 def add_client_arguments(parser: argparse.ArgumentParser) -> None:
-    """What each command that asks the store takes."""
+    """Adds the arguments of every command that uses a store client."""
     parser.add_argument(
         "--config",
         type=Path,
         default=Path("basaltpoint.toml"),
         help="file with the [store] table (basaltpoint.toml)",
     )
-    parser.add_argument("--within", type=float, default=10.0, metavar="S", help="how long to try (10)")
+    parser.add_argument("--within", type=float, default=10.0, metavar="S", help="how long to retry (10)")
 
 
 def run(args: argparse.Namespace) -> int:
-    """Carry a command out; the exit code: 1 where it is refused, 2 where the file is wrong."""
+    """Runs a command; returns the exit code: 1 if the store refuses it, 2 if the configuration is invalid."""
     try:
         storage = storages.load(args.config)
     except FileError as error:
@@ -114,7 +123,7 @@
 
 
 def run_with_client(storage: StoreSettings, args: argparse.Namespace) -> int:
-    """Have a command's `act` done with a client; the exit code: 1 where the store refuses."""
+    """Runs a command's `act` with a client; returns the exit code: 1 if the store refuses."""
 
     async def run_act() -> int:
         client = setting.create_client(storage)
@@ -135,7 +144,9 @@
 
 # --- A replica ---------------------------------------------------------------------------
 def crash_point(specification: str) -> CrashPoint:
-    """Ends the process at a named point, as a power failure would; only for tests."""
+    """Returns a function that kills the process at a named point, as a power failure would; only for
+    tests.
+    """
     if not specification:
         return no_crash_point
     name, _, count = specification.partition(":")
@@ -152,7 +163,7 @@
 
 
 def run_replica(storage: StoreSettings, embedded: bool = False) -> int:
-    """Serve until told to end; the exit code."""
+    """Runs a replica until SIGTERM or SIGINT; returns the exit code."""
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     if not storage.table.name:
         log.error("store.name: missing; allowed: the replica's name")
@@ -177,7 +188,7 @@
 async def _serve(replica: Replica, embedded: bool) -> None:
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     if embedded:
-        loop.add_reader(sys.stdin.fileno(), stop.set)  # nothing is ever written: it can only end
+        loop.add_reader(sys.stdin.fileno(), stop.set)  # nothing is ever written to it: readable means closed
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     await replica.start()
@@ -268,11 +279,11 @@
 
 
 async def transfer_leadership(client: Client, args: argparse.Namespace) -> int:
-    """Hand the leadership to a replica and wait until it leads; the exit code."""
+    """Transfers the leadership to a replica and waits until it leads; returns the exit code."""
     deadline = time.monotonic() + args.within
     last_request_s = float("-inf")
     while True:
-        # A leader gives a transfer up that is not done within an election's time: it is asked for again.
+        # The leader gives up a transfer that is not done within the election timeout: request it again.
         if time.monotonic() - last_request_s > TRANSFER_RETRY_INTERVAL_S:
             await client.transfer_leadership(args.name, args.within)
             last_request_s = time.monotonic()
--- a/basaltpoint/store/replica.py
+++ b/basaltpoint/store/replica.py
@@ -1,4 +1,4 @@
-"""A replica with its sockets and its clock: it decides nothing, `Node` does."""
+"""A replica process: sockets, timers and clock around `Node`, which holds all the protocol logic."""
 
 from __future__ import annotations
 
@@ -29,35 +29,34 @@
 log = logging.getLogger(__name__)
 
 LISTEN_BACKLOG = 128
-SNAPSHOT_SLICE_INTERVAL_S = 0.004  # between two slices of a snapshot: others' messages go first
-READ_TIMEOUT_S = 2.0  # for a leader to prove itself; then the client asks again
-FORWARD_TIMEOUT_S = 5.0  # for the leader's answer to a request that was passed on
-MAX_WATCHES_PER_CONNECTION = 1000  # of one connection
-STAMP_RETRY_INTERVAL_MS = 1000.0  # between two tries to write the folder's stamp
+SNAPSHOT_SLICE_INTERVAL_S = 0.004  # between two slices of a snapshot, so that messages are handled in between
+READ_TIMEOUT_S = 2.0  # for the leader to confirm its leadership; after this the client retries
+FORWARD_TIMEOUT_S = 5.0  # for the leader's response to a forwarded request
+MAX_WATCHES_PER_CONNECTION = 1000
+STAMP_RETRY_INTERVAL_MS = 1000.0  # between two attempts to write the folder's stamp
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaSettings:
-    """One replica's settings."""
+    """Settings of one replica."""
 
     name: str
     cluster: str
     folder: Path
-    listen_address: str = (
-        ""  # HOST:PORT for peers and clients on other hosts; empty: the folder's socket alone
-    )
-    initial_membership: Membership = Membership()  # noqa: RUF009 - of a new cluster; none where it is to be added to one
+    listen_address: str = ""  # HOST:PORT for replicas and clients; empty: only the Unix socket in the folder
+    # Members of a new cluster; empty if the replica is to be added to an existing one.
+    initial_membership: Membership = Membership()  # noqa: RUF009 - immutable
     tls: Tls | None = None
-    raft_options: RaftOptions = RaftOptions()  # noqa: RUF009 - it can't be changed
-    limits: StorageLimits = StorageLimits()  # noqa: RUF009 - nor this
-    advertised_address: str = ""  # what the others are told; `listen` without it
+    raft_options: RaftOptions = RaftOptions()  # noqa: RUF009 - immutable
+    limits: StorageLimits = StorageLimits()  # noqa: RUF009 - immutable
+    advertised_address: str = ""  # sent to the other replicas; empty: `listen_address`
 
 
 @dataclass(slots=True)
 class _Watch:
     link: Link
     request: p.Watch
-    sent_revision: int = 0  # revision
+    sent_revision: int = 0  # the client has all events up to this revision
 
 
 @dataclass(slots=True)
@@ -69,12 +68,12 @@
 
 
 class Replica:
-    """One replica on one loop."""
+    """One replica on one event loop."""
 
     def __init__(
         self, settings: ReplicaSettings, crash_point: CrashPoint = no_crash_point, seed: int | None = None
     ) -> None:
-        """FolderError, DamageError, OSError where the folder can't be used."""
+        """Raises FolderError, CorruptionError or OSError if the folder can't be used."""
         self.settings = settings
         self.folder = ReplicaFolder(settings.folder, settings.cluster, settings.name)
         self._files = OsFiles(self.folder.log)
@@ -94,32 +93,33 @@
         self.node.on_state_changed = self._state_changed
         self.address = settings.advertised_address or settings.listen_address
         self._reconnectors: dict[str, Reconnector] = {}
-        self._greeted_addresses: dict[str, str] = {}  # of those who greeted and are no members yet
+        # By name: replicas that connected and are not members yet.
+        self._greeted_addresses: dict[str, str] = {}
         self._links: set[Link] = set()
         self._watches: dict[tuple[Link, int], _Watch] = {}
         self._dumps: dict[Link, bytes] = {}
         self._forwarded: dict[int, _ForwardedRequest] = {}
         self._last_forward_number = 0
-        self._last_leader = ""  # the leader that was known at the last turn
-        self._liveness_requests: set[Link] = set()  # that wait for a sign of life
+        self._last_leader = ""  # the leader as of the last turn; empty if unknown
+        self._liveness_requests: set[Link] = set()  # connections with an unanswered liveness check
         self._listeners: list[asyncio.Server | LinkListener] = []
         self._timer: asyncio.TimerHandle | None = None
         self._turn_scheduled = False
-        self._next_stamp_ms = 0.0  # when a stamp that could not be written is tried again, ms
-        self._last_current_ms = 0.0  # when this replica last knew that its state was current, ms
+        self._next_stamp_ms = 0.0  # time of the next attempt after a failed write
+        self._last_current_ms = 0.0  # when this replica last knew a leader
         self._loop: asyncio.AbstractEventLoop
 
     @staticmethod
     def _now_ms() -> float:
         return time.monotonic() * 1000.0
 
-    # --- Start and end -------------------------------------------------------------------------------
+    # --- Start and stop -------------------------------------------------------------------------------
     async def start(self) -> None:
-        """Listen; OSError where that can't be."""
+        """Starts to listen; raises OSError if that fails."""
         self._loop = asyncio.get_running_loop()
         path = self.settings.folder / SOCKET_NAME
         path.unlink(missing_ok=True)
-        mask = os.umask(0o177)  # whoever may open the socket may change the store
+        mask = os.umask(0o177)  # access to the socket grants write access to the store
         try:
             self._listeners.append(
                 await self._loop.create_unix_server(
@@ -137,14 +137,14 @@
         self._schedule_turn()
 
     def _new_link(self) -> Link:
-        """One with another host, or another process of this one."""
+        """Returns the protocol of a TCP connection to a replica or client."""
         return Link(self, self._greeting(), False, p.STORE_PROTOCOL, without_tls=self.settings.tls is None)
 
     def _greeting(self) -> Greeting:
         return Greeting(PROTOCOL_VERSION, self.settings.cluster, self.settings.name, self.address)
 
     def close(self) -> None:
-        """End; what was acknowledged is on the disk."""
+        """Closes all connections and files. Everything acknowledged is already on disk."""
         for listener in self._listeners:
             listener.close()
         for reconnector in self._reconnectors.values():
@@ -158,9 +158,9 @@
         with suppress(OSError):
             (self.settings.folder / SOCKET_NAME).unlink()
 
-    # --- The node's turn --------------------------------------------------------------------------------
+    # --- Turns of the node --------------------------------------------------------------------------------
     def _schedule_turn(self) -> None:
-        """Have the node carry out what is due, together with all else that comes in this turn of the loop."""
+        """Runs the node after all events of this event loop iteration, so that they share one disk sync."""
         if not self._turn_scheduled:
             self._turn_scheduled = True
             self._loop.call_soon(self._run_turn)
@@ -170,12 +170,13 @@
         self.node.tick(self._now_ms())
         self.node.process_output()
         if self.folder.may_be_stale and not self.node.failure:
-            self._write_stamp()  # the doubt itself is on the disk now
+            self._write_stamp()  # the node has recorded durably that the folder may be stale
         self._update_reconnectors()
         if self.node.raft.leader:
             self._last_current_ms = self._now_ms()
         if self._forwarded and self._last_leader != self.node.raft.leader:
-            # Whoever was to answer leads no more, or stands still: the client asks again at once.
+            # The leader that was to respond was replaced or has stopped: tell the client now, so that it
+            # retries.
             for number, forwarded in list(self._forwarded.items()):
                 if forwarded.leader != self.node.raft.leader:
                     self._end_forwarded_as_unknown(number)
@@ -191,17 +192,21 @@
         self._timer = self._loop.call_later(wait, self._schedule_turn)
 
     def _write_stamp(self) -> None:
-        """Take this copy of the folder for the replica's own; until that is on the disk it stays in doubt."""
+        """Marks this copy of the folder as the current one; until the stamp is on disk, the folder may be
+        stale.
+        """
         if self._now_ms() < self._next_stamp_ms:
             return
         try:
             self.folder.write_stamp()
         except OSError as error:
             self._next_stamp_ms = self._now_ms() + STAMP_RETRY_INTERVAL_MS
-            log.error("store: the folder's stamp can't be written: %s; tried again", error)
+            log.error("store: cannot write the folder's stamp: %s; retrying", error)
 
     def _update_reconnectors(self) -> None:
-        """One caller for each other member, and for who speaks to us before it is one."""
+        """Keeps one outgoing connection to each other member and to each replica that connected before it
+        is one.
+        """
         members = self.node.raft.membership
         wanted = dict(self._greeted_addresses)
         wanted.update({member.name: member.address for member in members.members if member.address})
@@ -264,7 +269,7 @@
             case p.DumpState():
                 self._dump_state(link, frame)
             case _:
-                log.warning("store: a %s that is not allowed here", type(frame).__name__)
+                log.warning("store: unexpected %s frame; closing the connection", type(frame).__name__)
                 link.close()
         self._schedule_turn()
 
@@ -272,7 +277,7 @@
     def _serve_or_forward(
         self, link: Link, request: p.ExecuteCommand | p.ChangeMembership | p.TransferLeadership
     ) -> None:
-        """A client's request, here or passed on to the leader."""
+        """Serves a client's request if this replica leads; otherwise forwards it to the leader."""
         raft = self.node.raft
         if (
             isinstance(request, p.ExecuteCommand)
@@ -311,16 +316,16 @@
         request: p.ExecuteCommand | p.ChangeMembership | p.TransferLeadership,
         forward_number: int | None,
     ) -> None:
-        """A request that the leader is to carry out; `passed` is its number where a follower passed it on."""
+        """Serves a request as leader; `forward_number` is set if a follower forwarded it."""
 
         def done(result: kv.Result | None) -> None:
-            told = result or self._result("unknown", "the leadership changed meanwhile")
+            response = result or self._result("unknown", "the leadership changed meanwhile")
             if forward_number is not None:
                 name = link.peer_name
-                if (caller := self._reconnectors.get(name)) is not None:
-                    caller.send(p.ForwardedResponse(forward_number, told))
+                if (reconnector := self._reconnectors.get(name)) is not None:
+                    reconnector.send(p.ForwardedResponse(forward_number, response))
             else:
-                link.send(p.CommandResponse(request.ident, told))
+                link.send(p.CommandResponse(request.ident, response))
 
         now = self._now_ms()
         try:
@@ -342,7 +347,9 @@
             done(self._result("refused" if final else "unavailable", text))
 
     def _changed_membership(self, request: p.ChangeMembership) -> Membership:
-        """The membership that is asked for; RefusedError where it can't be."""
+        """Returns the membership after the requested change; raises RefusedError if the change is not
+        possible.
+        """
         members = list(self.node.raft.membership.members)
         index = next((at for at, member in enumerate(members) if member.name == request.name), None)
         if request.action == "add":
@@ -370,62 +377,67 @@
         link.send(p.CommandResponse(frame.ident, self._result("", "")))
 
     def _dump_state(self, link: Link, frame: p.DumpState) -> None:
-        def told() -> None:
+        def send_chunk() -> None:
             data = self._dumps.get(link, b"")
-            part = data[frame.offset : frame.offset + p.PAGE_BYTES]
+            chunk = data[frame.offset : frame.offset + p.PAGE_BYTES]
             if frame.offset + p.PAGE_BYTES >= len(data):
                 self._dumps.pop(link, None)
-            link.send(p.DumpChunk(frame.ident, len(data), part))
+            link.send(p.DumpChunk(frame.ident, len(data), chunk))
 
-        def done(good: bool) -> None:
-            if good:
+        def done(is_current: bool) -> None:
+            if is_current:
                 self._dumps[link] = self.node.state_machine.serialize()
-                told()
+                send_chunk()
             else:
                 link.send(p.DumpChunk(frame.ident, 0, b"", "unavailable"))
 
         if frame.offset:
-            told()
+            send_chunk()
         else:
             self._when_current(done)
 
     # --- Reads and watches ---------------------------------------------------------------------------------
     def _when_current(self, done: Callable[[bool], None]) -> None:
-        """Call with True once the state here is current, with False where that can't be told in time."""
+        """Calls `done(True)` once the local state is confirmed as current, `done(False)` if that fails or
+        times out.
+        """
 
-        def ended(good: bool) -> None:
+        def finish(is_current: bool) -> None:
             timer.cancel()
-            done(good)
+            done(is_current)
 
-        def too_late() -> None:
+        def time_out() -> None:
             self.node.cancel_read(token)
             done(False)
 
-        timer = self._loop.call_later(READ_TIMEOUT_S, too_late)
+        timer = self._loop.call_later(READ_TIMEOUT_S, time_out)
         try:
-            token = self.node.read(self._now_ms(), ended)
+            token = self.node.read(self._now_ms(), finish)
         except RefusedError:
-            ended(False)
+            finish(False)
 
     def _confirm_liveness(self, link: Link) -> None:
-        """A sign of life for one who waits, once the state here is current.
+        """Answers a liveness check once the local state is confirmed as current.
 
-        A replica that can't hear the leader, or can't be heard, lives and holds up whoever waits at it.
+        A replica that is running but cut off from the leader must not look alive: its clients would wait for
+        it.
         """
         self._liveness_requests.add(link)
         if len(self._liveness_requests) > 1:
-            return  # one proof under way is enough for all
+            return  # one confirmation in progress serves all
 
-        def done(good: bool) -> None:
-            signs, self._liveness_requests = self._liveness_requests, set()
-            for waiting in signs if good else ():
-                waiting.send(self.status())
+        def done(is_current: bool) -> None:
+            waiting, self._liveness_requests = self._liveness_requests, set()
+            for link in waiting if is_current else ():
+                link.send(self.status())
 
         self._when_current(done)
 
     def _get_page(self, link: Link, frame: p.Get) -> None:
-        def done(good: bool) -> None:
-            link.send(self._build_page(frame) if good else p.Page(frame.ident, 0, {}, error="unavailable"))
+        def done(is_current: bool) -> None:
+            link.send(
+                self._build_page(frame) if is_current else p.Page(frame.ident, 0, {}, error="unavailable")
+            )
 
         if frame.local:
             done(True)
@@ -451,7 +463,7 @@
 
     @property
     def age_ms(self) -> float:
-        """How long ago this replica heard of a leader; 0 while it does."""
+        """Time since this replica last knew a leader; 0 while it knows one."""
         return 0.0 if self.node.raft.leader else self._now_ms() - self._last_current_ms
 
     def _add_watch(self, link: Link, frame: p.Watch) -> None:
@@ -466,7 +478,7 @@
             self._send_events(watch)
 
     def _send_events(self, watch: _Watch, is_first: bool = False) -> None:
-        """What has changed since this watch was told last. A client that does not read is cut off."""
+        """Sends the events since the last ones sent. A client that does not read is disconnected."""
         state_machine = self.node.state_machine
         revision = state_machine.state.revision
         if revision <= watch.sent_revision and not is_first:
@@ -483,15 +495,15 @@
             return
         watch.sent_revision = max(watch.sent_revision, revision)
         ident = watch.request.ident
-        for part, upto in _split_events(events, revision):
-            if not watch.link.send(p.WatchEvents(ident, upto, part)):
+        for batch, upto in _split_events(events, revision):
+            if not watch.link.send(p.WatchEvents(ident, upto, batch)):
                 watch.link.close()
                 return
         if is_first and not events:
             watch.link.send(p.WatchEvents(ident, revision, ()))
 
     def status(self, ident: int = 0) -> p.ReplicaStatus:
-        """How it stands."""
+        """Returns the status of this replica."""
         node, raft = self.node, self.node.raft
         state = node.state_machine.state
         return p.ReplicaStatus(
@@ -510,12 +522,14 @@
             raft.hard_state.recovering,
             node.failure,
             self.age_ms,
-            {name: other.match_index for name, other in raft.progress.items()} if node.is_leader else {},
+            {name: progress.match_index for name, progress in raft.progress.items()}
+            if node.is_leader
+            else {},
         )
 
 
 def _command_size_bytes(command: kv.Command) -> int:
-    """Bytes of a command, near enough."""
+    """Returns the approximate size of a command."""
     if not isinstance(command.action, kv.Transaction):
         return 0
     return sum(
@@ -524,7 +538,9 @@
 
 
 def _split_events(events: list[kv.Event], revision: int) -> list[tuple[tuple[kv.Event, ...], int]]:
-    """Events in frames that are not too long, cut between revisions; with each, up to where it tells all."""
+    """Splits events between revisions into batches of about PAGE_BYTES, each with the last revision it
+    completes.
+    """
     batches: list[tuple[tuple[kv.Event, ...], int]] = []
     start, size = 0, 0
     for index, event in enumerate(events):
--- a/basaltpoint/store/setting.py
+++ b/basaltpoint/store/setting.py
@@ -1,4 +1,4 @@
-"""From a checked `[store]` table to a replica's settings, or to a client."""
+"""Builds replica settings and clients from a validated `[store]` table."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def initial_membership(storage: StoreSettings) -> Membership:
-    """The members of a new cluster; none for a replica that joins one."""
+    """Returns the members of a new cluster; empty for a replica that joins an existing one."""
     table = storage.table
     if table.join:
         return Membership()
@@ -21,7 +21,7 @@
 
 
 def replica_settings(storage: StoreSettings) -> ReplicaSettings:
-    """What the replica of this file runs on."""
+    """Returns the settings of the replica that the file configures."""
     table = storage.table
     advertised = table.advertise or dict(storage.members).get(table.name, "")
     return ReplicaSettings(
@@ -38,7 +38,9 @@
 
 
 def create_client(storage: StoreSettings) -> Client:
-    """A client of this host's replica, and of the other members where it fails or is none."""
+    """Returns a client that prefers the replica on this host, if there is one, and fails over to the
+    others.
+    """
     table = storage.table
     endpoints = [Endpoint(address, name) for name, address in storage.members if name != table.name]
     if table.name:
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -150,10 +150,10 @@
 
 
 async def catchup(path: Path) -> None:
-    with cluster(path / "c", 4, more="state_mb = 256", start=False) as made:
+    with cluster(path / "c", 4, extra_config="state_mb = 256", start=False) as made:
         names, made.names = made.names, made.names[:3]
         for name in made.names:
-            made.write(name)
+            made.write_config(name)
         made.start()
         await made.leader()
         client = made.client()
@@ -162,7 +162,7 @@
         await client.take_snapshot()
         await asyncio.sleep(2)
         made.names = names
-        made.write(names[3], join=True)
+        made.write_config(names[3], join=True)
         made.start(names[3])
         await asyncio.sleep(1.0)
         began = time.perf_counter()
--- a/tests/storeprocs.py
+++ b/tests/storeprocs.py
@@ -1,4 +1,4 @@
-"""Replicas as real processes on loopback, with certificates of a test's own authority."""
+"""Runs replicas as processes on loopback, with certificates from a test authority."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports that were free a moment ago: members must know each other's before they start."""
-    held = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
-    ports = [sock.getsockname()[1] for sock in held]
-    for sock in held:
+    """Returns free ports; members must know each other's addresses before they start."""
+    sockets = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
+    ports = [sock.getsockname()[1] for sock in sockets]
+    for sock in sockets:
         sock.close()
     return ports
 
 
 class Authority:
-    """Signs certificates into a folder."""
+    """A certificate authority that writes certificates into a folder."""
 
     def __init__(self, path: Path) -> None:
         self._ca = trustme.CA()
@@ -40,32 +40,32 @@
         self._ca.cert_pem.write_to_path(str(path / "ca.pem"))
 
     def issue(self, name: str) -> Tls:
-        """Certificate and key that hold a name."""
-        made = self._ca.issue_cert(name)
+        """Issues a certificate and key for a name."""
+        issued = self._ca.issue_cert(name)
         cert, key = self.path / f"{name}.pem", self.path / f"{name}.key"
-        made.private_key_pem.write_to_path(str(key))
-        cert.write_bytes(b"".join(blob.bytes() for blob in made.cert_chain_pems))
+        issued.private_key_pem.write_to_path(str(key))
+        cert.write_bytes(b"".join(blob.bytes() for blob in issued.cert_chain_pems))
         return Tls(cert, key, self.path / "ca.pem")
 
 
 class Cluster:
     """Replicas r0, r1, ... of one cluster."""
 
-    def __init__(self, path: Path, size: int = 3, more: str = "") -> None:
-        self.path, self.more = path, more
+    def __init__(self, path: Path, size: int = 3, extra_config: str = "") -> None:
+        self.path, self.extra_config = path, extra_config
         self.authority = Authority(path / "tls")
         self.names = [f"r{at}" for at in range(size)]
         self.addresses = {
             name: f"127.0.0.1:{port}" for name, port in zip(self.names, free_ports(size), strict=True)
         }
         self.running: dict[str, subprocess.Popen[bytes]] = {}
-        self.environment: dict[str, dict[str, str]] = {}  # more of it, of replicas that start from now on
+        self.environment: dict[str, dict[str, str]] = {}  # extra variables by replica, for later starts
         for name in self.names:
-            self.write(name)
+            self.write_config(name)
         self.client_tls = self.authority.issue("client")
 
-    def write(self, name: str, join: bool = False, cluster: str = "test") -> Path:
-        """A replica's file."""
+    def write_config(self, name: str, join: bool = False, cluster: str = "test") -> Path:
+        """Writes the configuration file of a replica."""
         folder = self.path / name
         folder.mkdir(exist_ok=True)
         tls = self.authority.issue(name)
@@ -74,7 +74,9 @@
         )
         text = f'[store]\ncluster = "{cluster}"\nname = "{name}"\ndir = "data"\n'
         text += f'listen = "{self.addresses[name]}"\nmembers = [{members}]\njoin = {str(join).lower()}\n'
-        text += f'cert = "{tls.cert}"\nkey = "{tls.key}"\nauthority = "{tls.authority}"\n{self.more}\n'
+        text += (
+            f'cert = "{tls.cert}"\nkey = "{tls.key}"\nauthority = "{tls.authority}"\n{self.extra_config}\n'
+        )
         file = folder / "store.toml"
         file.write_text(text)
         return file
@@ -96,9 +98,9 @@
                     env={**os.environ, CRASH_POINT_VARIABLE: crash, **self.environment.get(name, {})},
                 )
 
-    def kill(self, name: str, number: int = signal.SIGKILL) -> None:
+    def kill(self, name: str, signal_number: int = signal.SIGKILL) -> None:
         process = self.running.pop(name)
-        process.send_signal(number)
+        process.send_signal(signal_number)
         process.wait(TEST_TIMEOUT_S)
 
     def stop(self) -> None:
@@ -112,16 +114,16 @@
         return (self.path / name / "log.txt").read_text()
 
     def client(self, *names: str) -> Client:
-        """One that may ask these replicas, or all."""
+        """Returns a client of these replicas, or of all."""
         endpoints = [Endpoint(self.addresses[name], name) for name in names or self.names]
         return Client(endpoints, "test", self.client_tls)
 
     def local(self, name: str) -> Client:
-        """One that asks this replica alone, over its own socket."""
+        """Returns a client of this replica alone, over its Unix socket."""
         return Client([Endpoint(str(self.path / name / "data" / "socket"))])
 
     async def leader(self) -> str:
-        """Wait for one."""
+        """Waits until there is a leader and returns its name."""
         end = time.monotonic() + TEST_TIMEOUT_S
         while time.monotonic() < end:
             for name in list(self.running):
@@ -138,11 +140,11 @@
 
 
 @contextlib.contextmanager
-def cluster(path: Path, size: int = 3, more: str = "", start: bool = True) -> Iterator[Cluster]:
-    made = Cluster(path, size, more)
+def cluster(path: Path, size: int = 3, extra_config: str = "", start: bool = True) -> Iterator[Cluster]:
+    processes = Cluster(path, size, extra_config)
     try:
         if start:
-            made.start()
-        yield made
+            processes.start()
+        yield processes
     finally:
-        made.stop()
+        processes.stop()
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -30,26 +30,26 @@
 )
 from basaltpoint.load.stats import Stats, percentiles_ms
 
-READ = ClassTable(name="read", aim_ms=100.0, timeout_ms=60_000.0)
-FIX = ClassTable(name="fix", method="POST", path="/corrections/{n}", once=True, timeout_ms=1000.0)
+READ_CLASS = ClassTable(name="read", aim_ms=100.0, timeout_ms=60_000.0)
+ONCE_CLASS = ClassTable(name="fix", method="POST", path="/corrections/{n}", once=True, timeout_ms=1000.0)
 
 
-def told(**changes: object) -> Scenario:
+def make_scenario(**changes: object) -> Scenario:
     values: dict[str, object] = {
         "target": ("127.0.0.1:1",),
         "plan": (PlanTable(name="team", accounts=50, rate=100.0),),
-        "class_": (READ,),
+        "class_": (READ_CLASS,),
         "duration_s": 10.0,
     }
     return Scenario(**{**values, **changes})  # type: ignore[arg-type]
 
 
 # --- Arrivals ----------------------------------------------------------------------------------------
-def test_the_same_seed_asks_the_same_and_processes_share_it() -> None:
-    one = told(class_=(READ, FIX), arrivals=ArrivalProcess.POISSON)
+def test_the_same_seed_gives_the_same_requests_shared_by_the_workers() -> None:
+    one = make_scenario(class_=(READ_CLASS, ONCE_CLASS), arrivals=ArrivalProcess.POISSON)
     whole = list(arrivals.planned_requests(one))
     assert whole == list(arrivals.planned_requests(one))
-    assert whole != list(arrivals.planned_requests(told(class_=(READ, FIX), seed=2)))
+    assert whole != list(arrivals.planned_requests(make_scenario(class_=(READ_CLASS, ONCE_CLASS), seed=2)))
     parts = [list(arrivals.worker_share(arrivals.planned_requests(one), part, 3)) for part in range(3)]
     assert sorted((p for part in parts for p in part), key=lambda p: p.number) == whole
     assert [p.intended_s for p in whole] == sorted(p.intended_s for p in whole)
@@ -58,13 +58,13 @@
 
 def test_constant_arrivals_follow_the_integral_of_the_rate() -> None:
     ramp = ShapeTable(kind=ShapeKind.RAMP, factor=3.0)
-    one = told(arrivals=ArrivalProcess.CONSTANT, shape=(ramp,))
+    one = make_scenario(arrivals=ArrivalProcess.CONSTANT, shape=(ramp,))
     times = [p.intended_s for p in arrivals.planned_requests(one)]
     assert len(times) in (1999, 2000)  # 100 to 300 a second over 10 s
     for number in (1, 500, 1999):
         t = times[number - 1]
         assert abs(100 * t + 10 * t * t - number) < 0.5
-    plain = [p.intended_s for p in arrivals.planned_requests(told(arrivals=ArrivalProcess.CONSTANT))]
+    plain = [p.intended_s for p in arrivals.planned_requests(make_scenario(arrivals=ArrivalProcess.CONSTANT))]
     assert all(abs(t - (n + 1) / 100) < 2e-3 for n, t in enumerate(plain))
 
 
@@ -76,7 +76,7 @@
         ShapeTable(kind=ShapeKind.RUNAWAY, plan="b", account=3, from_s=5.0, to_s=7.0, rate=400.0),
         ShapeTable(kind=ShapeKind.STEP, from_s=9.0, factor=0.0),
     )
-    asked = list(arrivals.planned_requests(told(plan=plans, shape=shapes, arrivals=process)))
+    asked = list(arrivals.planned_requests(make_scenario(plan=plans, shape=shapes, arrivals=process)))
     count = Counter((p.plan, int(p.intended_s)) for p in asked)
     assert count["a", 1] > 140 and count["a", 5] > 5 * 140 and count["a", 9] == 0
     assert count["b", 5] > 140 + 300 and count["b", 8] < 270
@@ -87,7 +87,7 @@
 def test_skew_and_sine() -> None:
     plan = PlanTable(name="a", accounts=100, rate=1000.0, skew=1.0)
     wave = ShapeTable(kind=ShapeKind.SINE, factor=3.0, period_s=10.0)
-    asked = list(arrivals.planned_requests(told(plan=(plan,), shape=(wave,))))
+    asked = list(arrivals.planned_requests(make_scenario(plan=(plan,), shape=(wave,))))
     by = Counter(p.account for p in asked)
     assert 1.4 < by["a-0"] / by["a-1"] < 2.8 and by["a-0"] > 20 * by.get("a-99", 1) / 2
     seconds = Counter(int(p.intended_s) for p in asked)
@@ -95,7 +95,7 @@
 
 
 # --- A server in simulated time ------------------------------------------------------------------------
-class Server:
+class SimulatedServer:
     """Infinite workers, stated service times, spells in which nothing ends, codes by the test."""
 
     def __init__(
@@ -106,7 +106,7 @@
     ) -> None:
         self.service, self.stalls, self.code = service, stalls, code
 
-    def ends(self, at: float) -> float:
+    def end_time(self, at: float) -> float:
         end = at + self.service()
         for start, stop in self.stalls:
             if end >= start and at < stop:
@@ -116,42 +116,42 @@
 
 def simulate(
     driver: Driver,
-    server: Server,
-    asleep: tuple[tuple[float, float], ...] = (),
-    broken: set[int] | None = None,
+    server: SimulatedServer,
+    pauses: tuple[tuple[float, float], ...] = (),
+    broken_requests: set[int] | None = None,
 ) -> None:
     """Play to the end. `asleep`: spells in which the generator itself does not run."""
     answers: list[tuple[float, int, int, float | None]] = []
     now = 0.0
 
     def awake(at: float) -> float:
-        for start, stop in asleep:
+        for start, stop in pauses:
             if start <= at < stop:
                 return stop
         return at
 
-    beat = 0.0
+    next_turn = 0.0
     while not driver.is_finished:
         due = [
-            beat,
+            next_turn,
             *([answers[0][0]] if answers else []),
             *([driver.next_s] if driver.next_s is not None else []),
         ]
         now = awake(min(due))
         driver._health.record_turn(now)
-        beat = max(beat, now + 0.005) if now >= beat else beat
+        next_turn = max(next_turn, now + 0.005) if now >= next_turn else next_turn
         for action in driver.tick(now):
             if isinstance(action, AbandonAttempt):
                 answers = [row for row in answers if row[1] != action.ident]
                 heapq.heapify(answers)
                 continue
             driver.attempt_sent(now, action.ident)
-            if broken and action.planned.number in broken:
+            if broken_requests and action.planned.number in broken_requests:
                 heapq.heappush(answers, (now + 0.001, action.ident, 0, None))
             else:
                 code, after = server.code(action)
                 if code:
-                    heapq.heappush(answers, (server.ends(now), action.ident, code, after))
+                    heapq.heappush(answers, (server.end_time(now), action.ident, code, after))
         while answers and answers[0][0] <= now:
             _, ident, code, after = heapq.heappop(answers)
             if code:
@@ -160,28 +160,28 @@
                 driver.connection_lost(now, ident)
 
 
-class Kept(Stats):
+class RecordingStats(Stats):
     """Figures, and every record."""
 
     def __init__(self) -> None:
         super().__init__()
         self.records: list[RequestRecord] = []
-        self.tries: Counter[tuple[int, int]] = Counter()
-        self.answers: Counter[tuple[int, int]] = Counter()
+        self.attempt_counts: Counter[tuple[int, int]] = Counter()
+        self.answer_counts: Counter[tuple[int, int]] = Counter()
 
     def record_request(self, record: RequestRecord) -> None:
         super().record_request(record)
         self.records.append(record)
 
     def record_attempt(self, request: int, number: int, answers: int, hung_up: bool) -> None:
-        self.tries[request, number] += 1
-        self.answers[request, number] += answers
+        self.attempt_counts[request, number] += 1
+        self.answer_counts[request, number] += answers
 
 
 def drive(
-    one: Scenario, server: Server, requests: Iterator[PlannedRequest] | None = None, **rest: object
-) -> tuple[Kept, Driver]:
-    kept = Kept()
+    one: Scenario, server: SimulatedServer, requests: Iterator[PlannedRequest] | None = None, **rest: object
+) -> tuple[RecordingStats, Driver]:
+    kept = RecordingStats()
     watch = HealthMonitor(one.health.late_ms / 1000, one.health.stall_ms / 1000, one.health.steal)
     classes = {cls.name: cls for cls in one.class_}
     driver = Driver(
@@ -195,8 +195,8 @@
 def test_a_stall_of_two_seconds_delays_two_thousand_requests() -> None:
     """Not one: each that was due meanwhile waited, for what was left of the stall."""
     plan = PlanTable(name="team", accounts=10, rate=1000.0)
-    one = told(plan=(plan,), arrivals=ArrivalProcess.CONSTANT)
-    kept, _ = drive(one, Server(lambda: 0.001, stalls=((4.0, 6.0),)))
+    one = make_scenario(plan=(plan,), arrivals=ArrivalProcess.CONSTANT)
+    kept, _ = drive(one, SimulatedServer(lambda: 0.001, stalls=((4.0, 6.0),)))
     assert len(kept.records) in (9999, 10_000)
     delayed = [r for r in kept.records if r.latency_s > 0.0015]
     assert abs(len(delayed) - 2000) <= 2
@@ -222,17 +222,17 @@
     random.Random(5).shuffle(times)
     left = iter(times)
     plan = PlanTable(name="team", accounts=10, rate=5000.0)
-    one = told(plan=(plan,), arrivals=ArrivalProcess.CONSTANT)
-    kept, _ = drive(one, Server(lambda: next(left, mean)))
+    one = make_scenario(plan=(plan,), arrivals=ArrivalProcess.CONSTANT)
+    kept, _ = drive(one, SimulatedServer(lambda: next(left, mean)))
     found = percentiles_ms(kept.latency[""])
     for name, part in (("p50", 0.5), ("p99", 0.99), ("p99.9", 0.999)):
         assert abs(found[name] + mean * 1000 * math.log(1 - part)) < 3.0, name
 
 
-def test_the_generators_own_sleep_is_flagged_and_counted_in_full() -> None:
+def test_a_pause_of_the_generator_is_flagged_and_counted_in_full() -> None:
     plan = PlanTable(name="team", accounts=10, rate=1000.0)
-    one = told(plan=(plan,), arrivals=ArrivalProcess.CONSTANT)
-    kept, driver = drive(one, Server(lambda: 0.001), asleep=((3.0, 3.3),))
+    one = make_scenario(plan=(plan,), arrivals=ArrivalProcess.CONSTANT)
+    kept, driver = drive(one, SimulatedServer(lambda: 0.001), pauses=((3.0, 3.3),))
     (spell,) = kept.unsound_intervals
     assert abs(spell.from_s - 3.0) < 0.006 and spell.to_s == 3.3
     assert driver.started_requests == len(kept.records) >= 9999  # nothing was thinned
@@ -246,7 +246,7 @@
     assert percentiles_ms(kept.lateness)["max"] > 290.0
 
 
-def test_retries_wait_as_stated() -> None:
+def test_retry_delays_follow_the_backoff() -> None:
     tries: dict[int, list[float]] = {}
 
     def code(one: Attempt) -> tuple[int, float | None]:
@@ -255,9 +255,11 @@
 
     def gaps(retries: RetryTable) -> list[list[float]]:
         tries.clear()
-        kept, _ = drive(told(retries=retries, duration_s=1.0), Server(lambda: 0.0, code=code))
+        kept, _ = drive(
+            make_scenario(retries=retries, duration_s=1.0), SimulatedServer(lambda: 0.0, code=code)
+        )
         assert all(r.outcome is Outcome.REFUSED and r.attempts == retries.most + 1 for r in kept.records)
-        assert set(kept.tries.values()) == {1}
+        assert set(kept.attempt_counts.values()) == {1}
         return [[b - a for a, b in pairwise(row)] for row in tries.values()]
 
     for row in gaps(RetryTable(most=3, backoff=Backoff.EXPONENTIAL, wait_ms=100.0, honour=0.0)):
@@ -270,25 +272,32 @@
         assert row == [0.0, 0.0]
 
 
-def test_the_wait_for_a_retry_counts_from_the_first_intended_start() -> None:
+def test_latency_of_a_retried_request_counts_from_its_first_intended_start() -> None:
     def code(one: Attempt) -> tuple[int, float | None]:
         return (200, None) if one.number else (503, 1.0)
 
-    kept, _ = drive(told(retries=RetryTable(most=1)), Server(lambda: 0.01, code=code))
+    kept, _ = drive(make_scenario(retries=RetryTable(most=1)), SimulatedServer(lambda: 0.01, code=code))
     assert all(r.outcome is Outcome.LATE and r.latency_s > 1.0 and r.service_s < 0.02 for r in kept.records)
     assert all(r.answers == 2 for r in kept.records)
 
 
-def test_no_client_repeats_what_must_run_once_and_may_have() -> None:
+def test_a_once_request_that_may_have_run_is_not_retried() -> None:
     def code(one: Attempt) -> tuple[int, float | None]:
         return (429, None) if one.planned.number % 2 else (0, None)
 
-    kept, _ = drive(told(class_=(FIX,), retries=RetryTable(most=3)), Server(lambda: 0.0, code=code))
+    kept, _ = drive(
+        make_scenario(class_=(ONCE_CLASS,), retries=RetryTable(most=3)),
+        SimulatedServer(lambda: 0.0, code=code),
+    )
     by = {r.planned.number: r for r in kept.records}
     assert all(r.attempts == (4 if n % 2 else 1) for n, r in by.items())
     assert all(r.outcome is (Outcome.REFUSED if n % 2 else Outcome.NONE) for n, r in by.items())
     assert kept.anomaly_count == sum(r.outcome is Outcome.NONE for r in kept.records) > 0
-    kept, _ = drive(told(class_=(FIX,), retries=RetryTable(most=3)), Server(lambda: 0.0), broken={3, 5})
+    kept, _ = drive(
+        make_scenario(class_=(ONCE_CLASS,), retries=RetryTable(most=3)),
+        SimulatedServer(lambda: 0.0),
+        broken_requests={3, 5},
+    )
     assert {
         r.planned.number: (r.attempts, r.outcome) for r in kept.records if r.planned.number in (3, 5)
     } == {
@@ -297,9 +306,9 @@
     }
 
 
-def test_what_can_not_be_sent_is_missed_and_counted() -> None:
-    one = told(in_flight=10)
-    kept, driver = drive(one, Server(lambda: 1.0))
+def test_a_request_that_cannot_be_sent_is_counted_as_missed() -> None:
+    one = make_scenario(in_flight=10)
+    kept, driver = drive(one, SimulatedServer(lambda: 1.0))
     ends = Counter(r.outcome for r in kept.records)
     assert ends[Outcome.MISSED] > 500 and sum(ends.values()) == driver.started_requests
     row = report.summary(kept, "x")["total"]
@@ -307,7 +316,7 @@
 
 
 # --- Health ------------------------------------------------------------------------------------------
-def test_spells() -> None:
+def test_unsound_intervals() -> None:
     watch = HealthMonitor(0.02, 0.05, 0.1)
     for beat in (0.0, 0.01, 0.02, 0.32, 0.33):
         watch.record_turn(beat)
@@ -323,7 +332,7 @@
     assert [(s.from_s, s.to_s) for s in joined] == [(0.02, 0.4), (2.0, 3.0), (5.0, 6.0)]
 
 
-def test_the_generator_reads_no_clock_that_can_be_set() -> None:
+def test_the_generator_uses_only_monotonic_clocks() -> None:
     for path in (Path(__file__).parent.parent / "basaltpoint/load").glob("*.py"):
         text = path.read_text()
         assert "time.time" not in text and "import time\n" not in text, path
@@ -331,10 +340,10 @@
 
 
 # --- Figures -----------------------------------------------------------------------------------------
-def test_parts_join_to_the_whole() -> None:
-    one = told(class_=(READ, FIX), duration_s=5.0)
+def test_merged_worker_stats_equal_the_whole() -> None:
+    one = make_scenario(class_=(READ_CLASS, ONCE_CLASS), duration_s=5.0)
     times = random.Random(3)
-    whole, _ = drive(one, Server(lambda: times.expovariate(50)))
+    whole, _ = drive(one, SimulatedServer(lambda: times.expovariate(50)))
     joined = Stats()
     for part in range(3):
         kept = Stats()
@@ -346,8 +355,8 @@
         assert a[key] == b[key], key
 
 
-def test_the_page_needs_nothing_else_and_shows_the_spells() -> None:
-    kept, _ = drive(told(), Server(lambda: 0.01), asleep=((3.0, 3.3),))
+def test_the_page_is_self_contained_and_shows_unsound_intervals() -> None:
+    kept, _ = drive(make_scenario(), SimulatedServer(lambda: 0.01), pauses=((3.0, 3.3),))
     made = report.summary(kept, "<b>surge</b>")
     page = report.page(made)
     assert "&lt;b&gt;surge" in page and "<b>surge" not in page
@@ -356,7 +365,7 @@
     assert report.page(report.summary(Stats(), "empty"))
 
 
-def test_compare_tells_chance_from_change() -> None:
+def test_compare_distinguishes_noise_from_change() -> None:
     rng = random.Random(1)
 
     def runs(p99: float, count: int) -> list[dict[str, object]]:
@@ -377,7 +386,7 @@
 
 
 # --- Scenario files ------------------------------------------------------------------------------------
-GOOD = """target = ["127.0.0.1:8080"]
+VALID_SCENARIO = """target = ["127.0.0.1:8080"]
 [[plan]]
 name = "team"
 accounts = 10
@@ -411,11 +420,11 @@
         ("accounts", "acounts", 'plan[0].acounts: an unknown key; allowed: did you mean "accounts"?'),
     ],
 )
-def test_bad_scenarios(tmp_path: Path, old: str, new: str, said: str) -> None:
+def test_invalid_scenarios(tmp_path: Path, old: str, new: str, said: str) -> None:
     path = tmp_path / "load.toml"
-    path.write_text(GOOD)
+    path.write_text(VALID_SCENARIO)
     scenario.load(path)
-    path.write_text(GOOD.replace(old, new))
+    path.write_text(VALID_SCENARIO.replace(old, new))
     with pytest.raises(FileError) as raised:
         scenario.load(path)
     assert f"{path}: {said}" in str(raised.value)
--- a/tests/test_load_run.py
+++ b/tests/test_load_run.py
@@ -25,7 +25,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def written(tmp_path: Path, target: str, top: str = "", rest: str = "", rate: float = 200.0) -> Path:
+def write_scenario(tmp_path: Path, target: str, top: str = "", rest: str = "", rate: float = 200.0) -> Path:
     path = tmp_path / "load.toml"
     path.write_text(
         f'target = ["{target}"]\nduration_s = 2.0\n{top}\n'
@@ -40,11 +40,11 @@
 
 
 @pytest.mark.parametrize("processes", [1, 3])
-def test_every_arrival_is_asked_once_and_counted(tmp_path: Path, processes: int) -> None:
+def test_every_arrival_is_sent_once_and_counted(tmp_path: Path, processes: int) -> None:
     async def test() -> None:
         server = StandInServer(ServerBehaviour(workers=1000, draw_service_s=lambda rng: 0.005))
         await server.start()
-        path = written(tmp_path, server.address, f"processes = {processes}")
+        path = write_scenario(tmp_path, server.address, f"processes = {processes}")
         stats = await play(path, ledger=tmp_path / "ledger")
         made = report.summary(stats, "x")
         idents = [seen.ident for seen in server.requests]
@@ -57,13 +57,13 @@
     run(test())
 
 
-def test_a_worker_that_is_stopped_says_so(tmp_path: Path) -> None:
+def test_a_stopped_worker_reports_an_unsound_interval(tmp_path: Path) -> None:
     """SIGSTOP for 300 ms: the run flags that spell, and loses nothing."""
 
     async def test() -> None:
         server = StandInServer(ServerBehaviour(workers=1000, draw_service_s=lambda rng: 0.001))
         await server.start()
-        path = written(
+        path = write_scenario(
             tmp_path, server.address, rest='[health]\nstall_ms = 150\nlate_ms = 150\n[[class]]\nname = "r"\n'
         )
         pids: list[int] = []
@@ -84,13 +84,13 @@
     run(test())
 
 
-def test_strict_ends_with_a_code_of_its_own(tmp_path: Path) -> None:
+def test_strict_exits_with_its_own_code(tmp_path: Path) -> None:
     """Descriptors run out: what could not be sent is missed, counted, and no verdict is given."""
 
     async def test() -> None:
         server = StandInServer(ServerBehaviour(workers=1000, draw_service_s=lambda rng: 1.0))
         await server.start()
-        path = written(tmp_path, server.address, rate=400.0)
+        path = write_scenario(tmp_path, server.address, rate=400.0)
 
         def few() -> None:
             resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))
@@ -109,7 +109,7 @@
     run(test())
 
 
-def test_through_the_limiter_the_ledger_and_the_servers_agree(tmp_path: Path) -> None:
+def test_the_ledger_and_the_server_logs_agree_through_the_limiter(tmp_path: Path) -> None:
     """Errors, resets, a drain and a surge: every try one answer, no correction twice, never two at once."""
 
     async def test() -> None:
@@ -135,7 +135,7 @@
                 '[[class]]\nname = "put"\nmethod = "PUT"\npath = "/o"\nkey_header = "Idempotency-Key"\n'
                 '[[shape]]\nkind = "surge"\nplan = "team"\nfrom_s = 1\nto_s = 2\nfactor = 4\n'
             )
-            path = written(tmp_path, "{}:{}".format(*rig.limiter.address), top, rest)
+            path = write_scenario(tmp_path, "{}:{}".format(*rig.limiter.address), top, rest)
             path.write_text(path.read_text().replace("duration_s = 2.0\n", "", 1))
             task = asyncio.create_task(play(path, ledger=tmp_path / "ledger"))
             while sum(len(server.requests) for server in servers) < 200:
@@ -157,7 +157,7 @@
     run(test())
 
 
-def command(*args: str) -> subprocess.CompletedProcess[str]:
+def run_command(*args: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "basaltpoint", "load", *args],
         cwd=ROOT,
@@ -168,29 +168,29 @@
 
 
 def test_the_commands(tmp_path: Path) -> None:
-    path = written(tmp_path, "127.0.0.1:1")
-    assert command("check", str(path)).returncode == 0
+    path = write_scenario(tmp_path, "127.0.0.1:1")
+    assert run_command("check", str(path)).returncode == 0
     path.write_text("target = 1")
-    done = command("check", str(path))
+    done = run_command("check", str(path))
     assert done.returncode == 2 and "target: found 1" in done.stderr
     log, trace = tmp_path / "access.log", tmp_path / "trace"
     log.write_text('1.2.3.4 - - [01/Dec/2026:09:00:00 +0000] "GET /a HTTP/1.1" 200 5\nrubbish\n')
-    done = command("import", str(log), "-o", str(trace), "--account", "ip", "--salt", "s")
+    done = run_command("import", str(log), "-o", str(trace), "--account", "ip", "--salt", "s")
     assert done.returncode == 0 and "1 kept" in done.stdout and "line 2" in done.stdout
     assert json.loads(trace.read_text())["path"] == "/a"
-    assert command("import", str(tmp_path / "none"), "-o", str(trace)).returncode == 2
+    assert run_command("import", str(tmp_path / "none"), "-o", str(trace)).returncode == 2
     for name, value in (("a", 0.9), ("b", 0.5)):
         runs = [{"total": {"in_time": value}}] * 3
         (tmp_path / name).write_text(json.dumps({"runs": runs}))
-    done = command("compare", str(tmp_path / "a"), str(tmp_path / "b"))
+    done = run_command("compare", str(tmp_path / "a"), str(tmp_path / "b"))
     assert done.returncode == 0 and "SURE" in done.stdout
     (tmp_path / "ledger").write_text('{"ident": "x", "answers": 0, "hung_up": false}\n')
     (tmp_path / "log").write_text("")
-    done = command("audit", str(tmp_path / "ledger"), str(tmp_path / "log"))
+    done = run_command("audit", str(tmp_path / "ledger"), str(tmp_path / "log"))
     assert done.returncode == 4 and "lost: x" in done.stdout
 
 
-def test_the_stand_in_as_a_process(tmp_path: Path) -> None:
+def test_the_stand_in_server_as_a_process(tmp_path: Path) -> None:
     log = tmp_path / "log"
     args = ["standin", "--service", "fixed:1", "--name", "s9", "--log", str(log), "--stall", "5:1"]
     process = subprocess.Popen(
@@ -200,7 +200,7 @@
     address = process.stdout.readline().strip()
 
     async def test() -> None:
-        stats = await play(written(tmp_path, address, rate=20.0))
+        stats = await play(write_scenario(tmp_path, address, rate=20.0))
         assert report.summary(stats, "x")["total"]["served"] > 5
 
     run(test())
@@ -210,7 +210,7 @@
     assert rows and all(row.server == "s9" and row.ran and row.ended_s for row in rows)
 
 
-def test_servers_that_share_keys_drop_each_others_repeats(tmp_path: Path) -> None:
+def test_servers_with_shared_keys_drop_repeats_of_each_other(tmp_path: Path) -> None:
     one, other = SharedIdempotencyKeys(tmp_path), SharedIdempotencyKeys(tmp_path)
     assert not one.is_repeat("k", 10.0, 5.0) and other.is_repeat("k", 12.0, 5.0)
     assert not other.is_repeat("k", 16.0, 5.0) and one.is_repeat("k", 20.0, 5.0)
--- a/tests/test_store_changes.py
+++ b/tests/test_store_changes.py
@@ -1,4 +1,4 @@
-"""Operators' changes of the membership, with answers that are lost, unknown, or refused for a moment."""
+"""Membership changes by operators when responses are lost, unknown or temporarily refused."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from basaltpoint.store.client import Client, Endpoint, StoreError
 from basaltpoint.store.messages import Member, Membership
 
-LOST = "lost"  # the connection ends in place of an answer
+CONNECTION_LOST = "lost"  # the replica closes the connection instead of responding
 
 
 class ScriptedReplica:
-    """Answers each change or transfer by the next of a list: an error kind with its text, or LOST."""
+    """Responds to each change or transfer with the next error kind and text of a list, or CONNECTION_LOST."""
 
-    def __init__(self, answers: list[tuple[str, str]], members: list[str]) -> None:
-        self.answers = answers
+    def __init__(self, responses: list[tuple[str, str]], members: list[str]) -> None:
+        self.responses = responses
         self.members = Membership(tuple(Member(name, f"{name}:1") for name in members))
-        self.asked = 0
-        self.transfers_needed = 1  # so many requests until r1 leads
+        self.request_count = 0
+        self.transfers_needed = 1  # number of requests until r1 leads
 
     def greeting_received(self, link: Link) -> bool:
         return True
@@ -36,25 +36,25 @@
     def link_closed(self, link: Link) -> None:
         pass
 
-    def standing(self, ident: int) -> p.ReplicaStatus:
+    def status(self, ident: int) -> p.ReplicaStatus:
         term = commit = applied = last = revision = 1
         log = (term, commit, applied, last, revision)
-        leader = "r0" if self.asked < self.transfers_needed else "r1"
+        leader = "r0" if self.request_count < self.transfers_needed else "r1"
         return p.ReplicaStatus(ident, "r0", "", "leader", leader, *log, 0, self.members, False, "", 0.0)
 
     def frame_received(self, link: Link, frame: Any) -> None:
         match frame:
             case p.ChangeMembership() | p.TransferLeadership():
-                self.asked += 1
-                error, text = self.answers.pop(0)
-                if error == LOST:
+                self.request_count += 1
+                error, text = self.responses.pop(0)
+                if error == CONNECTION_LOST:
                     link.close()
                 else:
                     link.send(p.CommandResponse(frame.ident, kv.Result(0, error, text)))
             case p.Get():
                 link.send(p.Page(frame.ident, 0, {}))
             case p.GetStatus():
-                link.send(self.standing(frame.ident))
+                link.send(self.status(frame.ident))
 
 
 def with_client(path: Path, replica: ScriptedReplica, act: Callable[[Client], Awaitable[Any]]) -> None:
@@ -76,70 +76,70 @@
 
 UNKNOWN = ("unknown", "the leadership changed meanwhile")
 UNAVAILABLE = ("unavailable", "another change is not committed yet")
-GONE = ("refused", "r3 is no member; members are r0, r1, r2")
-THERE = ("refused", "r3 is a member already")
-GRANTED = ("", "")
+REMOVED = ("refused", "r3 is no member; members are r0, r1, r2")
+ALREADY_MEMBER = ("refused", "r3 is a member already")
+SUCCESS = ("", "")
 
 
-@pytest.mark.parametrize("first", [UNKNOWN, (LOST, "")])
-def test_a_removal_of_unknown_effect_is_found_done(tmp_path: Path, first: tuple[str, str]) -> None:
-    replica = ScriptedReplica([first, GONE], ["r0", "r1", "r2"])
+@pytest.mark.parametrize("first", [UNKNOWN, (CONNECTION_LOST, "")])
+def test_a_removal_of_unknown_outcome_that_was_applied_succeeds(
+    tmp_path: Path, first: tuple[str, str]
+) -> None:
+    replica = ScriptedReplica([first, REMOVED], ["r0", "r1", "r2"])
     with_client(tmp_path, replica, lambda client: client.change_membership("remove", "r3"))
-    assert replica.asked == 2
+    assert replica.request_count == 2
 
 
-@pytest.mark.parametrize("first", [UNKNOWN, (LOST, "")])
-def test_a_removal_of_unknown_effect_is_asked_anew(tmp_path: Path, first: tuple[str, str]) -> None:
-    replica = ScriptedReplica([first, UNAVAILABLE, UNKNOWN, GRANTED], ["r0", "r1", "r2", "r3"])
+@pytest.mark.parametrize("first", [UNKNOWN, (CONNECTION_LOST, "")])
+def test_a_removal_of_unknown_outcome_is_requested_again(tmp_path: Path, first: tuple[str, str]) -> None:
+    replica = ScriptedReplica([first, UNAVAILABLE, UNKNOWN, SUCCESS], ["r0", "r1", "r2", "r3"])
     with_client(tmp_path, replica, lambda client: client.change_membership("remove", "r3"))
-    assert replica.asked == 4
+    assert replica.request_count == 4
 
 
-def test_an_addition_of_unknown_effect_is_found_done(tmp_path: Path) -> None:
-    replica = ScriptedReplica([UNKNOWN, THERE], ["r0", "r1", "r2", "r3"])
+def test_an_addition_of_unknown_outcome_that_was_applied_succeeds(tmp_path: Path) -> None:
+    replica = ScriptedReplica([UNKNOWN, ALREADY_MEMBER], ["r0", "r1", "r2", "r3"])
     with_client(tmp_path, replica, lambda client: client.change_membership("add", "r3", "r3:1"))
-    assert replica.asked == 2
+    assert replica.request_count == 2
 
 
-def test_an_addition_is_refused_where_the_name_has_another_address(tmp_path: Path) -> None:
+def test_an_addition_is_refused_if_the_name_has_another_address(tmp_path: Path) -> None:
     async def add(client: Client) -> None:
         with pytest.raises(StoreError, match="r3 is a member already"):
             await client.change_membership("add", "r3", "elsewhere:1")
 
-    replica = ScriptedReplica([UNKNOWN, THERE], ["r0", "r1", "r2", "r3"])
+    replica = ScriptedReplica([UNKNOWN, ALREADY_MEMBER], ["r0", "r1", "r2", "r3"])
     with_client(tmp_path, replica, add)
 
 
 @pytest.mark.parametrize("before", [[], [UNAVAILABLE], [UNAVAILABLE, UNAVAILABLE]])
-def test_a_removal_of_no_member_is_refused_where_nothing_was_begun(
-    tmp_path: Path, before: list[tuple[str, str]]
-) -> None:
+def test_a_removal_of_an_unknown_member_is_refused(tmp_path: Path, before: list[tuple[str, str]]) -> None:
     async def remove(client: Client) -> None:
         with pytest.raises(StoreError, match="r3 is no member"):
             await client.change_membership("remove", "r3")
 
-    with_client(tmp_path, ScriptedReplica([*before, GONE], ["r0", "r1", "r2"]), remove)
+    with_client(tmp_path, ScriptedReplica([*before, REMOVED], ["r0", "r1", "r2"]), remove)
 
 
-def test_a_transfer_of_unknown_effect_is_asked_anew(tmp_path: Path) -> None:
-    replica = ScriptedReplica([UNKNOWN, UNAVAILABLE, GRANTED], ["r0", "r1"])
+def test_a_transfer_of_unknown_outcome_is_requested_again(tmp_path: Path) -> None:
+    replica = ScriptedReplica([UNKNOWN, UNAVAILABLE, SUCCESS], ["r0", "r1"])
     with_client(tmp_path, replica, lambda client: client.transfer_leadership("r1"))
-    assert replica.asked == 3
+    assert replica.request_count == 3
 
 
-def test_a_transfer_that_the_leader_gave_up_is_asked_for_again(
+def test_a_transfer_that_the_leader_gave_up_is_requested_again(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    replica = ScriptedReplica([GRANTED, GRANTED], ["r0", "r1"])
+    replica = ScriptedReplica([SUCCESS, SUCCESS], ["r0", "r1"])
     replica.transfers_needed = 2
     monkeypatch.setattr(command, "TRANSFER_RETRY_INTERVAL_S", 0.05)
     args = argparse.Namespace(name="r1", within=5.0)
     with_client(tmp_path, replica, lambda client: command.transfer_leadership(client, args))
     assert capsys.readouterr().out == "r1 leads\n"
-    assert replica.asked == 2
+    assert replica.request_count == 2
 
 
-def test_a_change_that_stays_unknown_is_told_so(tmp_path: Path) -> None:
+def test_a_change_whose_outcome_stays_unknown_is_unavailable(tmp_path: Path) -> None:
     async def remove(client: Client) -> None:
         with pytest.raises(StoreError) as error:
             await client.change_membership("remove", "r3", within_s=0.3)
--- a/tests/test_store_faulty_disk.py
+++ b/tests/test_store_faulty_disk.py
@@ -9,7 +9,7 @@
 
 import pytest
 from storeprocs import Cluster, cluster
-from test_store_replicas import SMALL, Writer, _more, until
+from test_store_replicas import FREQUENT_SNAPSHOTS, Writer, _all_progressed, wait_until
 
 from basaltpoint.rehearsal.system_faults.library import build, compiler, environment
 from basaltpoint.rehearsal.system_faults.table import Call, CallFault, Effect, FaultTable
@@ -40,14 +40,14 @@
         await made.leader()
         writers = [Writer(made.client(), f"w{at}") for at in range(3)]
         tasks = [asyncio.create_task(writer.run()) for writer in writers]
-        await until(lambda: _more(writers, [0, 0, 0]))
+        await wait_until(lambda: _all_progressed(writers, [0, 0, 0]))
         for table in tables.values():
             table.begin(fault)
         await asyncio.sleep(FAULT_DURATION_S)
         for table in tables.values():
             table.end(fault)
         before = [writer.count for writer in writers]
-        await until(lambda: _more(writers, before))
+        await wait_until(lambda: _all_progressed(writers, before))
         for writer in writers:
             writer.stopped = True
         await asyncio.gather(*tasks)
@@ -58,11 +58,11 @@
             made.kill(name, signal.SIGKILL)
         made.start()
         for writer in writers:
-            await writer.check(made.client())
+            await writer.check_acknowledged(made.client())
         assert any("takes part again" in made.log(name) for name in made.names)
         assert not any("Traceback" in made.log(name) for name in made.names)
 
-    with cluster(tmp_path, more=SMALL, start=False) as made:
+    with cluster(tmp_path, extra_config=FREQUENT_SNAPSHOTS, start=False) as made:
         tables = preload(made, tmp_path)
         made.start()
         asyncio.run(scenario(made, tables))
--- a/tests/test_store_pauses.py
+++ b/tests/test_store_pauses.py
@@ -1,4 +1,4 @@
-"""Faults that close no connection: a replica that stands still costs those who ask it little."""
+"""Stopped replicas that keep their connections open: clients move to another replica within a few seconds."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from storeprocs import TEST_TIMEOUT_S, Cluster, cluster
 from waiting import run
 
-# Before the client looked after the replica that it asks, each of these took over 8 s; now some 1 s.
-BOUND_S = 5.0
+# Without liveness checks by the client each of these takes over 8 s; with them about 1 s.
+MAX_DURATION_S = 5.0
 
 
-async def first(made: Cluster, leads: bool) -> list[str]:
-    """All names, the leader first or last."""
+async def order_by_leadership(made: Cluster, leader_first: bool) -> list[str]:
+    """Returns all names, with the leader first or last."""
     leader = await made.leader()
     others = [name for name in made.names if name != leader]
-    return [leader, *others] if leads else [*others, leader]
+    return [leader, *others] if leader_first else [*others, leader]
 
 
-def test_writes_and_reads_go_on_where_the_leader_that_is_asked_stands_still(tmp_path: Path) -> None:
+def test_writes_and_reads_continue_when_the_connected_leader_is_stopped(tmp_path: Path) -> None:
     async def test() -> None:
         with cluster(tmp_path) as made:
-            names = await first(made, leads=True)
+            names = await order_by_leadership(made, leader_first=True)
             client = made.client(*names)
             await client.put("k", b"1", within_s=TEST_TIMEOUT_S)
             made.running[names[0]].send_signal(signal.SIGSTOP)
@@ -34,30 +34,31 @@
             value = await client.get("k", within_s=TEST_TIMEOUT_S)
             client.close()
             assert value and value.value == b"2"
-            assert wrote < BOUND_S
+            assert wrote < MAX_DURATION_S
 
     run(test())
 
 
-def test_a_request_that_was_passed_on_to_a_leader_that_stands_still_is_asked_again(tmp_path: Path) -> None:
+def test_a_request_forwarded_to_a_stopped_leader_is_retried(tmp_path: Path) -> None:
     async def test() -> None:
         with cluster(tmp_path) as made:
-            names = await first(made, leads=False)
-            client = made.client(*names)  # asks a follower, which stays and has a new leader within a second
+            names = await order_by_leadership(made, leader_first=False)
+            # Connects to a follower, which keeps running and has a new leader within a second.
+            client = made.client(*names)
             await client.put("k", b"1", within_s=TEST_TIMEOUT_S)
             made.running[names[-1]].send_signal(signal.SIGSTOP)
             began = time.monotonic()
             await client.put("k", b"2", within_s=TEST_TIMEOUT_S)
             client.close()
-            assert time.monotonic() - began < BOUND_S
+            assert time.monotonic() - began < MAX_DURATION_S
 
     run(test())
 
 
-def test_a_watch_moves_on_from_a_replica_that_stands_still(tmp_path: Path) -> None:
+def test_a_watch_moves_away_from_a_stopped_replica(tmp_path: Path) -> None:
     async def test() -> None:
         with cluster(tmp_path) as made:
-            names = await first(made, leads=False)
+            names = await order_by_leadership(made, leader_first=False)
             watcher, writer = made.client(*names), made.client(names[-1])
             seen: asyncio.Queue[bytes] = asyncio.Queue()
             await writer.put("k", b"1", within_s=TEST_TIMEOUT_S)
@@ -74,7 +75,7 @@
             began = time.monotonic()
             await writer.put("k", b"2", within_s=TEST_TIMEOUT_S)
             assert await seen.get() == b"2"
-            assert time.monotonic() - began < BOUND_S
+            assert time.monotonic() - began < MAX_DURATION_S
             task.cancel()
             watcher.close()
             writer.close()
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -142,15 +142,17 @@
 
 def test_a_hundred_thousand_requests_at_ten_times_their_speed() -> None:
     """The driver sends every request at its time, on a simulated clock."""
-    from test_load import Server, drive, told
+    from test_load import SimulatedServer, drive, make_scenario
 
     def rows() -> Iterator[TraceRow]:
         for n in range(100_000):
             yield TraceRow(n / 1000 + (n % 7) / 10_000, "GET", f"/{n}")
 
-    scenario = told(duration_s=1000.0)
+    scenario = make_scenario(duration_s=1000.0)
     classes = {cls.name: cls for cls in scenario.class_}
-    results, driver = drive(scenario, Server(lambda: 0.002), requests=traces.replay(rows(), 10.0, classes))
+    results, driver = drive(
+        scenario, SimulatedServer(lambda: 0.002), requests=traces.replay(rows(), 10.0, classes)
+    )
     assert driver.started_requests == len(results.records) == 100_000
     last_s = max(record.planned.intended_s for record in results.records)
     assert abs(last_s - 10.0) < 0.01 and not results.unsound_intervals
