--- a/basaltpoint/membership/checks.py
+++ b/basaltpoint/membership/checks.py
@@ -42,8 +42,8 @@
         for ident in self.servers.keys() - rules.keys():
             del self.servers[ident]
         for ident, rule in rules.items():
-            if known := self.servers.get(ident):
-                known.rule = rule
+            if server := self.servers.get(ident):
+                server.rule = rule
             else:
                 first = now_ms + self.rng.random() * rule.every_ms
                 self.servers[ident] = CheckedServer(rule, first)
@@ -61,8 +61,8 @@
         while self._due and self._due[0][0] <= now_ms:
             due_ms, ident = heapq.heappop(self._due)
             # A server that was removed and added again has a new due time; its old entry is ignored.
-            if (known := self.servers.get(ident)) and known.due_ms == due_ms and not known.in_progress:
-                known.in_progress = True
+            if (server := self.servers.get(ident)) and server.due_ms == due_ms and not server.in_progress:
+                server.in_progress = True
                 started.append(ident)
         return started
 
@@ -71,12 +71,12 @@
 
         Returns the new verdict if it has changed (True: up), else None.
         """
-        if (known := self.servers.get(ident)) is None or not known.in_progress:
+        if (server := self.servers.get(ident)) is None or not server.in_progress:
             return None
-        known.in_progress, known.due_ms = False, now_ms + known.rule.every_ms
-        heapq.heappush(self._due, (known.due_ms, ident))
-        known.opposing_results = known.opposing_results + 1 if is_healthy is known.is_down else 0
-        if known.opposing_results < (known.rule.rise if known.is_down else known.rule.fall):
+        server.in_progress, server.due_ms = False, now_ms + server.rule.every_ms
+        heapq.heappush(self._due, (server.due_ms, ident))
+        server.opposing_results = server.opposing_results + 1 if is_healthy is server.is_down else 0
+        if server.opposing_results < (server.rule.rise if server.is_down else server.rule.fall):
             return None
-        known.is_down, known.opposing_results = not known.is_down, 0
-        return not known.is_down
+        server.is_down, server.opposing_results = not server.is_down, 0
+        return not server.is_down
--- a/basaltpoint/membership/discovery.py
+++ b/basaltpoint/membership/discovery.py
@@ -37,25 +37,25 @@
 class _WatchEventHandler(Protocol):
     """Receives the events of one watch connection."""
 
-    def list_received(self, stream: _WatchConnection, raw: Any) -> bool:
+    def list_received(self, connection: _WatchConnection, raw: Any) -> bool:
         """A JSON object was received. Returns False if it cannot be used."""
 
-    def data_received(self, stream: _WatchConnection, is_heartbeat: bool) -> None:
+    def data_received(self, connection: _WatchConnection, is_heartbeat: bool) -> None:
         """Data was received. `is_heartbeat`: it is an empty line, sent while nothing changes."""
 
     def read_finished(self) -> None:
         """All objects of one read have been reported."""
 
-    def partial_list_received(self, stream: _WatchConnection) -> None:
+    def partial_list_received(self, connection: _WatchConnection) -> None:
         """The beginning of a list was received, but not its end."""
 
-    def call_refused(self, stream: _WatchConnection) -> None:
+    def call_refused(self, connection: _WatchConnection) -> None:
         """The server refused the call with an HTTP status other than 200."""
 
-    def closed_by_peer(self, stream: _WatchConnection) -> None:
+    def closed_by_peer(self, connection: _WatchConnection) -> None:
         """The server closed the connection."""
 
-    def connection_closed(self, stream: _WatchConnection) -> None:
+    def connection_closed(self, connection: _WatchConnection) -> None:
         """The connection is closed."""
 
 
@@ -244,11 +244,11 @@
                         self._backoff.record_failure()  # until the call succeeds
                         await self._follow_once()
                 except TimeoutError:  # the address has changed; the new agent has its own version numbers
-                    self._keep_silent(None)
+                    self._set_silent_connection(None)
                     self.seq, waits = 0, False
                     self._backoff.record_success()
         finally:
-            self._keep_silent(None)
+            self._set_silent_connection(None)
 
     async def _follow_once(self) -> None:
         try:
@@ -267,7 +267,7 @@
         self._lease.call_started(monotonic())
         try:
             async with asyncio.timeout(self._backoff.call_timeout_s(CONNECT_TIMEOUT_S)):
-                _, stream = await loop.create_connection(lambda: _WatchConnection(self), host, port)
+                _, connection = await loop.create_connection(lambda: _WatchConnection(self), host, port)
         except OSError as error:
             if connect_error_origin(error) in LOCAL_ORIGINS:
                 self._lease.call_failed_locally()
@@ -277,45 +277,48 @@
         first_response_timeout_s = self._backoff.call_timeout_s(WATCH_TIMEOUT_S)
         try:
             query = f"GET /discovery/hosts?follow=1&since={self.seq} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n"
-            assert stream._transport
-            stream._transport.write(query.encode())
+            assert connection._transport
+            connection._transport.write(query.encode())
             log.info("discovery: requesting from %s:%d the changes after version %d", host, port, self.seq)
             # TCP does not report that the other host has vanished; only missing data shows it.
-            while not stream.closed.done():
+            while not connection.closed.done():
                 remaining_s = (
-                    stream.last_received_at
-                    + (WATCH_TIMEOUT_S if stream.has_response else first_response_timeout_s)
+                    connection.last_received_at
+                    + (WATCH_TIMEOUT_S if connection.has_response else first_response_timeout_s)
                     - loop.time()
                 )
                 if remaining_s <= 0:
-                    log.warning("discovery: no data for %.1f s", loop.time() - stream.last_received_at)
-                    self._keep_silent(stream)
+                    log.warning("discovery: no data for %.1f s", loop.time() - connection.last_received_at)
+                    self._set_silent_connection(connection)
                     return
-                await asyncio.wait([stream.closed], timeout=remaining_s)
+                await asyncio.wait([connection.closed], timeout=remaining_s)
         finally:
-            if stream is not self._silent_connection:
-                stream.abort()
+            if connection is not self._silent_connection:
+                connection.abort()
 
-    def _keep_silent(self, stream: _WatchConnection | None) -> None:
+    def _set_silent_connection(self, connection: _WatchConnection | None) -> None:
         """Keeps a watch that has timed out open, in place of an earlier one."""
         if self._silent_connection and not self._silent_connection.closed.done():
-            if stream and self._silent_connection.last_received_at > stream.last_received_at:
+            if connection and self._silent_connection.last_received_at > connection.last_received_at:
                 return  # the earlier watch has received data since this one was requested
             self._silent_connection.abort()
-        self._silent_connection = stream
+        self._silent_connection = connection
 
     # --- Events of a watch connection ------------------------------------------------------------------
-    def data_received(self, stream: _WatchConnection, is_heartbeat: bool) -> None:
+    def data_received(self, connection: _WatchConnection, is_heartbeat: bool) -> None:
         """Closes the silent watch if another one receives data; a heartbeat confirms the known list."""
-        if stream is not self._silent_connection:
-            self._keep_silent(None)
+        if connection is not self._silent_connection:
+            self._set_silent_connection(None)
         if is_heartbeat:
             self._backoff.record_success()
             # The first response to a call is a list: an empty line before it confirms nothing.
-            if stream.has_list or stream.last_received_at >= stream.requested_at + MIN_HEARTBEAT_AGE_S:
-                self._renew_lease(stream)
+            if (
+                connection.has_list
+                or connection.last_received_at >= connection.requested_at + MIN_HEARTBEAT_AGE_S
+            ):
+                self._renew_lease(connection)
 
-    def list_received(self, stream: _WatchConnection, raw: Any) -> bool:
+    def list_received(self, connection: _WatchConnection, raw: Any) -> bool:
         """Accepts one list. Returns False if it must be requested again."""
         try:
             host_list, is_complete = parse_list(raw)
@@ -323,12 +326,12 @@
             log.warning("discovery: invalid list: %r", error)
             return False
         self._backoff.record_success()
-        stream.has_list = True
+        connection.has_list = True
         # Repeated and late lists are ignored; only the first list of a watch may restart the version numbers.
-        if host_list.seq <= self.seq and not (stream.awaits_first_list and host_list.whole):
-            self._up_to_date_connection = stream
+        if host_list.seq <= self.seq and not (connection.awaits_first_list and host_list.whole):
+            self._up_to_date_connection = connection
             return True
-        stream.awaits_first_list = False
+        connection.awaits_first_list = False
         if not is_complete or not self._batch.can_merge(host_list):
             self._apply_batch()
         if host_list.whole or not is_complete:
@@ -337,43 +340,43 @@
             self._batch.add(host_list)
         if is_complete:
             self.seq = host_list.seq
-        self._up_to_date_connection = stream if is_complete else None
+        self._up_to_date_connection = connection if is_complete else None
         return is_complete
 
     def read_finished(self) -> None:
         """Applies the changes of one read, and renews the lease only afterwards."""
         self._apply_batch()
-        current, self._up_to_date_connection = self._up_to_date_connection, None
-        if current:
-            self._renew_lease(current)
+        connection, self._up_to_date_connection = self._up_to_date_connection, None
+        if connection:
+            self._renew_lease(connection)
 
     def _apply_batch(self) -> None:
         if (changes := self._batch.pop_merged()) is not None:
             self._on_list(changes)
 
-    def partial_list_received(self, stream: _WatchConnection) -> None:
+    def partial_list_received(self, connection: _WatchConnection) -> None:
         """Shortens the lease: the rest of the list counts as delivered and cannot be applied yet."""
         self._lease.partial_list_received(monotonic())
         self._on_lease_change()
 
-    def call_refused(self, stream: _WatchConnection) -> None:
+    def call_refused(self, connection: _WatchConnection) -> None:
         self._lease.call_refused()
 
-    def closed_by_peer(self, stream: _WatchConnection) -> None:
+    def closed_by_peer(self, connection: _WatchConnection) -> None:
         if self._lease.expires_at(monotonic()) == math.inf:
             self._discovery_returned = True
         self._lease.closed_by_peer()
         self._on_lease_change()
 
-    def connection_closed(self, stream: _WatchConnection) -> None:
+    def connection_closed(self, connection: _WatchConnection) -> None:
         """Shortens the lease, unless another watch is open: changes are no longer received."""
-        if stream is self._confirmed_connection:
+        if connection is self._confirmed_connection:
             self._confirmed_connection = None
             self._lease.watch_lost(monotonic())
             self._on_lease_change()
 
-    def _renew_lease(self, stream: _WatchConnection) -> None:
+    def _renew_lease(self, connection: _WatchConnection) -> None:
         """Renews the lease: every change up to now has been received."""
-        self._confirmed_connection = stream
+        self._confirmed_connection = connection
         self._lease.renew(monotonic())
         self._on_lease_change()
--- a/tests/standalone.py
+++ b/tests/standalone.py
@@ -1,4 +1,4 @@
-"""A standalone limiter on loopback, from a file that the test words."""
+"""A standalone limiter on loopback, with a configuration file written by the test."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 KEY = "a-key-of-the-tests"
 KEY_DIGEST = "sha256:" + hashlib.sha256(KEY.encode()).hexdigest()
 
-# Class times beyond the tests' patience: what waits for one of them fails.
+# The deadlines are longer than the tests' timeouts, so that a test that waits for one of them fails.
 CLASSES = """
 [[class]]
 name = "read"
@@ -49,7 +49,7 @@
     classes: str = CLASSES,
     top: str = "",
 ) -> str:
-    """A file: plan `p` with one account, the classes above, the servers, pools by servers' numbers."""
+    """Returns a configuration: plan `p` with one account, the classes above, servers and pools."""
     parts = [f'listen = "127.0.0.1:0"\n{top}\n{extra}\n[[plan]]\nname = "p"\n{rate}\n']
     parts.append(f'[[account]]\nname = "one"\nplan = "p"\nkeys = ["{KEY_DIGEST}"]\n{classes}')
     for number, address in enumerate(servers):
@@ -84,7 +84,7 @@
 
 
 class StandaloneFixture:
-    """The limiter, its file and a way to connect."""
+    """The limiter, its configuration file and a way to connect."""
 
     def __init__(self, limiter: Standalone, path: Path) -> None:
         self.limiter = limiter
@@ -99,7 +99,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is left of any request."""
+        """Whether no state of any request is left."""
         relay = self.limiter.relay
         pools = relay.decision_module.pools.values()
         left = relay.table.requests or relay._exchanges or relay._attempts or relay.decision_module.requests
@@ -123,12 +123,12 @@
 def request(
     method: str = "GET", path: str = "/a", body: bytes = b"", version: str = "1.1", **headers: str | None
 ) -> bytes:
-    """A request; `headers` are named with _ for -, None leaves one out."""
-    told: dict[str, str | None] = {"Host": "api.test", "X-Api-Key": KEY}
+    """A request; header names have _ for -, and the value None omits a header."""
+    fields: dict[str, str | None] = {"Host": "api.test", "X-Api-Key": KEY}
     if body or method in ("POST", "PUT", "PATCH"):
-        told["Content-Length"] = str(len(body))
-    told.update({name.replace("_", "-"): value for name, value in headers.items()})
-    rows = [f"{name}: {value}" for name, value in told.items() if value is not None]
+        fields["Content-Length"] = str(len(body))
+    fields.update({name.replace("_", "-"): value for name, value in headers.items()})
+    rows = [f"{name}: {value}" for name, value in fields.items() if value is not None]
     return "\r\n".join([f"{method} {path} HTTP/{version}", *rows, "", ""]).encode() + body
 
 
--- a/tests/test_change_batch.py
+++ b/tests/test_change_batch.py
@@ -1,4 +1,4 @@
-"""Changes that come together are applied together, and no drain, end or restart is lost by it."""
+"""Changes that are received together are merged without losing a drain, a removal or a restart."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 def merged(lists: list[HostList]) -> list[HostList]:
-    """What is applied, in its order, where all of these come together."""
+    """Returns the lists that are applied, in their order, if all these lists are received together."""
     batch, applied = ChangeBatch(), []
-    for told in lists:
-        if not batch.can_merge(told) and (taken := batch.pop_merged()):
-            applied.append(taken)
-        batch.add(told)
-    if taken := batch.pop_merged():
-        applied.append(taken)
+    for changes in lists:
+        if not batch.can_merge(changes) and (popped := batch.pop_merged()):
+            applied.append(popped)
+        batch.add(changes)
+    if popped := batch.pop_merged():
+        applied.append(popped)
     return applied
 
 
@@ -33,13 +33,13 @@
 
 @pytest.mark.parametrize("length", [2, 3, 4])
 def test_no_order_of_changes_loses_a_drain_or_a_restart(length: int) -> None:
-    """Within one list a server only goes on; what it went through before it turned back was applied."""
+    """Within one merged list a server only moves forward; its state before a move back was applied."""
     for steps in itertools.product(itertools.product(STATES, (1.0, 2.0)), repeat=length):
-        told = [ONE._replace(state=state, born_ms=born) for state, born in steps]
-        lists = [HostList(number, False, (each,)) for number, each in enumerate(told)]
-        turns = [is_backward(before, after) for before, after in itertools.pairwise(told)] + [True]
+        hosts = [ONE._replace(state=state, born_ms=born) for state, born in steps]
+        lists = [HostList(number, False, (each,)) for number, each in enumerate(hosts)]
+        turns = [is_backward(before, after) for before, after in itertools.pairwise(hosts)] + [True]
         seen = [hosts.hosts[0] for hosts in merged(lists)]
-        assert seen == [each for each, turn in zip(told, turns, strict=True) if turn]
+        assert seen == [each for each, turn in zip(hosts, turns, strict=True) if turn]
 
 
 def test_changes_of_many_servers_are_one_list() -> None:
@@ -48,12 +48,12 @@
     assert only.seq == 499 and len(only.hosts) == 500 and not only.whole
 
 
-def test_a_whole_list_is_never_made_one_with_changes() -> None:
+def test_a_full_list_is_never_merged_with_changes() -> None:
     assert not ChangeBatch().can_merge(HostList(1, True, (ONE,)))
 
 
-def test_a_drain_in_the_middle_of_what_came_together_holds_before_anything_is_sent() -> None:
-    """The lists of one read renew the lease; what waits for that must find the drain applied."""
+def test_a_drain_in_the_middle_of_a_read_applies_before_anything_is_sent() -> None:
+    """The lists of one read renew the lease; requests that wait for it must find the drain applied."""
 
     async def test() -> None:
         async with backend(echo) as one, backend(echo) as two, agent() as told:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch on the wire: what it tells, what breaks it and what must not."""
+"""The discovery client: received lists, interrupted and silent watches, and invalid data."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 from basaltpoint.membership.json_stream import JsonObjectStream, MalformedStreamError
 
 
-def test_drain_told_mid_flight() -> None:
-    """What is out is finished; free connections close, and nothing new goes there."""
+def test_drain_during_a_request() -> None:
+    """Requests in hand are completed, idle connections closed, and no new request goes to the server."""
 
     async def test() -> None:
         async with backend() as one, backend(echo) as two, agent() as watched:
@@ -57,7 +57,7 @@
     run(test())
 
 
-def test_absent_from_a_whole_list() -> None:
+def test_server_missing_from_a_full_list() -> None:
     async def test() -> None:
         async with backend(echo) as one, backend(echo) as two, agent() as watched:
             async with limiter(host("a", one.address), watched=watched) as rig:
@@ -73,14 +73,14 @@
     run(test())
 
 
-def test_watch_cut_and_resumed() -> None:
+def test_watch_reconnects_after_a_reset() -> None:
     async def test() -> None:
         async with backend(echo) as one, backend(echo) as two, agent() as watched:
             async with limiter(host("a", one.address), watched=watched) as rig:
                 await watched.watches.get()
                 watched.tell(listing(3, host("a", one.address), whole=False))
                 await until(lambda: rig.watch.seq == 3)
-                watched.tell(b'{"seq":4,"whole":true,"hosts":[')  # a line that never ends
+                watched.tell(b'{"seq":4,"whole":true,"hosts":[')  # a line without an end
                 watched.cut()
                 assert await watched.watches.get() == "/discovery/hosts?follow=1&since=3"
                 client = await rig.connect()
@@ -93,8 +93,8 @@
     run(test())
 
 
-def test_silent_watch(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No word within the time of two empty lines: the machine may have vanished."""
+def test_a_silent_watch_is_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A watch without data for the time of two heartbeats is replaced: the host may have vanished."""
     monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 0.1)
 
     async def test() -> None:
@@ -105,8 +105,8 @@
     run(test())
 
 
-def test_refused_and_lost_agent() -> None:
-    """Without discovery the list that is known serves on."""
+def test_requests_are_served_without_discovery() -> None:
+    """Without discovery the known list stays in use."""
 
     async def test() -> None:
         async with backend(echo) as one, limiter(host("a", one.address)) as rig:
@@ -125,20 +125,20 @@
 
 
 class WatchFixture:
-    """A watch's lines without a socket: what it hands on."""
+    """A watch without a socket that records the lists it reports."""
 
     def __init__(self) -> None:
         self.lists: list[HostList] = []
-        self.stream: Any = SimpleNamespace(awaits_first_list=True)
+        self.connection: Any = SimpleNamespace(awaits_first_list=True)
         self.watch = Watch(("127.0.0.1", 1), self.lists.append, Backoff(random.Random(1)))
 
     def receive(self, line: object) -> bool:
         raw = line if isinstance(line, bytes) else json.dumps(line).encode()
         try:
-            [told] = JsonObjectStream().feed(raw)
+            [host_list] = JsonObjectStream().feed(raw)
         except MalformedStreamError:
             return False
-        return self.watch.list_received(self.stream, told)
+        return self.watch.list_received(self.connection, host_list)
 
 
 @pytest.mark.parametrize(
@@ -157,10 +157,10 @@
     ],
 )
 def test_malformed_line(line: bytes) -> None:
-    told = WatchFixture()
-    assert told.receive(listing(3, A, B))
-    assert not told.receive(line)  # asked for again
-    assert (len(told.lists), told.watch.seq) == (1, 3)
+    watch = WatchFixture()
+    assert watch.receive(listing(3, A, B))
+    assert not watch.receive(line)  # requests the list again
+    assert (len(watch.lists), watch.watch.seq) == (1, 3)
 
 
 @pytest.mark.parametrize(
@@ -179,32 +179,32 @@
     ],
 )
 def test_malformed_entry(wrong: dict[str, object]) -> None:
-    """The others of its list count, but what it leaves out is not gone: it may be that entry."""
-    told = WatchFixture()
-    assert not told.receive(listing(3, A, {**B, **wrong}))
-    [got] = told.lists
+    """Valid entries apply, but omitted servers are kept: the invalid entry may be one of them."""
+    watch = WatchFixture()
+    assert not watch.receive(listing(3, A, {**B, **wrong}))
+    [got] = watch.lists
     assert (got.whole, [entry.name for entry in got.hosts]) == (False, ["a"])
-    assert told.watch.seq == 0
+    assert watch.watch.seq == 0
 
 
-def test_repeats_and_stragglers() -> None:
-    told = WatchFixture()
-    told.receive(listing(3, A, B))
+def test_repeated_and_late_lists_are_ignored() -> None:
+    watch = WatchFixture()
+    watch.receive(listing(3, A, B))
     for old in (listing(3), listing(2), listing(2, {**A, "health": "left"}, whole=False)):
-        assert told.receive(old)
-    assert len(told.lists) == 1
-    told.stream.awaits_first_list = True  # a new watch: its first line, when whole, is where discovery stands
-    told.receive(listing(1, A))
-    assert (told.watch.seq, len(told.lists)) == (1, 2)
+        assert watch.receive(old)
+    assert len(watch.lists) == 1
+    watch.connection.awaits_first_list = True  # a new watch, whose first full list may have a lower version
+    watch.receive(listing(1, A))
+    assert (watch.watch.seq, len(watch.lists)) == (1, 2)
 
 
-def test_left_without_address() -> None:
-    told, sound = parse_list(listing(3, {"host": "a", "health": "left"}, whole=False))
-    assert sound and told.hosts[0].name == "a"
+def test_departed_server_without_address() -> None:
+    host_list, is_complete = parse_list(listing(3, {"host": "a", "health": "left"}, whole=False))
+    assert is_complete and host_list.hosts[0].name == "a"
 
 
 def test_start_is_converted_once() -> None:
-    """A start told twice is the same start; else each list would look like a restart."""
+    """A start reported repeatedly is converted once; otherwise each list would look like a restart."""
 
     async def test() -> None:
         async with agent() as watched:
@@ -222,8 +222,8 @@
     run(test())
 
 
-def test_moved_server() -> None:
-    """A server that comes back at another address is reached there."""
+def test_server_with_a_new_address() -> None:
+    """Requests go to the new address of a server."""
 
     async def test() -> None:
         async def send(number: int, server: Backend) -> None:
@@ -242,8 +242,8 @@
     run(test())
 
 
-def test_moved_agent() -> None:
-    """The watch moves at once, the known list serves on, and versions that begin anew count."""
+def test_switch_to_another_agent() -> None:
+    """The watch switches at once, the known list stays in use, and the new agent has its own versions."""
 
     async def test() -> None:
         async with backend(echo) as one, backend(echo) as two, agent() as old, agent() as new:
@@ -263,8 +263,8 @@
     run(test())
 
 
-def test_moved_while_none_answers(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A watch that waits before its next try moves without waiting any longer."""
+def test_switch_of_agent_during_a_delay(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A watch that is waiting for its next call switches at once."""
     monkeypatch.setattr(Backoff, "next_delay_s", lambda self: 60.0)
 
     async def test() -> None:
@@ -278,8 +278,8 @@
     run(test())
 
 
-def test_servers_that_are_gone_are_forgotten() -> None:
-    """By a change or by absence; one with work out once that has ended, and no number comes twice."""
+def test_removed_servers_leave_no_state() -> None:
+    """Removed by a change or by omission, after their last request; numbers are not reused."""
 
     async def test() -> None:
         async with backend() as server, agent() as watched:
@@ -298,7 +298,7 @@
                         watched.tell(listing(n + 1, new, left, whole=False))
                     await until(lambda n=n: rig.watch.seq == n + 1)  # type: ignore[misc]
                     assert len(rig.limiter.listed_servers.numbers) == len(rig.limiter._servers._servers) == 1
-                    assert len(fleet.records) == 2  # and the one with work out
+                    assert len(fleet.records) == 2  # the listed server and the one with a request in hand
                     numbers |= set(rig.limiter.listed_servers.numbers.values())
                 assert len(numbers) == 199
                 await echo(held)
@@ -308,8 +308,8 @@
     run(test())
 
 
-def test_what_came_together_is_applied_before_it_counts_as_current() -> None:
-    """A lease that is renewed first would let requests out to a server whose drain is read already."""
+def test_changes_of_one_read_are_applied_before_the_lease_is_renewed() -> None:
+    """If the lease were renewed first, requests could go to a server whose drain has been read."""
     order: list[str] = []
     watch = Watch(
         ("127.0.0.1", 1),
@@ -325,19 +325,19 @@
     assert order == ["list 3, 1 changed", "list 6, 2 changed", "current"]
 
 
-def test_an_entry_that_can_not_be_read_keeps_all_that_came_with_it_from_counting_as_current() -> None:
-    told = WatchFixture()
+def test_an_invalid_entry_keeps_the_whole_read_from_renewing_the_lease() -> None:
+    watch = WatchFixture()
     current: list[None] = []
-    told.watch._on_lease_change = lambda: current.append(None)
-    told.receive(listing(3, A))
-    told.receive(listing(4, {**A, "health": "leaving"}, whole=False))
-    assert not told.receive(listing(5, {**B, "dial": "nowhere"}, whole=False))
-    told.watch.read_finished()
-    assert [hosts.hosts[0].state for hosts in told.lists[:2]] == [ServerState.READY, ServerState.DRAINING]
+    watch.watch._on_lease_change = lambda: current.append(None)
+    watch.receive(listing(3, A))
+    watch.receive(listing(4, {**A, "health": "leaving"}, whole=False))
+    assert not watch.receive(listing(5, {**B, "dial": "nowhere"}, whole=False))
+    watch.watch.read_finished()
+    assert [hosts.hosts[0].state for hosts in watch.lists[:2]] == [ServerState.READY, ServerState.DRAINING]
     assert not current
 
 
-def test_changes_that_follow_closely_are_read_together() -> None:
+def test_changes_in_quick_succession_are_read_together() -> None:
     async def test() -> None:
         nowhere = unused_address()
         async with agent() as told, limiter(host("a", nowhere), watched=told) as rig:
@@ -363,8 +363,8 @@
     run(test())
 
 
-class SlowTransport:
-    """Counts how often a watch was not read for a while."""
+class PauseCountingTransport:
+    """Counts how often reading from a watch was paused."""
 
     def __init__(self) -> None:
         self.pauses = 0
@@ -379,11 +379,11 @@
         return False
 
 
-def test_a_list_that_comes_byte_by_byte_is_not_kept_waiting() -> None:
-    """Each byte follows closely on the one before; only the end of a list may be followed by a wait."""
+def test_a_list_received_byte_by_byte_is_not_delayed() -> None:
+    """The bytes arrive in quick succession; reading may be paused only after the end of a list."""
 
     async def test() -> None:
-        told, transport = WatchFixture(), SlowTransport()
+        told, transport = WatchFixture(), PauseCountingTransport()
         stream = discovery._WatchConnection(told.watch)
         stream.connection_made(transport)  # type: ignore[arg-type]
         raw = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/test_discovery_backoff.py
+++ b/tests/test_discovery_backoff.py
@@ -1,4 +1,4 @@
-"""Each limiter of a fleet of any size hears of a drain in time, and their calls don't come all at once."""
+"""Limiters of a fleet of any size notice a drain in time, and their calls to discovery are spread."""
 
 from __future__ import annotations
 
@@ -11,50 +11,50 @@
 from basaltpoint.membership import discovery
 from basaltpoint.membership.backoff import Backoff
 
-DRAIN_BOUND_S = 0.25  # the least bound on a drain's notice that a deployment sets
+DRAIN_BOUND_S = 0.25  # the shortest drain grace that a deployment sets
 FLEET_SIZES = [3, 8, 48, 200]
 
 
 class MaxRandom(random.Random):
-    """Draws every wait at its longest."""
+    """Draws every delay at its maximum."""
 
     def uniform(self, a: float, b: float) -> float:
         return b
 
 
 def failed_call_delays(seed: int, calls: int) -> list[float]:
-    """Seconds before each of so many calls that all fail."""
-    backoff, found = Backoff(random.Random(seed)), []
+    """Returns the seconds before each of `calls` calls that all fail."""
+    backoff, delays_s = Backoff(random.Random(seed)), []
     for _ in range(calls):
-        found.append(backoff.next_delay_s())
+        delays_s.append(backoff.next_delay_s())
         backoff.record_failure()
-    return found
+    return delays_s
 
 
 @pytest.mark.parametrize("limiters", FLEET_SIZES)
-def test_whatever_the_fleet_a_broken_watch_is_taken_up_within_the_bound_on_drains(limiters: int) -> None:
-    """herd+mass: with turns of the whole fleet 1,871 requests went to servers whose drain had been told."""
+def test_a_broken_watch_is_replaced_within_the_drain_grace_in_a_fleet_of_any_size(limiters: int) -> None:
+    """When the fleet took turns, 1,871 requests of herd+mass went to servers with an announced drain."""
     assert max(failed_call_delays(n, 1)[0] for n in range(limiters)) < DRAIN_BOUND_S
 
 
 @pytest.mark.parametrize("limiters", FLEET_SIZES)
-def test_however_often_calls_fail_the_next_comes_within_about_a_second(limiters: int) -> None:
+def test_delays_after_repeated_failures_stay_near_one_second(limiters: int) -> None:
     for n in range(limiters):
-        row = failed_call_delays(n, 20)
-        assert max(row) <= 1.5
-        assert sum(row[10:]) / 10 > 0.5  # and is no storm where nobody answers
+        delays_s = failed_call_delays(n, 20)
+        assert max(delays_s) <= 1.5
+        assert sum(delays_s[10:]) / 10 > 0.5  # does not overload an unreachable discovery
 
 
 @pytest.mark.parametrize("limiters", FLEET_SIZES[1:])
-def test_a_fleet_whose_watches_all_broke_does_not_come_back_in_one_instant(limiters: int) -> None:
+def test_the_reconnections_of_a_fleet_are_spread(limiters: int) -> None:
     first = sorted(failed_call_delays(n, 1)[0] for n in range(limiters))
     later = sorted(sum(failed_call_delays(n, 4)) for n in range(limiters))
     for times, instant in ((first, 0.02), (later, 0.1)):
-        crowd = max(sum(t <= other < t + instant for other in times) for t in times)
-        assert crowd <= max(3, 0.3 * limiters)
+        burst = max(sum(t <= other < t + instant for other in times) for t in times)
+        assert burst <= max(3, 0.3 * limiters)
 
 
-def test_a_call_that_was_served_ends_the_row_of_failures() -> None:
+def test_a_successful_call_resets_the_backoff() -> None:
     backoff = Backoff(random.Random(3))
     for _ in range(8):
         backoff.record_failure()
@@ -62,8 +62,8 @@
     assert backoff.next_delay_s() < DRAIN_BOUND_S
 
 
-def test_a_start_from_a_known_list_asks_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What is known may be old: a drain told meanwhile counts from the first moment on."""
+def test_a_start_from_a_known_list_calls_discovery_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The known list may be old: a drain announced meanwhile counts from the start of the process."""
     monkeypatch.setattr(Backoff, "next_delay_s", lambda self: 60.0)
 
     async def test() -> None:
@@ -79,13 +79,13 @@
 
 
 @pytest.mark.parametrize("bound", [0.01, 0.1, 0.25, 1.0])
-def test_a_break_is_over_within_the_deployments_own_bound(bound: float) -> None:
-    """Another customer may ask for less than 250 ms."""
+def test_the_first_delay_is_below_the_configured_drain_grace(bound: float) -> None:
+    """A deployment may set a drain grace below 250 ms."""
     assert max(Backoff(random.Random(n), bound).next_delay_s() for n in range(200)) < bound
 
 
-def test_an_agent_that_is_not_there_is_heard_within_the_grace_of_its_return() -> None:
-    """What it has then counts at once, however long it was away."""
+def test_a_returning_agent_is_called_within_the_drain_grace() -> None:
+    """The agent's changes count as delivered at once when it returns, however long it was down."""
 
     async def test() -> None:
         async with agent() as watched:
@@ -94,7 +94,7 @@
             rig.watch._address = address
             rig.watch._backoff = Backoff(MaxRandom(), DRAIN_BOUND_S)
             task = asyncio.create_task(rig.watch.run())
-            await asyncio.sleep(1.5)  # by now the waits between failed calls would be a second
+            await asyncio.sleep(1.5)  # by now the delays after failed calls would be a second
             back = await asyncio.start_server(lambda r, w: came.set(), *address)
             came, begun = asyncio.Event(), asyncio.get_running_loop().time()
             await came.wait()
@@ -105,20 +105,20 @@
     run(test())
 
 
-def test_a_lost_call_is_given_up_sooner_than_a_silent_agent() -> None:
-    """0.5 s for the first, twice as long for each further one, and never beyond what its caller allows."""
-    backoff, found = Backoff(random.Random(1)), []
+def test_a_lost_call_times_out_sooner_than_a_silent_watch() -> None:
+    """0.5 s for the first call, doubled for each further one, and never above the caller's limit."""
+    backoff, timeouts_s = Backoff(random.Random(1)), []
     for _ in range(7):
         backoff.record_failure()
-        found.append(round(backoff.call_timeout_s(4.5), 3))
-    assert found == [0.5, 1.0, 2.0, 4.0, 4.5, 4.5, 4.5]
+        timeouts_s.append(round(backoff.call_timeout_s(4.5), 3))
+    assert timeouts_s == [0.5, 1.0, 2.0, 4.0, 4.5, 4.5, 4.5]
     backoff.record_success()
     assert backoff.call_timeout_s(4.5) == 0.5
     assert backoff.call_timeout_s(0.1) == 0.1
 
 
-def test_what_a_silent_watch_missed_is_asked_for_in_time_though_two_calls_are_lost() -> None:
-    """It counts as told 6 s after the silence began; every wait is drawn at its longest."""
+def test_a_silent_watch_is_replaced_in_time_although_two_calls_are_lost() -> None:
+    """Its changes count as delivered 6 s after the silence began; every delay is at its maximum."""
 
     backoff, sum_s = Backoff(MaxRandom()), discovery.WATCH_TIMEOUT_S
     for _ in range(2):
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -1,4 +1,4 @@
-"""Messages cut anywhere: what is read does not depend on how the bytes came. Without sockets."""
+"""Messages split at any byte: what is parsed does not depend on the split. Without sockets."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class TransportStub:
-    """Takes what is written."""
+    """Records what is written."""
 
     def __init__(self) -> None:
         self.written = b""
@@ -49,7 +49,7 @@
 
 
 class RecordingHandler:
-    """A request as the office got it; it is answered once it is whole."""
+    """Records a request and responds to it when it is complete."""
 
     def __init__(self, owner: OwnerStub, connection: ClientConnection, request: Request) -> None:
         self.owner, self.connection, self.request = owner, connection, request
@@ -102,7 +102,7 @@
 
 
 def feed_in_pieces(data: bytes, cuts: list[int]) -> tuple[list[Any], bytes]:
-    """What the office took and the client got, the bytes cut where told."""
+    """Returns the requests that the owner received and the bytes written, for data split at `cuts`."""
 
     async def receive() -> tuple[list[Any], bytes]:
         office, transport = OwnerStub(), TransportStub()
@@ -126,7 +126,7 @@
 
 
 @given(st.lists(st.sampled_from(REQUESTS), min_size=1, max_size=5), CUTS)
-def test_requests_are_the_same_however_their_bytes_come(parts: list[bytes], cuts: list[int]) -> None:
+def test_requests_do_not_depend_on_how_their_bytes_are_split(parts: list[bytes], cuts: list[int]) -> None:
     data = b"".join(parts)
     whole, answers = feed_in_pieces(data, [])
     taken, written = feed_in_pieces(data, cuts)
@@ -135,15 +135,15 @@
 
 
 @given(st.sampled_from(BAD_REQUESTS), CUTS)
-def test_a_bad_request_is_bad_however_its_bytes_come(raw: bytes, cuts: list[int]) -> None:
+def test_bad_requests_do_not_depend_on_how_their_bytes_are_split(raw: bytes, cuts: list[int]) -> None:
     taken, written = feed_in_pieces(REQUESTS[0] + raw, cuts)
     assert len(taken) == 1
     assert written.startswith(b"HTTP/1.1 200") and written.count(b"HTTP/1.1 4") == 1
 
 
-# --- Answers ---------------------------------------------------------------------------------------
+# --- Responses -------------------------------------------------------------------------------------
 class RecordingReceiver:
-    """What an attempt's answer was made of."""
+    """Records the response of an attempt."""
 
     def __init__(self) -> None:
         self.events: list[Any] = []
@@ -211,7 +211,7 @@
 
 
 @given(st.sampled_from(ANSWERS), CUTS)
-def test_answers_are_the_same_however_their_bytes_come(
+def test_responses_do_not_depend_on_how_their_bytes_are_split(
     case: tuple[bytes, bool, Status | None], cuts: list[int]
 ) -> None:
     raw, head_only, status = case
@@ -221,7 +221,7 @@
         assert cut == whole
 
 
-# --- Heads that go on --------------------------------------------------------------------------------
+# --- Forwarded heads ---------------------------------------------------------------------------------
 def head(raw: Headers, method: bytes = b"GET", target: bytes = b"/a", version: str = "1.1") -> Request:
     return message.parse_request(method, target, version, [(b"host", b"api.test"), *raw])
 
@@ -229,7 +229,7 @@
 ORIGIN = Origin("::1", b"here", False)
 
 
-def test_an_absolute_target_goes_on_in_origin_form_and_names_the_host() -> None:
+def test_an_absolute_target_is_forwarded_in_origin_form() -> None:
     request = message.parse_request(b"GET", b"http://other.test:81/x?y", "1.1", [(b"host", b"api.test")])
     assert request.host == "other.test"
     out = message.upstream_request(request, ORIGIN, RequestRewrite()).with_body(b"")
@@ -237,7 +237,7 @@
     assert b'Forwarded: for="[::1]";proto=http;host="other.test:81"\r\n' in out
 
 
-def test_a_body_is_announced_where_there_may_be_one() -> None:
+def test_framing_of_forwarded_bodies() -> None:
     out = message.upstream_request(head([], b"POST"), ORIGIN, RequestRewrite())
     assert out.with_body(b"").endswith(b"Content-Length: 0\r\n\r\n")
     assert out.with_stream(None).endswith(b"Transfer-Encoding: chunked\r\n\r\n")
@@ -257,8 +257,8 @@
         [(b"transfer-encoding", b"identity")],
     ],
 )
-def test_a_framing_that_two_readers_could_take_differently(raw: Headers) -> None:
-    """Whatever the parser before it makes of these: this is the last word on what goes on."""
+def test_ambiguous_framing_is_rejected(raw: Headers) -> None:
+    """This check is the final one on forwarded framing, whatever the parser accepts."""
     with pytest.raises(BadRequestError):
         message.request_body_length(raw, "1.1")
 
@@ -268,7 +268,7 @@
 
 
 @given(st.lists(st.tuples(TOKENS, VALUES), max_size=6))
-def test_no_header_goes_on_that_belongs_to_one_connection(raw: Headers) -> None:
+def test_hop_by_hop_headers_are_not_forwarded(raw: Headers) -> None:
     try:
         request = head(raw)
     except BadRequestError:
@@ -283,6 +283,6 @@
 
 
 @pytest.mark.parametrize("text", ["", "x", "-1", "0", "1e3", "nan", "inf", "1" * 20])
-def test_deadlines_that_are_none(text: str) -> None:
+def test_invalid_deadlines(text: str) -> None:
     with pytest.raises(BadRequestError):
         message.parse_deadline_ms(text)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""The ordinary front on loopback: what goes on, what comes back, and what must not."""
+"""The HTTP front on loopback: forwarded requests and responses, rejections, retries, reloads and limits."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 GIGABYTE = 1 << 30
 
 
-async def echo(came: Request) -> None:
-    came.reply(body=came.line.encode())
+async def echo(received: Request) -> None:
+    received.reply(body=received.line.encode())
 
 
-# --- Passing on ------------------------------------------------------------------------------------
-def test_a_request_goes_on_as_it_came_and_its_way_is_told(tmp_path: Path) -> None:
+# --- Forwarding ------------------------------------------------------------------------------------
+def test_a_request_is_forwarded_with_forwarding_headers(tmp_path: Path) -> None:
     async def test() -> None:
         async with backend(echo) as server, standalone(tmp_path, config(server.address)) as rig:
             client = await rig.connect()
@@ -36,21 +36,21 @@
             answer = await client.ask(raw)
             assert answer.body == b"GET /a//b/%2e%2e/c%2fd?q=%20x HTTP/1.1"
             assert answer.headers["via"] == "1.1 basaltpoint"
-            (came,) = server.requests
-            headers = came.headers
+            (forwarded,) = server.requests
+            headers = forwarded.headers
             assert headers["host"] == "api.test" and headers["x-yours"] == "end"
             assert headers["via"] == "1.0 other, 1.1 basaltpoint"
-            # Nobody trusted the peer, so what it wrote of others is gone; its key stays here.
+            # The peer is not trusted, so its forwarding headers are dropped; the API key is not forwarded.
             assert headers["x-forwarded-for"] == "127.0.0.1"
             assert headers["forwarded"] == "for=127.0.0.1;proto=http;host=api.test"
-            gone = {"x-mine", "te", "x-api-key", "connection", "content-length"}
-            assert not gone & headers.keys()
+            dropped = {"x-mine", "te", "x-api-key", "connection", "content-length"}
+            assert not dropped & headers.keys()
             assert rig.is_idle
 
     run(test())
 
 
-def test_a_trusted_proxy_is_believed_and_a_key_goes_on_where_wanted(tmp_path: Path) -> None:
+def test_headers_of_a_trusted_proxy_and_the_key_are_forwarded(tmp_path: Path) -> None:
     async def test() -> None:
         extra = '[identity]\ntrusted_proxies = ["127.0.0.0/8"]\nforward_key = true\n'
         async with backend(echo) as server, standalone(tmp_path, config(server.address, extra=extra)) as rig:
@@ -93,12 +93,12 @@
 
 
 @pytest.mark.parametrize("code", [200, 201, 301, 304, 404, 429, 500])
-def test_a_servers_answer_is_the_clients(tmp_path: Path, code: int) -> None:
-    """Also one that tells of a fault: it is not this limiter's to hide. It counts as failed inside."""
+def test_a_servers_response_is_forwarded(tmp_path: Path, code: int) -> None:
+    """Also an error response: the limiter does not hide it, but counts the attempt as failed."""
 
     async def test() -> None:
-        async def script(came: Request) -> None:
-            came.reply(f"{code} Own Words", b"" if code == 304 else b"body", "X-Own: 1", "ETag: x")
+        async def script(received: Request) -> None:
+            received.reply(f"{code} Own Words", b"" if code == 304 else b"body", "X-Own: 1", "ETag: x")
 
         async with backend(script) as server, standalone(tmp_path, config(server.address)) as rig:
             client = await rig.connect()
@@ -107,24 +107,24 @@
             assert (got, headers["x-own"], headers["etag"]) == (code, "1", "x")
             if code != 304:
                 assert await client.reader.readexactly(4) == b"body"
-            assert len(server.requests) == 1  # a 500 is an answer, no reason to repeat
+            assert len(server.requests) == 1  # a 500 is forwarded and not retried
             health = next(iter(rig.limiter.relay.decision_module.healths.values()))
             assert health.errors == (1 if code == 500 else 0)
 
     run(test())
 
 
-def test_methods_without_a_body_in_the_answer(tmp_path: Path) -> None:
+def test_responses_without_a_body(tmp_path: Path) -> None:
     async def test() -> None:
-        async def script(came: Request) -> None:
-            if came.line.startswith("HEAD"):
-                came.writer.write(
-                    b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\nX-N: %d\r\n\r\n" % came.connection
+        async def script(received: Request) -> None:
+            if received.line.startswith("HEAD"):
+                received.writer.write(
+                    b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\nX-N: %d\r\n\r\n" % received.connection
                 )
-            elif "204" in came.line:
-                came.writer.write(b"HTTP/1.1 204 No Content\r\n\r\n")
+            elif "204" in received.line:
+                received.writer.write(b"HTTP/1.1 204 No Content\r\n\r\n")
             else:
-                came.reply(body=b"x" * 500)
+                received.reply(body=b"x" * 500)
 
         async with backend(script) as server, standalone(tmp_path, config(server.address)) as rig:
             client = await rig.connect()
@@ -136,22 +136,24 @@
                 client.send(request(path="/204"))
                 code, headers = await read_head(client)
                 assert code == 204 and "content-length" not in headers
-            assert server.connections == 1  # all over one connection: nobody waited for a body
+            assert server.connections == 1  # all over one connection, as no response waited for a body
 
     run(test())
 
 
 def test_framings_and_trailers(tmp_path: Path) -> None:
-    """Chunks with trailers, a length, the end of the connection; to clients of both versions."""
+    """Chunked bodies with trailers, Content-Length, end of connection; clients of both HTTP versions."""
 
     async def test() -> None:
-        async def script(came: Request) -> None:
-            if "chunked" in came.line:
-                came.writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n")
-                came.writer.write(b"3\r\nabc\r\n2\r\nde\r\n0\r\nX-Sum: 5\r\nSet-Cookie: a=b\r\n\r\n")
+        async def script(received: Request) -> None:
+            if "chunked" in received.line:
+                received.writer.write(
+                    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n"
+                )
+                received.writer.write(b"3\r\nabc\r\n2\r\nde\r\n0\r\nX-Sum: 5\r\nSet-Cookie: a=b\r\n\r\n")
             else:
-                came.writer.write(b"HTTP/1.1 200 OK\r\n\r\nabcde")
-                came.writer.close()
+                received.writer.write(b"HTTP/1.1 200 OK\r\n\r\nabcde")
+                received.writer.close()
 
         async with backend(script) as server, standalone(tmp_path, config(server.address)) as rig:
             for path in ("/chunked", "/to-the-end"):
@@ -173,11 +175,13 @@
     run(test())
 
 
-def test_interim_answers(tmp_path: Path) -> None:
+def test_interim_responses(tmp_path: Path) -> None:
     async def test() -> None:
-        async def script(came: Request) -> None:
-            came.writer.write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n")
-            came.reply(body=b"done")
+        async def script(received: Request) -> None:
+            received.writer.write(
+                b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"
+            )
+            received.reply(body=b"done")
 
         async with backend(script) as server, standalone(tmp_path, config(server.address)) as rig:
             client = await rig.connect()
@@ -195,7 +199,7 @@
     run(test())
 
 
-# --- What is refused -------------------------------------------------------------------------------
+# --- Rejections ------------------------------------------------------------------------------------
 @pytest.mark.parametrize(
     ("raw", "code"),
     [
@@ -220,10 +224,10 @@
         (request("TRACE"), 405),
         (request(X_Api_Key="unknown"), 401),
         (request(X_Api_Key=None), 401),
-        (request("PUT"), 400),  # keyed, and the key is missing
+        (request("PUT"), 400),  # a keyed class, and the key is missing
     ],
 )
-def test_what_is_refused_reaches_no_server(tmp_path: Path, raw: bytes, code: int) -> None:
+def test_a_rejected_request_reaches_no_server(tmp_path: Path, raw: bytes, code: int) -> None:
     async def test() -> None:
         async with backend(echo) as server, standalone(tmp_path, config(server.address)) as rig:
             client = await rig.connect()
@@ -235,17 +239,17 @@
     run(test())
 
 
-def test_a_refusal_says_why_and_when_to_come_back(tmp_path: Path) -> None:
+def test_a_refusal_states_its_reason_and_retry_after(tmp_path: Path) -> None:
     async def test() -> None:
         text = config("PLACE", rate="rate = 0.5\nburst = 2\nparallel = 1")
         async with backend() as server:
             async with standalone(tmp_path, text.replace("PLACE", server.address)) as rig:
                 first, second = await rig.connect(), await rig.connect()
                 first.send(request())
-                came = await server.arrived.get()
+                received = await server.arrived.get()
                 answer = await second.ask(request())
                 assert answer.code == 429 and b"too many at once" in answer.body
-                came.reply(body=b"x")
+                received.reply(body=b"x")
                 assert (await first.answer()).code == 200
                 second.send(request())
                 (await server.arrived.get()).reply(body=b"x")
@@ -259,7 +263,7 @@
     run(test())
 
 
-def test_no_server_and_a_pool_of_the_drained(tmp_path: Path) -> None:
+def test_pools_without_usable_servers(tmp_path: Path) -> None:
     async def test() -> None:
         text = config(unused_address(), unused_address(), drain=(1,))
         async with standalone(tmp_path, text) as rig:
@@ -271,33 +275,33 @@
     run(test())
 
 
-# --- Repeats ---------------------------------------------------------------------------------------
-def test_what_may_be_repeated_is_and_what_may_not_is_not(tmp_path: Path) -> None:
+# --- Retries ---------------------------------------------------------------------------------------
+def test_only_safe_requests_are_retried(tmp_path: Path) -> None:
     async def test() -> None:
-        async def broken(came: Request) -> None:
-            came.reset()
+        async def broken(received: Request) -> None:
+            received.reset()
 
         async with backend(broken) as bad, backend(echo) as good:
             async with standalone(tmp_path, config(bad.address, good.address)) as rig:
                 client = await rig.connect()
                 codes = []
-                while len(bad.requests) < 2:  # until the broken one was tried
+                while len(bad.requests) < 2:  # until the failing server got an attempt
                     codes.append((await client.ask(request())).code)
                 assert set(codes) == {200}
                 rig.reload(config(bad.address))
                 assert (await client.ask(request("POST"))).code == 502
                 assert bad.requests[-1].line.startswith("POST")
-                assert sum(came.line.startswith("POST") for came in bad.requests) == 1
+                assert sum(received.line.startswith("POST") for received in bad.requests) == 1
 
     run(test())
 
 
-def test_a_keyed_request_is_repeated_with_its_key_and_body(tmp_path: Path) -> None:
+def test_a_keyed_request_is_retried_with_its_key_and_body(tmp_path: Path) -> None:
     async def test() -> None:
         answers = iter([b"503 Busy", b"200 OK"])
 
-        async def script(came: Request) -> None:
-            came.reply(next(answers).decode(), b"x")
+        async def script(received: Request) -> None:
+            received.reply(next(answers).decode(), b"x")
 
         async with backend(script) as server, standalone(tmp_path, config(server.address)) as rig:
             client = await rig.connect()
@@ -310,17 +314,17 @@
     run(test())
 
 
-def test_a_key_that_is_missing_makes_it_unsafe_where_configured(tmp_path: Path) -> None:
+def test_a_missing_key_makes_a_request_unsafe_if_configured(tmp_path: Path) -> None:
     async def test() -> None:
-        async def script(came: Request) -> None:
-            came.reply("503 Busy", b"own words", "Retry-After: 7")
+        async def script(received: Request) -> None:
+            received.reply("503 Busy", b"own words", "Retry-After: 7")
 
         text = config("PLACE").replace('effect = "keyed"', 'effect = "keyed"\nkey_missing = "unsafe"')
         async with backend(script) as server:
             async with standalone(tmp_path, text.replace("PLACE", server.address)) as rig:
                 client = await rig.connect()
                 answer = await client.ask(request("PUT", body=b"x"))
-                # Not repeated, and the server's own words are the answer.
+                # It is not retried, and the server's own error response is forwarded.
                 assert (answer.code, answer.body, len(server.requests)) == (503, b"own words", 1)
                 answer = await client.ask(request("PUT", body=b"x", Idempotency_Key="k"))
                 assert answer.headers["retry-after"] == "7" and len(server.requests) == 4
@@ -328,19 +332,19 @@
     run(test())
 
 
-def test_a_body_beyond_the_bound_is_streamed_once_and_never_repeated(tmp_path: Path) -> None:
+def test_a_body_over_the_limit_is_streamed_and_not_retried(tmp_path: Path) -> None:
     size = 300 * 1024
 
     async def test() -> None:
-        async def script(came: Request) -> None:
-            came.reply("503 Busy", b"no")
+        async def script(received: Request) -> None:
+            received.reply("503 Busy", b"no")
 
         async with backend(script) as server, standalone(tmp_path, config(server.address)) as rig:
             client = await rig.connect()
             answer = await client.ask(request("PUT", body=b"y" * size, Idempotency_Key="k"))
             assert (answer.code, len(server.requests)) == (503, 1)
             assert server.requests[0].body == b"y" * size
-            # Within the bound the same request is repeated.
+            # The same request is retried if its body is within the limit.
             answer = await client.ask(request("PUT", body=b"y" * 1000, Idempotency_Key="k"))
             assert (answer.code, len(server.requests)) == (503, 4)
             assert rig.is_idle
@@ -348,8 +352,8 @@
     run(test())
 
 
-def test_a_streamed_body_waits_for_its_server(tmp_path: Path) -> None:
-    """A server that does not read holds its client back; the limiter holds no more than its buffers."""
+def test_backpressure_of_a_streamed_body(tmp_path: Path) -> None:
+    """A server that does not read slows its client down; the limiter buffers no more than its limit."""
 
     async def test() -> None:
         reading, total = asyncio.Event(), 0
@@ -375,7 +379,7 @@
                     client.send(piece)
                     await asyncio.wait_for(client.writer.drain(), 0.3)
                     sent += 1
-            assert sent < 4000  # 128 MB would not have fit
+            assert sent < 4000  # the buffers cannot hold the whole 128 MB
             assert rig.limiter.relay._reserved_bytes <= (1 << 20)
             reading.set()
             client.send(b"0\r\n\r\n")
@@ -407,7 +411,7 @@
 
 # --- Streams ---------------------------------------------------------------------------------------
 async def flood(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """A server with an answer of 1 GB."""
+    """A server with a response of 1 GB."""
     with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % GIGABYTE)
@@ -417,8 +421,8 @@
             flood.sent += 1 << 16  # type: ignore[attr-defined]
 
 
-def test_a_client_that_stops_reading_a_long_answer(tmp_path: Path) -> None:
-    """The server's connection pauses, memory stays flat, and it ends at the bound."""
+def test_a_client_that_stops_reading_a_long_response(tmp_path: Path) -> None:
+    """The server's connection is paused, memory stays constant, and the stall limit ends the response."""
 
     async def test() -> None:
         flood.sent = 0  # type: ignore[attr-defined]
@@ -434,21 +438,21 @@
             (passage,) = relay._exchanges.values()
             transport = passage.connection._transport
             assert transport and transport.get_write_buffer_size() < 1 << 20
-            await until(lambda: rig.is_idle)  # cut off at the bound
+            await until(lambda: rig.is_idle)  # reset at the stall limit
             assert flood.sent < 64 << 20  # type: ignore[attr-defined]
         server.close()
 
     run(test())
 
 
-def test_a_slow_reader_gets_all_of_it(tmp_path: Path) -> None:
+def test_a_slow_client_receives_the_whole_response(tmp_path: Path) -> None:
     async def test() -> None:
-        async def script(came: Request) -> None:
-            came.writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        async def script(received: Request) -> None:
+            received.writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             for _ in range(200):
-                came.writer.write(b"4000\r\n" + b"q" * 0x4000 + b"\r\n")
-                await came.writer.drain()
-            came.writer.write(b"0\r\n\r\n")
+                received.writer.write(b"4000\r\n" + b"q" * 0x4000 + b"\r\n")
+                await received.writer.drain()
+            received.writer.write(b"0\r\n\r\n")
 
         async with backend(script) as server, standalone(tmp_path, config(server.address)) as rig:
             client = await rig.connect()
@@ -468,17 +472,17 @@
 
 @pytest.mark.parametrize("framing", ["Content-Length: 100", "Transfer-Encoding: chunked", "X-None: 1"])
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
-def test_an_answer_that_breaks_midway_is_seen_to_be_cut(tmp_path: Path, framing: str, version: str) -> None:
+def test_a_truncated_response_is_detectable(tmp_path: Path, framing: str, version: str) -> None:
     async def test() -> None:
-        async def script(came: Request) -> None:
+        async def script(received: Request) -> None:
             part = b"5\r\nhello\r\n" if "chunked" in framing else b"hello"
-            came.writer.write(f"HTTP/1.1 200 OK\r\n{framing}\r\n\r\n".encode() + part)
-            await came.writer.drain()
+            received.writer.write(f"HTTP/1.1 200 OK\r\n{framing}\r\n\r\n".encode() + part)
+            await received.writer.drain()
             await asyncio.sleep(0.05)
-            came.writer.get_extra_info("socket").setsockopt(
+            received.writer.get_extra_info("socket").setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0"
             )
-            came.reset()
+            received.reset()
 
         async with backend(script) as server, standalone(tmp_path, config(server.address)) as rig:
             client = await rig.connect()
@@ -489,18 +493,18 @@
                     await client.reader.readuntil(b"0\r\n\r\n")
                 elif "content-length" in headers:
                     await client.reader.readexactly(100)
-                else:  # its end alone would tell that it is whole, so the connection is reset
+                else:  # a normal close would mark the body as complete, so the connection is reset
                     await client.reader.read()
-            assert len(server.requests) == 1  # what has begun is never repeated
+            assert len(server.requests) == 1  # a response that has begun is never retried
             await until(lambda: rig.is_idle)
 
     run(test())
 
 
-def test_a_server_that_falls_silent_in_its_answer(tmp_path: Path) -> None:
+def test_a_server_that_stalls_during_its_response(tmp_path: Path) -> None:
     async def test() -> None:
-        async def script(came: Request) -> None:
-            came.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhello")
+        async def script(received: Request) -> None:
+            received.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhello")
 
         text = config("PLACE", extra="[clients]\nstall_s = 0.3\n")
         async with backend(script) as server:
@@ -515,18 +519,18 @@
     run(test())
 
 
-def test_a_client_that_goes_ends_its_attempt(tmp_path: Path) -> None:
+def test_a_disconnected_client_ends_its_attempt(tmp_path: Path) -> None:
     async def test() -> None:
         async with backend() as server, standalone(tmp_path, config(server.address)) as rig:
             for begun in (False, True):
                 client = await rig.connect()
                 client.send(request("POST"))
-                came = await server.arrived.get()
+                received = await server.arrived.get()
                 if begun:
-                    came.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhello")
+                    received.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhello")
                     await read_head(client)
                 client.close()
-                await came.closed()
+                await received.closed()
                 await until(lambda: rig.is_idle)
 
     run(test())
@@ -557,9 +561,9 @@
             client = await rig.connect()
             client.send(b"".join(request("POST", f"/{n}", b"body") for n in range(5)))
             for n in range(5):
-                came = await server.arrived.get()
-                assert came.line.startswith(f"POST /{n} ") and server.arrived.empty()
-                came.reply(body=str(n).encode())
+                received = await server.arrived.get()
+                assert received.line.startswith(f"POST /{n} ") and server.arrived.empty()
+                received.reply(body=str(n).encode())
                 assert (await client.answer()).body == str(n).encode()
             client.send(request(path="/x") + request(path="/../y") + request(path="/z"))
             (await server.arrived.get()).reply(body=b"x")
@@ -584,7 +588,7 @@
 """.replace("rewrite_x = 0\n", "")
 
 
-def test_a_reload_that_removes_a_pool_while_requests_are_out_in_it(tmp_path: Path) -> None:
+def test_a_reload_that_removes_a_pool_with_requests_in_hand(tmp_path: Path) -> None:
     async def test() -> None:
         async with backend() as first, backend() as second:
             both = config(
@@ -596,20 +600,20 @@
             async with standalone(tmp_path, both) as rig:
                 client, late = await rig.connect(), await rig.connect()
                 client.send(request("POST", "/a"))
-                came = await first.arrived.get()
+                received = await first.arrived.get()
                 routes = '[[route]]\nname = "b"\npool = "two"\nclass = "fix"\n'
                 assert rig.reload(config(first.address, second.address, pools={"two": [1]}, routes=routes))
                 late.send(request("POST", "/a"))
                 (await second.arrived.get()).reply(body=b"two")
                 assert (await late.answer()).body == b"two"
-                came.reply(body=b"one")  # what was out is finished where it was
+                received.reply(body=b"one")  # the request in hand is completed where it was sent
                 assert (await client.answer()).body == b"one"
                 assert rig.is_idle and len(first.requests) == 1
 
     run(test())
 
 
-def test_a_request_that_is_repeated_keeps_the_route_it_was_taken_with(tmp_path: Path) -> None:
+def test_a_retried_request_keeps_its_route_after_a_reload(tmp_path: Path) -> None:
     async def test() -> None:
         async with backend() as first, backend() as second, backend(echo) as other:
             addresses = first.address, second.address, other.address
@@ -623,16 +627,16 @@
                 after = TWO_ROUTES.replace("CLASS", "fix").replace('pool = "one"', 'pool = "two"')
                 assert rig.reload(config(*addresses, pools=pools, routes=after))
                 done.pop().result().reset()
-                # Still safe to repeat, and in its own pool: the other server of it.
-                came = await pending.pop()
-                came.reply(body=b"again")
+                # It is still safe to retry, within its own pool: on the other server of that pool.
+                received = await pending.pop()
+                received.reply(body=b"again")
                 assert (await client.answer()).body == b"again"
                 assert (await client.ask(request())).body.startswith(b"GET") and len(other.requests) == 1
 
     run(test())
 
 
-def test_nothing_new_to_a_server_after_the_reload_that_drains_it(tmp_path: Path) -> None:
+def test_no_request_to_a_server_after_the_reload_that_drains_it(tmp_path: Path) -> None:
     async def test() -> None:
         async with backend() as going, backend(echo) as staying:
             before = config(going.address, staying.address)
@@ -644,7 +648,7 @@
                 await until(lambda: len(going.requests) + len(staying.requests) == 6)
                 had = len(going.requests)
                 assert rig.reload(config(going.address, staying.address, drain=(0,)))
-                # Not only turned away at its door: the module does not choose it any more.
+                # The decision module no longer chooses the server; it is not only rejected at the send.
                 fleet = rig.limiter.relay.decision_module.pools[1].servers
                 assert [peer.entry.id for peer in fleet.ready] == [2]
                 for _ in range(30):
@@ -652,13 +656,13 @@
                     assert (await client.ask(request())).code == 200
                     client.close()
                 assert len(going.requests) == had
-                first.reply(body=b"finished")  # what it had is finished
+                first.reply(body=b"finished")  # the request in hand is completed
                 await until(lambda: rig.limiter.relay.table.open_count < had)
 
     run(test())
 
 
-def test_a_server_in_two_pools_has_one_budget_of_connections(tmp_path: Path) -> None:
+def test_a_server_in_two_pools_has_one_connection_limit(tmp_path: Path) -> None:
     async def test() -> None:
         async with backend() as shared, backend(echo) as other:
             text = config(
@@ -672,9 +676,9 @@
                 for client in clients[:2]:
                     client.send(request("POST", "/a"))
                     await shared.arrived.get()
-                # Pool one has nothing else: turned away, and harmless to repeat.
+                # Pool one has no other server: rejected, and safe to retry.
                 assert (await clients[2].ask(request("POST", "/a"))).code == 503
-                # Pool two goes to its other server.
+                # Pool two uses its other server.
                 for _ in range(4):
                     assert (await clients[2].ask(request("POST", "/b"))).code == 200
                 assert shared.connections == 2 and len(shared.requests) == 2
@@ -684,7 +688,7 @@
     run(test())
 
 
-def test_a_reload_that_does_not_check_changes_nothing_and_says_so(
+def test_an_invalid_reload_changes_nothing_and_is_logged(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
@@ -708,8 +712,8 @@
     run(test())
 
 
-# --- Bounds ----------------------------------------------------------------------------------------
-def test_connections_that_say_nothing_or_not_all_are_ended(tmp_path: Path) -> None:
+# --- Limits ----------------------------------------------------------------------------------------
+def test_idle_and_incomplete_connections_are_closed(tmp_path: Path) -> None:
     async def test() -> None:
         extra = "[clients]\nhead_s = 0.2\nidle_s = 0.3\nstall_s = 0.3\n"
         async with backend(echo) as server, standalone(tmp_path, config(server.address, extra=extra)) as rig:
@@ -724,7 +728,7 @@
     run(test())
 
 
-def test_new_connections_get_the_place_of_idle_ones(tmp_path: Path) -> None:
+def test_new_connections_replace_idle_ones(tmp_path: Path) -> None:
     async def test() -> None:
         text = config("PLACE", extra="[limits]\nsockets = 64\n")
         async with backend(echo) as server:
@@ -737,15 +741,15 @@
     run(test())
 
 
-def test_a_drain_finishes_what_was_taken(tmp_path: Path) -> None:
+def test_a_drain_completes_requests_in_hand(tmp_path: Path) -> None:
     async def test() -> None:
         async with backend() as server, standalone(tmp_path, config(server.address)) as rig:
             busy, idle = await rig.connect(), await rig.connect()
             busy.send(request("POST"))
-            came = await server.arrived.get()
+            received = await server.arrived.get()
             draining = asyncio.create_task(rig.limiter.drain())
             assert await idle.reader.read() == b""
-            came.reply(body=b"last")
+            received.reply(body=b"last")
             answer = await busy.answer()
             assert answer.body == b"last" and answer.headers["connection"] == "close"
             await draining
@@ -755,15 +759,15 @@
     run(test())
 
 
-def test_active_checks_take_a_server_out(tmp_path: Path) -> None:
+def test_active_checks_mark_a_server_down(tmp_path: Path) -> None:
     async def test() -> None:
         healthy = True
 
-        async def script(came: Request) -> None:
-            if "/health" in came.line:
-                came.reply("200 OK" if healthy else "500 No")
+        async def script(received: Request) -> None:
+            if "/health" in received.line:
+                received.reply("200 OK" if healthy else "500 No")
             else:
-                came.reply(body=b"sick")
+                received.reply(body=b"sick")
 
         extra = "[health]\nevery_ms = 50\ntimeout_ms = 5000\nrise = 2\nfall = 2\n"
         async with backend(script) as sick, backend(echo) as well:
@@ -782,9 +786,9 @@
     run(test())
 
 
-# --- Faults of this program ------------------------------------------------------------------------
-def test_a_timer_that_is_due_already_is_followed_by_others(tmp_path: Path) -> None:
-    """A handle for what is due at once tells no time; asking it for one broke every request meanwhile."""
+# --- Internal errors -------------------------------------------------------------------------------
+def test_an_overdue_timer_is_followed_by_others(tmp_path: Path) -> None:
+    """A handle that is due at once does not provide its time; reading it once broke every request."""
 
     async def test() -> None:
         async with backend(echo) as server, standalone(tmp_path, config(server.address)) as rig:
@@ -799,7 +803,7 @@
     run(test())
 
 
-def test_a_fault_while_reading_is_no_fault_of_the_client(
+def test_an_internal_error_while_reading_is_not_blamed_on_the_client(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
--- a/tests/test_incident_drain_after_restart.py
+++ b/tests/test_incident_drain_after_restart.py
@@ -1,7 +1,7 @@
-"""The incident of 2026-12-02: nothing goes to a server whose drain discovery's agent has, beyond the grace.
+"""The incident of 2026-12-02: a limiter sent requests to a draining server for longer than the drain grace.
 
-Real processes over loopback: a limiter, two servers, discovery's agent with a slow first answer, clients that
-ask without pause. The page of the incident: docs/incidents/2026-12-02-drain-after-restart.md.
+Real processes over loopback: a limiter, two servers, a discovery agent with a slow first response and a
+client that sends requests continuously. Report: docs/incidents/2026-12-02-drain-after-restart.md.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 from basaltpoint.standins.discovery import Agent, Registry
 
-GRACE_S = 0.25 + 0.05  # the settings' drainGraceMs, and the protocol page's slack
-FIRST_RESPONSE_DELAY_S = 0.9  # until the agent's first word: the machine is busy, or the agent is
+GRACE_S = 0.25 + 0.05  # drainGraceMs of the settings, and the tolerance on the protocol page
+FIRST_RESPONSE_DELAY_S = 0.9  # of a busy host or agent
 
 
 class Arrivals:
-    """When each request came to a server, monotonic seconds."""
+    """Records when each request arrived at a server, monotonic seconds."""
 
     def __init__(self) -> None:
         self.at: list[float] = []
@@ -39,7 +39,7 @@
 
 @contextlib.asynccontextmanager
 async def continuous_requests(limiter: LimiterProcess) -> AsyncIterator[None]:
-    """A client that asks again and again, over a new connection where the old one has gone."""
+    """A client that sends requests continuously and reconnects when its connection is closed."""
     numbers = itertools.count()
 
     async def ask() -> None:
@@ -60,7 +60,7 @@
 Scenario = Callable[[LimiterProcess, Agent, Registry, Arrivals, Arrivals, Backend], Awaitable[None]]
 
 
-def run_scenario(path: Path, story: Scenario) -> None:
+def run_scenario(path: Path, scenario: Scenario) -> None:
     async def test() -> None:
         first, second, limiter = Arrivals(), Arrivals(), LimiterProcess(path)
         async with backend(first.answer) as one, backend(second.answer) as two:
@@ -72,7 +72,7 @@
                 await limiter.up()
                 async with continuous_requests(limiter):
                     await until(lambda: len(first.at) > 5 and len(second.at) > 5)
-                    await story(limiter, agent, registry, first, second, one)
+                    await scenario(limiter, agent, registry, first, second, one)
             finally:
                 await limiter.kill()
                 await agent.close()
@@ -80,12 +80,12 @@
     run(test())
 
 
-def test_a_restarted_limiter_sends_nothing_to_a_server_that_began_to_drain_while_it_was_dead(
+def test_a_restarted_limiter_sends_nothing_to_a_server_drained_meanwhile(
     tmp_path: Path,
 ) -> None:
-    """The incident itself: killed, a drain is told, started with the list of before, a late first answer."""
+    """A drain is announced while the limiter is down; it restarts from its old list and discovery is slow."""
 
-    async def story(
+    async def scenario(
         limiter: LimiterProcess,
         agent: Agent,
         registry: Registry,
@@ -98,20 +98,20 @@
         await until(lambda: agent.version == 2)
         agent.faults.first_word_s = (FIRST_RESPONSE_DELAY_S, FIRST_RESPONSE_DELAY_S)
         await limiter.start(agent.address, registry.known_at(1))
-        await asyncio.sleep(FIRST_RESPONSE_DELAY_S + 0.5)  # past the agent's first word
+        await asyncio.sleep(FIRST_RESPONSE_DELAY_S + 0.5)  # until after the agent's first byte
         served = len(second.at)
         await until(lambda: len(second.at) > served + 5)
         assert first.after(limiter.started_at + GRACE_S) == []
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_limiter_whose_watch_was_reset_sends_nothing_to_a_server_that_began_to_drain_meanwhile(
+def test_a_limiter_with_a_reset_watch_sends_nothing_to_a_server_drained_meanwhile(
     tmp_path: Path,
 ) -> None:
-    """The same mistake in a process that runs on: its watch is reset, and the next first word is late."""
+    """The same fault in a running process: its watch is reset, and the next first response is late."""
 
-    async def story(
+    async def scenario(
         limiter: LimiterProcess,
         agent: Agent,
         registry: Registry,
@@ -129,4 +129,4 @@
         await until(lambda: len(second.at) > served + 5)
         assert first.after(told + GRACE_S) == []
 
-    run_scenario(tmp_path, story)
+    run_scenario(tmp_path, scenario)
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -1,4 +1,4 @@
-"""Lists of thousands of servers: what concerns known ones holds at once, new ones come in slices."""
+"""Lists of thousands of servers: changes of known servers apply at once, new servers in slices."""
 
 from __future__ import annotations
 
@@ -25,124 +25,124 @@
 from basaltpoint.interface import ServerState
 from basaltpoint.membership.hosts import HostList, parse_list
 
-MANY = 3_200
+SERVER_COUNT = 3_200
 
 
-def many(prefix: str, dial: str, count: int = MANY, **more: Any) -> list[dict[str, Any]]:
+def hosts_at(prefix: str, dial: str, count: int = SERVER_COUNT, **more: Any) -> list[dict[str, Any]]:
     return [host(f"{prefix}-{number}", dial, **more) for number in range(count)]
 
 
 def watch_events(rig: Rig) -> list[api.ServerList]:
-    """Each list that the decisions are told from here on."""
-    told: list[api.ServerList] = []
-    tell = rig.limiter.table.handle_event
+    """Records each list that the decision module receives from now on."""
+    received: list[api.ServerList] = []
+    handle_event = rig.limiter.table.handle_event
 
-    def note(now: float, event: api.Event) -> Any:
+    def record(now: float, event: api.Event) -> Any:
         if isinstance(event, api.ServerList):
-            told.append(event)
-        return tell(now, event)
+            received.append(event)
+        return handle_event(now, event)
 
-    rig.limiter.table.handle_event = note  # type: ignore[method-assign]
-    return told
+    rig.limiter.table.handle_event = record  # type: ignore[method-assign]
+    return received
 
 
 def parsed(raw: dict[str, Any]) -> HostList:
     return parse_list(raw)[0]
 
 
-async def seen(rig: Rig, version: int, servers: int) -> None:
+async def wait_until_applied(rig: Rig, version: int, servers: int) -> None:
     await until(lambda: rig.limiter.known_seq == version and len(rig.limiter.listed_servers.hosts) == servers)
 
 
-async def first_list(watched: Agent, rig: Rig, *hosts: dict[str, Any]) -> None:
+async def send_first_list(watched: Agent, rig: Rig, *hosts: dict[str, Any]) -> None:
     await watched.watches.get()
     watched.tell(listing(2, *hosts))
-    await seen(rig, 2, len(hosts))
+    await wait_until_applied(rig, 2, len(hosts))
 
 
-def test_one_list_that_replaces_all_servers_comes_in_slices_and_the_old_ones_go_first() -> None:
+def test_a_list_that_replaces_all_servers_removes_first_and_adds_in_slices() -> None:
     async def test() -> None:
         nowhere = unused_address()
         async with agent() as watched, limiter(host("a", nowhere), watched=watched) as rig:
-            await first_list(watched, rig, *many("old", nowhere))
+            await send_first_list(watched, rig, *hosts_at("old", nowhere))
             events = watch_events(rig)
-            watched.tell(listing(3, *many("new", nowhere)))
-            await seen(rig, 3, MANY)
+            watched.tell(listing(3, *hosts_at("new", nowhere)))
+            await wait_until_applied(rig, 3, SERVER_COUNT)
             first, *others = events
             assert {entry.state for entry in first.servers} == {ServerState.GONE}
-            assert len(first.servers) == MANY
-            assert len(others) == MANY / SLICE and all(len(each.servers) == SLICE for each in others)
-            assert len(rig.limiter.decision_module.pools[0].servers.ready) == MANY
-            assert len(rig.limiter.listed_servers.numbers) == MANY
+            assert len(first.servers) == SERVER_COUNT
+            assert len(others) == SERVER_COUNT / SLICE and all(len(each.servers) == SLICE for each in others)
+            assert len(rig.limiter.decision_module.pools[0].servers.ready) == SERVER_COUNT
+            assert len(rig.limiter.listed_servers.numbers) == SERVER_COUNT
 
     run(test())
 
 
-def test_a_whole_list_that_changes_little_costs_little() -> None:
+def test_a_full_list_with_few_changes_is_cheap() -> None:
     async def test() -> None:
         nowhere = unused_address()
         async with agent() as watched, limiter(host("a", nowhere), watched=watched) as rig:
-            hosts = many("s", nowhere)
-            await first_list(watched, rig, *hosts)
+            hosts = hosts_at("s", nowhere)
+            await send_first_list(watched, rig, *hosts)
             events = watch_events(rig)
             hosts[7] = host("s-7", nowhere, "leaving")
             watched.tell(listing(3, *hosts[:-1]))
-            await seen(rig, 3, MANY - 1)
+            await wait_until_applied(rig, 3, SERVER_COUNT - 1)
             states = sorted(entry.state.value for event in events for entry in event.servers)
             assert states == [ServerState.DRAINING.value, ServerState.GONE.value]
 
     run(test())
 
 
-def test_a_list_that_follows_finds_all_new_servers_of_the_one_before() -> None:
-    """A drain, an end and a move of servers that wait for their slice."""
+def test_a_later_list_applies_to_servers_still_waiting_for_their_slice() -> None:
+    """A drain, a removal and a new address of servers that wait for their slice."""
 
     async def test() -> None:
         nowhere, elsewhere = unused_address(), unused_address()
         async with agent() as watched, limiter(host("a", nowhere), watched=watched) as rig:
-            await first_list(watched, rig, host("a", nowhere))
+            await send_first_list(watched, rig, host("a", nowhere))
             events = watch_events(rig)
             changed = [
                 host("s-3000", nowhere, "leaving"),
                 host("s-3001", nowhere, "left"),
                 host("s-3002", elsewhere),
             ]
-            rig.limiter.listed(parsed(listing(3, *many("s", nowhere), whole=False)))
+            rig.limiter.listed(parsed(listing(3, *hosts_at("s", nowhere), whole=False)))
             rig.limiter.listed(parsed(listing(4, *changed, whole=False)))
             assert not rig.limiter.listed_servers._new and len(events) >= 2
             hosts = rig.limiter.listed_servers.hosts
             assert hosts["s-3000"].state is ServerState.DRAINING
             assert "s-3001" not in hosts and "{}:{}".format(*hosts["s-3002"].address) == elsewhere
-            assert len(rig.limiter.decision_module.pools[0].servers.ready) == MANY + 1 - 2
-            assert len(rig.limiter.listed_servers.numbers) == MANY + 1 - 1
+            assert len(rig.limiter.decision_module.pools[0].servers.ready) == SERVER_COUNT + 1 - 2
+            assert len(rig.limiter.listed_servers.numbers) == SERVER_COUNT + 1 - 1
 
     run(test())
 
 
-def test_clients_are_answered_between_the_slices() -> None:
+def test_clients_are_served_between_slices() -> None:
     async def test() -> None:
         async with backend(echo) as server, agent() as watched:
             async with limiter(host("a", server.address), watched=watched) as rig:
-                await first_list(watched, rig, host("a", server.address))
+                await send_first_list(watched, rig, host("a", server.address))
                 client = await rig.connect()
                 assert (await client.ask(message(ident="early"))).code == 200
                 left: list[int] = []
-                rig.limiter.listed(parsed(listing(3, *many("s", unused_address()), whole=False)))
+                rig.limiter.listed(parsed(listing(3, *hosts_at("s", unused_address()), whole=False)))
                 turns = 0
                 while rig.limiter.listed_servers._new:
                     left.append(len(rig.limiter.listed_servers._new))
                     turns += 1
                     await asyncio.sleep(0)
-                assert turns >= MANY / SLICE - 1 and left == sorted(left, reverse=True)
+                assert turns >= SERVER_COUNT / SLICE - 1 and left == sorted(left, reverse=True)
 
     run(test())
 
 
-def test_a_server_named_twice_is_as_the_last_entry_says() -> None:
+def test_the_last_entry_of_a_server_named_twice_counts() -> None:
     async def test() -> None:
         nowhere = unused_address()
         async with agent() as watched, limiter(host("a", nowhere), watched=watched) as rig:
-            await first_list(watched, rig, host("a", nowhere))
+            await send_first_list(watched, rig, host("a", nowhere))
             twice = (host("a", nowhere, "left"), host("a", nowhere, born_ms=5.0))
             rig.limiter.listed(parsed(listing(3, *twice, whole=False)))
             assert rig.limiter.ready and len(rig.limiter.listed_servers.numbers) == 1
--- a/tests/test_list_log.py
+++ b/tests/test_list_log.py
@@ -1,4 +1,4 @@
-"""Lists of servers that follow each other closely share a log line."""
+"""Lists in quick succession share a log line."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from basaltpoint.membership.list_log import LOG_INTERVAL_S, ListLog
 
 
-def test_thousands_of_lists_make_one_line_a_second(caplog: pytest.LogCaptureFixture) -> None:
+def test_thousands_of_lists_produce_one_line_a_second(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level("INFO")
     lines = ListLog()
     lines.record(0.0, 1, ListKind.FULL, 3_200, 3_200)
--- a/tests/test_moments_lists.py
+++ b/tests/test_moments_lists.py
@@ -1,4 +1,4 @@
-"""Lists at rare moments: indented, in pieces, broken off; each order of events is forced."""
+"""Lists in rare situations: indented, in pieces, truncated. Each order of events is forced."""
 
 from __future__ import annotations
 
@@ -17,31 +17,31 @@
 from basaltpoint.membership.backoff import Backoff
 from basaltpoint.membership.json_stream import MAX_OBJECT_BYTES, JsonObjectStream, MalformedStreamError
 
-TOLD = listing(7, host('a"}{\\', "127.0.0.1:1"), host("b\n{", "127.0.0.1:2", "leaving"))
+OBJECT = listing(7, host('a"}{\\', "127.0.0.1:1"), host("b\n{", "127.0.0.1:2", "leaving"))
 FORMS = {
-    "one line": json.dumps(TOLD).encode() + b"\n",
-    "indented": json.dumps(TOLD, indent=2).encode() + b"\n",
-    "indented by nothing": json.dumps(TOLD, indent=0).encode() + b"\n",
-    "tabs and CRLF": json.dumps(TOLD, indent="\t").replace("\n", "\r\n").encode() + b"  \r\n",
-    "no line end": json.dumps(TOLD).encode(),
-    "two on a line": json.dumps(TOLD).encode() + b" " + json.dumps(TOLD).encode() + b"\n",
-    "two, one indented": json.dumps(TOLD, indent=1).encode() + json.dumps(TOLD).encode() + b"\n",
+    "one line": json.dumps(OBJECT).encode() + b"\n",
+    "indented": json.dumps(OBJECT, indent=2).encode() + b"\n",
+    "indented by nothing": json.dumps(OBJECT, indent=0).encode() + b"\n",
+    "tabs and CRLF": json.dumps(OBJECT, indent="\t").replace("\n", "\r\n").encode() + b"  \r\n",
+    "no line end": json.dumps(OBJECT).encode(),
+    "two on a line": json.dumps(OBJECT).encode() + b" " + json.dumps(OBJECT).encode() + b"\n",
+    "two, one indented": json.dumps(OBJECT, indent=1).encode() + json.dumps(OBJECT).encode() + b"\n",
 }
 
 
 @pytest.mark.parametrize("form", FORMS)
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 64, 1 << 20])
-def test_an_object_is_found_however_it_is_cut(form: str, size: int) -> None:
+def test_an_object_is_found_for_any_split(form: str, size: int) -> None:
     raw, objects, found = FORMS[form], JsonObjectStream(), list[Any]()
     for start in range(0, len(raw), size):
         found += objects.feed(raw[start : start + size])
-    assert found == [TOLD] * (2 if "two" in form else 1)
+    assert found == [OBJECT] * (2 if "two" in form else 1)
     assert list(objects.feed(b"\r\n \n")) == []
     assert not objects.has_partial_object
 
 
-def test_any_cut_into_pieces() -> None:
-    """The same objects at random cuts; seeds tell a failure."""
+def test_random_splits_give_the_same_objects() -> None:
+    """Random splits give the same objects; the seed identifies a failure."""
     raw = b"\n".join(FORMS.values())
     whole = list(JsonObjectStream().feed(raw))
     for seed in range(200):
@@ -54,20 +54,20 @@
 
 
 @pytest.mark.parametrize("junk", [b"nonsense\n", b"[1]\n", b"}\n", b'"text"\n', b"\xff\n", b"{}]"])
-def test_what_is_no_object_is_refused_where_it_stands(junk: bytes) -> None:
+def test_data_that_is_not_an_object_is_rejected(junk: bytes) -> None:
     with pytest.raises(ValueError, match="not an object"):
         list(JsonObjectStream().feed(b"\n" + junk))
 
 
-def test_an_object_without_end_is_refused() -> None:
+def test_an_object_without_end_is_rejected() -> None:
     objects = JsonObjectStream()
     with pytest.raises(ValueError, match="over"):
         for _ in range(MAX_OBJECT_BYTES // 65536 + 2):
             list(objects.feed(b'{"a":"' + b"x" * 65530))
 
 
-def test_a_list_that_breaks_off_before_another_is_told() -> None:
-    """Wherever it was cut: never is the next one swallowed, nor taken for the rest of it."""
+def test_a_truncated_list_before_another_is_detected() -> None:
+    """For any truncation: the next list is never swallowed or taken for the rest of the first."""
     for form in ("indented", "one line"):
         for size in range(1, len(FORMS[form]) - 3):
             objects = JsonObjectStream()
@@ -76,16 +76,16 @@
                 list(objects.feed(b"\n" + FORMS["one line"]))
 
 
-def test_what_came_whole_before_the_break_counts() -> None:
-    """In one piece with it, too."""
+def test_objects_before_invalid_data_are_returned() -> None:
+    """Also if they arrive in one piece with the invalid data."""
     found = JsonObjectStream().feed(FORMS["indented"] + b"nonsense\n")
-    assert next(found) == TOLD
+    assert next(found) == OBJECT
     with pytest.raises(MalformedStreamError, match="not an object"):
         next(found)
 
 
-def test_the_time_taken_is_linear_in_the_length() -> None:
-    """Counted in bytes looked at: one chunk of a byte each must not start from the front each time."""
+def test_parsing_is_linear_in_the_length() -> None:
+    """Counted in scanned bytes: data in small chunks must not be scanned from the start each time."""
     hosts = [host(f"s-{n}", "127.0.0.1:1") for n in range(2000)]
     raw, objects = json.dumps(listing(1, *hosts), indent=1).encode(), JsonObjectStream()
     seen = 0
@@ -96,43 +96,43 @@
     assert seen <= len(raw)
 
 
-def spread(told: dict[str, Any]) -> bytes:
+def indented(told: dict[str, Any]) -> bytes:
     return json.dumps(told, indent=4).encode() + b"\n"
 
 
-def in_pieces(watched: Agent, raw: bytes) -> None:
+def send_in_pieces(watched: Agent, raw: bytes) -> None:
     for start in range(0, len(raw), 5):
         watched.tell(raw[start : start + 5])
 
 
-def test_indented_lists_count_at_a_start_after_a_break_and_after_a_move() -> None:
+def test_indented_lists_are_read_after_a_start_a_reset_and_a_switch() -> None:
     async def test() -> None:
         async with agent() as old, agent() as new:
             async with limiter(host("a", "127.0.0.1:1"), watched=old) as rig:
                 await old.watches.get()
-                in_pieces(old, spread(listing(3, host("a", "127.0.0.1:1"), host("b", "127.0.0.1:2"))))
+                send_in_pieces(old, indented(listing(3, host("a", "127.0.0.1:1"), host("b", "127.0.0.1:2"))))
                 await until(lambda: rig.watch.seq == 3)
                 old.cut()
                 assert await old.watches.get() == "/discovery/hosts?follow=1&since=3"
-                old.tell(spread(listing(4, host("b", "127.0.0.1:2", "leaving"), whole=False)))
+                old.tell(indented(listing(4, host("b", "127.0.0.1:2", "leaving"), whole=False)))
                 await until(lambda: rig.watch.seq == 4)
                 rig.watch.set_address(new.address)
                 await new.watches.get()
-                in_pieces(new, spread(listing(2, host("c", "127.0.0.1:3"))))
+                send_in_pieces(new, indented(listing(2, host("c", "127.0.0.1:3"))))
                 await until(lambda: rig.watch.seq == 2)
                 assert set(rig.limiter.listed_servers.hosts) == {"c"}
 
     run(test())
 
 
-def test_a_list_that_stops_half_way_is_asked_for_anew(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Though empty lines go on coming: a drain in its other half would be overheard for good."""
+def test_an_incomplete_list_is_requested_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Even if heartbeats keep arriving: a drain in the missing part would never be seen."""
     monkeypatch.setattr(discovery, "LIST_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with agent() as watched, limiter(host("a", "127.0.0.1:1"), watched=watched) as rig:
             await watched.watches.get()
-            watched.tell(spread(listing(2, host("a", "127.0.0.1:1", "leaving")))[:60])
+            watched.tell(indented(listing(2, host("a", "127.0.0.1:1", "leaving")))[:60])
 
             async def lines() -> None:
                 while True:
@@ -142,14 +142,14 @@
             task = asyncio.create_task(lines())
             assert await watched.watches.get() == "/discovery/hosts?follow=1&since=1"
             task.cancel()
-            watched.tell(spread(listing(2, host("a", "127.0.0.1:1", "leaving"))))
+            watched.tell(indented(listing(2, host("a", "127.0.0.1:1", "leaving"))))
             await until(lambda: rig.watch.seq == 2)
 
     run(test())
 
 
-def test_a_quiet_watch_is_no_failed_call() -> None:
-    """Breaks with no news between them must not lengthen the wait until the next call."""
+def test_a_watch_with_heartbeats_only_is_not_a_failure() -> None:
+    """Interruptions without changes between them must not lengthen the delay before the next call."""
 
     async def test() -> None:
         waits: list[int] = []
@@ -173,7 +173,7 @@
 
 
 def test_a_status_other_than_200_ends_the_watch() -> None:
-    """Whatever its body says, and at once: it may never end."""
+    """Whatever its body says, and at once: the body may have no end."""
 
     async def test() -> None:
         calls = asyncio.Queue[float]()
@@ -181,7 +181,7 @@
         async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             calls.put_nowait(time.monotonic())
-            raw = spread(listing(9, host("z", "127.0.0.1:9")))
+            raw = indented(listing(9, host("z", "127.0.0.1:9")))
             writer.write(
                 b"HTTP/1.1 503 Busy\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(raw), raw)
             )
@@ -201,11 +201,11 @@
 
 # --- Two watches at once ----------------------------------------------------------------------------------
 class SilentAgent:
-    """An agent that says nothing by itself: each call that is asked of it can be answered by hand."""
+    """An agent that sends nothing by itself; a test answers each call."""
 
     def __init__(self) -> None:
         self.calls: asyncio.Queue[asyncio.StreamWriter] = asyncio.Queue()
-        self.disconnected: list[asyncio.StreamWriter] = []  # by the limiter
+        self.disconnected: list[asyncio.StreamWriter] = []  # calls that the limiter has closed
         self.address = ("", 0)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -223,7 +223,7 @@
 
 @contextlib.asynccontextmanager
 async def silent_agent(rig: Any) -> AsyncIterator[SilentAgent]:
-    """A limiter that asks such an agent."""
+    """Lets the limiter of `rig` use a silent agent."""
     made = SilentAgent()
     server = await asyncio.start_server(made._serve, "127.0.0.1", 0)
     made.address = rig.watch._address = server.sockets[0].getsockname()
@@ -239,15 +239,15 @@
 LEAVES = host("a", "127.0.0.1:1", "leaving")
 
 
-def test_a_call_without_a_word_is_not_waited_for_as_long_as_a_quiet_watch(
+def test_a_call_without_response_times_out_sooner_than_a_quiet_watch(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The agent answers at once: a call that was lost must not cost a limiter every drain for seconds."""
+    """The agent responds at once, so a lost call must not hide drains from a limiter for seconds."""
     monkeypatch.setattr(discovery, "WATCH_TIMEOUT_S", 1e6)
 
     async def test() -> None:
         async with limiter(A) as rig, silent_agent(rig) as agent:
-            await agent.calls.get()  # lost
+            await agent.calls.get()  # not answered, as if lost
             agent.answer(await agent.calls.get(), listing(2, LEAVES))
             await until(lambda: rig.watch.seq == 2)
 
@@ -255,8 +255,8 @@
 
 
 @pytest.mark.parametrize("first", ["old", "new"])
-def test_what_a_silent_watch_tells_counts_until_another_one_speaks(first: str) -> None:
-    """Discovery is back: it may answer on either, in either order, and the older news must not stand last."""
+def test_a_silent_watch_is_read_until_another_one_receives_data(first: str) -> None:
+    """A returning discovery may respond on either watch first; the older list must not be applied last."""
 
     async def test() -> None:
         async with limiter(A) as rig, silent_agent(rig) as agent:
@@ -267,7 +267,7 @@
             agent.answer(new, listing(3, LEAVES, B))
             await until(lambda: rig.watch.seq == 3)
             await until(lambda: old in agent.disconnected)
-            with contextlib.suppress(ConnectionError):  # nobody listens there any more
+            with contextlib.suppress(ConnectionError):  # the limiter has closed this watch
                 agent.answer(old, listing(1, A))
                 await old.drain()
             raw = json.dumps(listing(4, B)).encode() + b"\n"
@@ -278,14 +278,14 @@
     run(test())
 
 
-def test_a_refusal_does_not_end_the_watch_that_is_held() -> None:
-    """It says that the agent lives, and nothing of whether the older call is lost."""
+def test_a_refusal_does_not_close_the_silent_watch() -> None:
+    """A refusal shows that the agent runs, but not whether the older call is lost."""
 
     async def test() -> None:
         async with limiter(A) as rig, silent_agent(rig) as agent:
             old, new = await agent.calls.get(), await agent.calls.get()
             agent.answer(new, listing(9), "503 Busy")
-            await agent.calls.get()  # it was asked again
+            await agent.calls.get()  # the limiter has called again
             agent.answer(old, listing(2, LEAVES))
             await until(lambda: rig.watch.seq == 2)
 
@@ -301,15 +301,15 @@
     run(test())
 
 
-def test_two_moves_in_one_turn_end_at_the_latest_address() -> None:
-    """The first has ended the turn and nobody has heard of it when the second comes."""
+def test_two_switches_at_once_end_at_the_latest_address() -> None:
+    """The first switch has ended the call, but the watch has not noticed when the second one follows."""
 
     async def test() -> None:
         async with agent() as one, agent() as two, agent() as three:
             async with limiter(A, watched=one) as rig:
                 await one.watches.get()
                 rig.watch.set_address(two.address)
-                await asyncio.sleep(0)  # the turn's time-out has run, what it cancels has not
+                await asyncio.sleep(0)  # the call's timeout has fired, its cancellation has not run
                 rig.watch.set_address(three.address)
                 await three.watches.get()
                 three.tell(listing(2, B))
--- a/tests/test_moments_servers.py
+++ b/tests/test_moments_servers.py
@@ -1,4 +1,4 @@
-"""Connections to servers at rare moments; each order of events is forced, over real connections."""
+"""Connections to servers in rare situations. Each order of events is forced over real connections."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 from basaltpoint.upstream.buffered import BufferedAttempt, platform_connection
 from basaltpoint.upstream.servers import AttemptResult, ServerConnections
 
-TWICE = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond"
+SURPLUS_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond"
 ASK = b"GET /read HTTP/1.1\r\n\r\n"
 
 
-def test_a_second_answer_is_nobodys() -> None:
-    """It comes late, when the next request would have been written behind the first answer."""
+def test_an_unsolicited_response_is_discarded() -> None:
+    """A surplus response arrives when the next request would have been written after the first response."""
 
     async def test() -> None:
         async def script(request: Request) -> None:
             if len(server.requests) > 1:
-                # Only the next request sets the late one free: the worst order, every time.
-                server.requests[0].writer.write(TWICE)
+                # The next request triggers the late response, which forces the worst order.
+                server.requests[0].writer.write(SURPLUS_RESPONSE)
             if request.connection > 1 or len(server.requests) == 1:
                 await echo(request)
 
@@ -38,13 +38,13 @@
             assert (await client.ask(message("fix", "one"))).body == b"one"
             assert (await client.ask(message("fix", "two"))).body == b"two"
             assert [request.connection for request in server.requests] == [1, 2]
-            await server.requests[0].closed()  # by what nobody had asked for
+            await server.requests[0].closed()  # because of the unsolicited response
 
     run(test())
 
 
-def test_a_connection_that_has_rested_is_used_again() -> None:
-    """The latest used of those; one that has not rested stays for later."""
+def test_the_most_recently_used_idle_connection_is_reused() -> None:
+    """The most recently used one is chosen among those idle for long enough; others are kept for later."""
 
     async def test() -> None:
         async with backend(echo) as server:
@@ -75,8 +75,8 @@
 
 
 @pytest.mark.parametrize("lost", [True, False], ids=["lost", "late"])
-def test_a_connection_that_ends_as_it_comes_up_is_counted_once(lost: bool) -> None:
-    """Its protocol had it, and then its opener was told that it failed."""
+def test_a_connection_lost_while_connecting_is_counted_once(lost: bool) -> None:
+    """The protocol saw the connection, and then its opener got an error."""
 
     async def test() -> None:
         async with backend() as server:
@@ -98,14 +98,14 @@
             assert (await ended).status is Status.CONNECT_FAILED
             await until(lambda: not servers._connecting)
             await until(lambda: servers._open_connections == 0)
-            await asyncio.sleep(0.02)  # whatever is told of it later must not count again
+            await asyncio.sleep(0.02)  # later events of this connection must not be counted again
             assert (servers._open_connections, servers._servers[1].open_connections) == (0, 0)
 
     run(test())
 
 
-def test_an_effect_that_raises_keeps_no_other_waiting(caplog: pytest.LogCaptureFixture) -> None:
-    """Its request is answered as one that may have run; those behind it go on in the same turn."""
+def test_an_effect_that_raises_does_not_block_the_others(caplog: pytest.LogCaptureFixture) -> None:
+    """Its request is answered as one that may have run; later effects are carried out in the same turn."""
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
@@ -134,8 +134,8 @@
 
 
 @pytest.mark.parametrize("cls", ["upload", "read"])
-def test_a_repeat_goes_out_only_while_servers_remember_what_it_repeats(cls: str) -> None:
-    """It was decided in time, and its connection comes up when the first one has been forgotten."""
+def test_a_retry_is_sent_only_within_the_deduplication_window(cls: str) -> None:
+    """It was decided in time, but connects after the server has forgotten the first attempt."""
 
     async def test() -> None:
         gate, held = asyncio.Event(), asyncio.Event()
@@ -159,7 +159,7 @@
             await held.wait()
             await asyncio.sleep(WINDOW_MS / 1000 + 0.02)
             gate.set()
-            if cls == "read":  # it may run as often as it likes
+            if cls == "read":  # safe requests may run any number of times
                 await echo(await server.arrived.get())
                 assert (await client.answer()).body == b"one"
             else:
@@ -173,8 +173,8 @@
 
 
 @pytest.mark.parametrize("written", [True, False])
-def test_only_what_has_not_gone_out_ends_where_its_time_to_go_out_does(written: bool) -> None:
-    """A server that was asked in time may answer up to the attempt's own limit."""
+def test_the_write_deadline_ends_unwritten_attempts_only(written: bool) -> None:
+    """A server that got the request in time may respond until the attempt's own deadline."""
 
     async def test() -> None:
         async with backend() as server:
@@ -190,7 +190,7 @@
             if written:
                 request = await server.arrived.get()
                 attempt.write_by = loop.time()
-                attempt._time_out()  # as its timer would
+                attempt._time_out()  # as its timer does
                 request.reply(body=b"x")
             assert (await ended).status is (Status.OK if written else Status.CONNECT_FAILED)
             servers.close()
@@ -198,23 +198,23 @@
     run(test())
 
 
-async def paused(server: Backend, rig: Rig) -> tuple[socket.socket, list[Request], Any]:
-    """A client with four requests at a server and four more unread behind them, and its connection here."""
+async def client_with_unread_requests(server: Backend, rig: Rig) -> tuple[socket.socket, list[Request], Any]:
+    """A client with four requests at a server and four more unread, and its connection at the limiter."""
     sock = socket.create_connection(rig.clients.address)
     sock.sendall(b"".join(message(ident=f"r-{n}") for n in range(4)))
-    held = [await server.arrived.get() for _ in range(4)]
+    requests = [await server.arrived.get() for _ in range(4)]
     [client] = rig.clients._open
     sock.sendall(b"".join(message(ident=f"r-{n}") for n in range(4, 8)))
-    return sock, held, client
+    return sock, requests, client
 
 
 @pytest.mark.parametrize("how", ["close", "half-close", "reset"])
-def test_no_further_attempt_for_a_client_that_left_while_nothing_was_read_from_it(how: str) -> None:
-    """Four requests stand on its connection, more lie in the socket, and its end lies behind them."""
+def test_no_retry_for_a_client_that_disconnected_while_reading_was_paused(how: str) -> None:
+    """Its connection has four requests in hand; more requests and the end of the stream are unread."""
 
     async def test() -> None:
         async with backend() as server, limiter(host("a", server.address)) as rig:
-            sock, held, client = await paused(server, rig)
+            sock, held, client = await client_with_unread_requests(server, rig)
             assert client._paused
             if how == "reset":
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
@@ -224,7 +224,7 @@
                 sock.close()
             await until(lambda: client.gone())
             for request in held:
-                request.reply("500 Internal Server Error")  # each would be sent once more
+                request.reply("500 Internal Server Error")  # each would be retried
             await until(lambda: not rig.clients._open and not rig.limiter.open)
             assert len(server.requests) == 4
             sock.close()
@@ -232,12 +232,12 @@
     run(test())
 
 
-def test_requests_behind_a_pause_are_not_sent_on_once_their_client_has_left() -> None:
-    """The ones ahead are answered, reading goes on, and what lay in the socket is nobody's any more."""
+def test_unread_requests_of_a_disconnected_client_are_not_sent() -> None:
+    """When the requests ahead are answered, reading resumes, but the unread requests have no client."""
 
     async def test() -> None:
         async with backend() as server, limiter(host("a", server.address)) as rig:
-            sock, held, client = await paused(server, rig)
+            sock, held, client = await client_with_unread_requests(server, rig)
             sock.shutdown(socket.SHUT_WR)
             await until(lambda: client.gone())
             for request in held:
@@ -249,8 +249,8 @@
     run(test())
 
 
-def test_no_retry_for_a_client_whose_end_has_come_and_was_not_read_yet() -> None:
-    """Its end and the failure of its attempt come in one turn, the failure first."""
+def test_no_retry_for_a_client_whose_disconnection_is_unread() -> None:
+    """The disconnection and the failure of its attempt occur in one turn, the failure first."""
 
     async def test() -> None:
         async with backend() as server, limiter(host("a", server.address), reuse_s=30.0) as rig:
@@ -259,7 +259,9 @@
                 sock.sendall(message(ident=f"first-{number}"))
             for request in [await server.arrived.get() for _ in socks]:
                 await echo(request)
-            await until(lambda: not rig.limiter.open)  # two connections are free: a retry would go at once
+            await until(
+                lambda: not rig.limiter.open
+            )  # two connections are idle: a retry would be sent at once
             socks[0].sendall(message(ident="left"))
             await server.arrived.get()
             [attempt] = rig.limiter._attempts.values()
@@ -272,8 +274,8 @@
     run(test())
 
 
-def test_an_attempt_whose_connection_came_up_late_is_not_written_for_a_client_that_left_unread() -> None:
-    """Nothing is read from the client for now, so that its end is not known but to the system."""
+def test_an_attempt_connected_late_is_not_written_for_a_disconnected_client() -> None:
+    """Reading from the client is paused, so only the operating system knows of its disconnection."""
 
     async def test() -> None:
         gate, loop = asyncio.Event(), asyncio.get_running_loop()
@@ -297,13 +299,13 @@
             await until(lambda: not rig.limiter._servers._connecting)
             await until(lambda: not rig.limiter.open)
             assert not server.requests
-            assert rig.limiter.guard.withheld[Denial.CLIENT] >= 1  # with the first answer reading goes on
+            assert rig.limiter.guard.withheld[Denial.CLIENT] >= 1  # reading resumes with the first response
 
     run(test())
 
 
-def test_the_time_told_to_a_server_is_what_is_left_when_it_is_written() -> None:
-    """Its connection came up 0.2 s late: what was left at the decision is not left any more."""
+def test_the_deadline_sent_to_a_server_is_the_time_left_at_the_write() -> None:
+    """The connection was established 0.2 s late, so less time is left than at the decision."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
--- a/tests/test_server_starts.py
+++ b/tests/test_server_starts.py
@@ -1,4 +1,4 @@
-"""Starts of servers on this process's clock, though the wall clock steps by an hour, in either direction."""
+"""Start times of servers on this process's clock, when the wall clock steps forward or back."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from basaltpoint.membership.server_starts import ServerStarts
 
 HOUR_MS = 3_600_000.0
-WALL_MS = 1.8e12  # of the wall clock when this process's clock stood at 0
+WALL_MS = 1.8e12  # the wall clock when this process's clock was 0
 
 
-def stepped(by_ms: float) -> ServerStarts:
-    """After a quiet hour the wall clock steps, at 1 h of this process's clock."""
+def starts_after_step(by_ms: float) -> ServerStarts:
+    """The wall clock steps at 1 h of this process's clock."""
     made = ServerStarts(-WALL_MS)
     made.observe_clocks(HOUR_MS, WALL_MS + HOUR_MS + by_ms)
     return made
@@ -23,20 +23,20 @@
 
 @pytest.mark.parametrize("by_ms", [-HOUR_MS, -5000.0, 5000.0, HOUR_MS])
 def test_a_server_that_starts_after_a_step_has_just_started(by_ms: float) -> None:
-    made, now = stepped(by_ms), HOUR_MS + 3000.0
+    made, now = starts_after_step(by_ms), HOUR_MS + 3000.0
     assert made.started_ms("s", WALL_MS + by_ms + now - 200.0, now) == pytest.approx(now - 200.0, abs=1.0)
 
 
 @pytest.mark.parametrize("by_ms", [-HOUR_MS, HOUR_MS])
-def test_a_server_whose_machine_did_not_step_has_just_started(by_ms: float) -> None:
-    """Only this machine's clock was set."""
-    made, now = stepped(by_ms), HOUR_MS + 3000.0
+def test_a_server_on_a_host_without_a_step_has_just_started(by_ms: float) -> None:
+    """Only this host's clock was set."""
+    made, now = starts_after_step(by_ms), HOUR_MS + 3000.0
     assert made.started_ms("s", WALL_MS + now - 200.0, now) == pytest.approx(now - 200.0, abs=1.0)
 
 
 @pytest.mark.parametrize("by_ms", [-HOUR_MS, -5000.0, 5000.0, HOUR_MS])
-def test_a_start_that_was_told_before_does_not_move(by_ms: float) -> None:
-    """Else it would look like another process, and all of the fleet would be cold at once."""
+def test_a_start_reported_before_does_not_move(by_ms: float) -> None:
+    """Otherwise it would look like a restart, and the whole fleet would be cold at once."""
     made = ServerStarts(-WALL_MS)
     before = made.started_ms("s", WALL_MS + 1000.0, 2000.0)
     made.observe_clocks(HOUR_MS, WALL_MS + HOUR_MS + by_ms)
@@ -59,10 +59,8 @@
 
 
 @pytest.mark.parametrize("hours", [-1, 1])
-def test_a_limiter_spares_a_server_that_starts_after_the_wall_clock_was_set(
-    hours: int, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Back an hour, and it would get its full part at once; forward, and it would be cold for an hour."""
+def test_slow_start_after_the_wall_clock_was_set(hours: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    """After a step back a server would skip slow start; after a step forward it would be cold for an hour."""
 
     def share(rig: Rig, name: str) -> float:
         fleet = rig.limiter.decision_module.pools[0].servers
@@ -75,9 +73,9 @@
             rig.limiter.sweep()
             fresh = host("b", "127.0.0.1:2", born_ms=time.time() * 1000 - 100.0)
             rig.limiter.listed(parse_list(listing(2, fresh, whole=False))[0])
-            assert share(rig, "b") == pytest.approx(0.2, abs=0.05)  # the settings' coldFrom
+            assert share(rig, "b") == pytest.approx(0.2, abs=0.05)  # coldFrom of the settings
             early = host("c", "127.0.0.1:3", born_ms=time.time() * 1000 - 9_000.0)
             rig.limiter.listed(parse_list(listing(3, early, whole=False))[0])
-            assert share(rig, "c") == pytest.approx(0.92, abs=0.05)  # of 10 s nine are over
+            assert share(rig, "c") == pytest.approx(0.92, abs=0.05)  # 9 s of the 10 s have passed
 
     run(test())
--- a/tests/test_standalone_accept.py
+++ b/tests/test_standalone_accept.py
@@ -1,4 +1,4 @@
-"""The standalone front where accept fails, or there is no room: what waits is served, nothing is dropped."""
+"""The standalone front with failing accepts or too many connections: all requests are served."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 KINDS = ("EPROTO", "ENFILE", "EMFILE", "ENOBUFS", "ENOMEM", "ETIMEDOUT", "ENETDOWN", "ECONNABORTED", "EINTR")
 
 
-async def answer(came: Request) -> None:
+async def respond(came: Request) -> None:
     came.reply(body=b"done")
 
 
 @pytest.mark.parametrize("name", KINDS)
-def test_a_failing_accept_costs_no_request(
+def test_a_failing_accept_loses_no_request(
     tmp_path: Path, name: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with backend(answer) as server, standalone(tmp_path, config(server.address)) as rig:
+        async with backend(respond) as server, standalone(tmp_path, config(server.address)) as rig:
             kept = [await rig.connect() for _ in range(9)]
             for client in kept:
                 assert (await client.ask(request())).code == 200
@@ -33,7 +33,7 @@
             assert (await client.ask(request())).code == 200
             assert failing.failures_left == 0
             left = [other for other in kept if not other.reader.at_eof()]
-            # Where this process has no descriptors left, one that rests makes room at each try.
+            # If the process is out of descriptors, each failed accept closes an idle connection.
             assert len(left) == (5 if name == "EMFILE" else 9)
             for other in left:
                 assert (await other.ask(request())).code == 200
@@ -42,8 +42,8 @@
     assert "Traceback" not in caplog.text
 
 
-def test_connections_beyond_the_bound_wait_for_room_and_are_served(tmp_path: Path) -> None:
-    """None is taken and closed without an answer; those that rest make room."""
+def test_connections_over_the_limit_wait_and_are_served(tmp_path: Path) -> None:
+    """No connection is accepted and closed without a response; idle connections are closed for them."""
 
     async def test() -> None:
         async with backend() as server, standalone(tmp_path, config(server.address)) as rig:
@@ -59,11 +59,11 @@
     run(test())
 
 
-def test_what_waits_at_a_drain_is_answered(tmp_path: Path) -> None:
-    """Connections in the backlog would be reset with the socket."""
+def test_the_backlog_is_served_at_a_drain(tmp_path: Path) -> None:
+    """Closing the listening socket would reset the connections in its backlog."""
 
     async def test() -> None:
-        async with backend(answer) as server, standalone(tmp_path, config(server.address)) as rig:
+        async with backend(respond) as server, standalone(tmp_path, config(server.address)) as rig:
             acceptor = rig.limiter._acceptor
             assert acceptor
             acceptor.pause()
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""Wall clocks that step under real processes: members, quotas and slow start go by other clocks."""
+"""Wall clock steps under real processes: membership, quotas and slow start use other clocks."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 @pytest.mark.parametrize("step_s", [-3600.0, 3600.0])
-def test_a_member_that_starts_anew_after_a_step_is_alive_to_all(
+def test_a_member_restarted_after_a_clock_step_is_alive_to_all(
     tmp_path: Path, step_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its incarnation begins with the wall clock: where that went back, the others' view raises it."""
+    """Its incarnation starts from the wall clock; after a step back, the other members' view raises it."""
     table, plain = FaultTable(tmp_path / "faults"), processes._environment
     library = build(tmp_path)
     monkeypatch.setattr(processes, "_environment", lambda: plain() | environment(library, table))
@@ -28,7 +28,7 @@
         async with running_fleet(tmp_path / "fleet", 3) as made:
             await made.end("l2")
             await wait_until_seen(made, "l1", "l2", "dead")
-            table.step_wall_clock(step_s)  # under those that run, too
+            table.step_wall_clock(step_s)  # also for the running processes
             made.start("l2")
             await wait_until_agreed(made, "l1", "l2", "l3")
             assert_no_resurrection(made)
