--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -21,11 +21,11 @@
     wait_until_agreed,
     wait_until_seen,
 )
-from waiting import PATIENCE_S, run, until
+from waiting import TEST_TIMEOUT_S, run, until
 
 from basaltpoint.cli import main
 from basaltpoint.config import fleets
-from basaltpoint.daemon.fleet_look import look
+from basaltpoint.daemon.fleet_query import query_view
 from basaltpoint.links.frames import LENGTH_PREFIX, PROTOCOL_VERSION, Greeting, encode_frame
 from basaltpoint.peers.messages import Gossip
 from basaltpoint.rehearsal.faults import Fault, Kind
@@ -86,7 +86,9 @@
             await made.begin(cut)
 
             async def is_reported() -> bool:
-                looked = await look(fleets.load(made.members["l4"].file), "l4", made.members["l4"].advertise)
+                looked = await query_view(
+                    fleets.load(made.members["l4"].file), "l4", made.members["l4"].advertise
+                )
                 return any(
                     name.strip(">") == "l2"
                     for s in looked.members
@@ -94,13 +96,13 @@
                     for name in s.record.unreachable
                 )
 
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 while not await is_reported():
                     await asyncio.sleep(0.1)
             saws, _ = made.journal()
             assert not [saw for saw in saws if saw.state == "dead"]
             await made.over(cut)
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 while await is_reported():
                     await asyncio.sleep(0.1)
 
@@ -122,7 +124,8 @@
             later_process.file.write_text(text)
             other.start()
             assert (
-                later_process.process and await asyncio.to_thread(later_process.process.wait, PATIENCE_S) == 1
+                later_process.process
+                and await asyncio.to_thread(later_process.process.wait, TEST_TIMEOUT_S) == 1
             )
             assert "the name l2 is in use at" in other.log("l2")
             await wait_until_agreed(made, "l1", "l2", "l3")
@@ -175,7 +178,7 @@
             assert await fleet_command("remove", "l3") == 0
             made.resume("l3")
             process = made.members["l3"].process
-            assert process and await asyncio.to_thread(process.wait, PATIENCE_S) == 1
+            assert process and await asyncio.to_thread(process.wait, TEST_TIMEOUT_S) == 1
             assert "l1 declared this member gone" in made.log("l3")
 
     run(test())
@@ -217,7 +220,7 @@
             ):
                 reader, writer = await asyncio.open_connection(host, int(port))
                 writer.write(greeting + raw)
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(TEST_TIMEOUT_S):
                     if not greeting or raw != encode_frame(Gossip()):
                         while await reader.read(4096):
                             pass
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -795,7 +795,7 @@
             relay = rig.limiter.relay
             for late in (5.0, 6.0, -50.0):
                 relay.table._schedule(relay.now() - late, 0, 77)
-                relay.arm()
+                relay.schedule_tick()
             client = await rig.connect()
             assert (await client.ask(request())).code == 200
             await until(lambda: relay.table.next_tick_ms is None)
@@ -813,7 +813,7 @@
             def fail(*_: object) -> None:
                 raise RuntimeError("a fault of this program")
 
-            for name in ("submit", "begun"):
+            for name in ("submit", "response_started"):
                 good = getattr(relay, name)
                 setattr(relay, name, fail)
                 client = await rig.connect()
