--- a/basaltpoint/daemon/store_follower.py
+++ b/basaltpoint/daemon/store_follower.py
@@ -90,7 +90,7 @@
     def __init__(self, storage: StoreSettings, path: Path, name: str) -> None:
         self.storage, self.path, self.name = storage, path, name
         self.shared_state = SharedState()
-        self.client = setting.client(storage)
+        self.client = setting.create_client(storage)
         self.revision = 0
         self.downtime_s = 0.0
         self.balances: dict[str, Balance] = {}
@@ -131,7 +131,7 @@
                 self._tell(f"store: {error}; the start waits for it")
 
     async def _read(self, within_s: float) -> Change:
-        values, revision = await self.client.range(SHARED_PREFIX, within_s=within_s)
+        values, revision = await self.client.get_range(SHARED_PREFIX, within_s=within_s)
         change = self.shared_state.load({key: value.value for key, value in values.items()}, revision)
         self.revision = revision
         self._known_current()
@@ -148,7 +148,9 @@
                 f"{self.path}: the store holds no configuration; put it there: basaltpoint config push FILE"
             )
         try:
-            await self.client.txn([Put(DOCUMENT_KEY, text)], [Check(DOCUMENT_KEY, 0)], REQUEST_TIMEOUT_S)
+            await self.client.transaction(
+                [Put(DOCUMENT_KEY, text)], [Check(DOCUMENT_KEY, 0)], REQUEST_TIMEOUT_S
+            )
         except UnavailableError:
             raise
         except StoreError as error:
@@ -159,7 +161,7 @@
     async def _read_own(self) -> None:
         """What an earlier life of this limiter left."""
         prefix = f"balance/{self.name}/"
-        found, _ = await self.client.range(prefix, within_s=REQUEST_TIMEOUT_S)
+        found, _ = await self.client.get_range(prefix, within_s=REQUEST_TIMEOUT_S)
         for key, value in found.items():
             with contextlib.suppress(msgspec.DecodeError):
                 balance = msgspec.msgpack.decode(value.value, type=Balance)
@@ -292,13 +294,13 @@
 
     async def _renew(self) -> None:
         if self._long_lease:
-            await self.client.renew(self._long_lease, WARNING_INTERVAL_S / 2)
+            await self.client.renew_lease(self._long_lease, WARNING_INTERVAL_S / 2)
         else:
-            self._long_lease = await self.client.grant(BALANCE_LEASE_MS, WARNING_INTERVAL_S / 2)
+            self._long_lease = await self.client.grant_lease(BALANCE_LEASE_MS, WARNING_INTERVAL_S / 2)
         if self._lease:
-            await self.client.renew(self._lease, WARNING_INTERVAL_S / 2)
+            await self.client.renew_lease(self._lease, WARNING_INTERVAL_S / 2)
         else:
-            self._lease = await self.client.grant(PRESENCE_LEASE_MS, WARNING_INTERVAL_S / 2)
+            self._lease = await self.client.grant_lease(PRESENCE_LEASE_MS, WARNING_INTERVAL_S / 2)
         told = self.revision, self._problem
         if told != self._told_own:
             own: dict[str, Any] = {
@@ -312,7 +314,7 @@
 
     async def members(self, within_s: float = REQUEST_TIMEOUT_S) -> list[Member]:
         """Other limiters' places in this one's fleet, as the asked replica has them; UnavailableError."""
-        values, _ = await self.client.range(LIMITER_PREFIX, local=True, within_s=within_s)
+        values, _ = await self.client.get_range(LIMITER_PREFIX, local=True, within_s=within_s)
         found = []
         for value in values.values():
             with contextlib.suppress(msgspec.DecodeError):
@@ -353,7 +355,7 @@
             for account, balance in due.items()
         ]
         for at in range(0, len(ops), MAX_BALANCES_PER_WRITE):
-            await self.client.txn(ops[at : at + MAX_BALANCES_PER_WRITE], within_s=STOP_TIMEOUT_S)
+            await self.client.transaction(ops[at : at + MAX_BALANCES_PER_WRITE], within_s=STOP_TIMEOUT_S)
 
     async def _put_learned(self) -> None:
         if pools := self._relay.learned_latencies():
@@ -423,7 +425,7 @@
             with contextlib.suppress(StoreError, TimeoutError):
                 async with asyncio.timeout(STOP_TIMEOUT_S):
                     if not self._long_lease:
-                        self._long_lease = await self.client.grant(BALANCE_LEASE_MS, STOP_TIMEOUT_S)
+                        self._long_lease = await self.client.grant_lease(BALANCE_LEASE_MS, STOP_TIMEOUT_S)
                     await self._put_balances(self._relay.due_balances(final=True))
                     await self._put_learned()
         if self._copying:
--- a/tests/test_membership_lease.py
+++ b/tests/test_membership_lease.py
@@ -224,12 +224,12 @@
 
     async def drain(self) -> None:
         """Starts the first server's drain and waits until the agent knows it."""
-        version = self.agent.registry.change(host("a", self.one.address, "leaving"))
+        version = self.agent.registry.apply_change(host("a", self.one.address, "leaving"))
         await until(lambda: self.agent.version == version)
 
     async def drain_while_down(self) -> None:
         """Starts the drain while the agent is down, which learns of it when it returns."""
-        self.agent.registry.change(host("a", self.one.address, "leaving"))
+        self.agent.registry.apply_change(host("a", self.one.address, "leaving"))
 
     async def assert_withholds(self) -> None:
         """Asserts that no server gets a request and that clients are told to retry."""
@@ -297,7 +297,7 @@
         await scenario.assert_serves()
         assert (await scenario.client.ask(b"GET /up HTTP/1.1\r\n\r\n")).code == 200
 
-    run_scenario(steps, first_word_s=(0.3, 0.3))
+    run_scenario(steps, response_delay_s=(0.3, 0.3))
 
 
 async def wait_until_expired(scenario: DrainScenario) -> None:
@@ -330,7 +330,7 @@
 def test_a_watch_that_is_reset() -> None:
     async def steps(scenario: DrainScenario) -> None:
         await wait_until_renewed(scenario)
-        scenario.agent.faults.first_word_s = (0.5, 0.5)
+        scenario.agent.faults.response_delay_s = (0.5, 0.5)
         scenario.agent.reset_watches()
         await scenario.drain()
         await wait_until_expired(scenario)
@@ -349,7 +349,7 @@
 
     async def steps(scenario: DrainScenario) -> None:
         await wait_until_renewed(scenario)
-        scenario.agent.faults.tear = True
+        scenario.agent.faults.truncate_next_list = True
         await scenario.drain()
         await wait_until_expired(scenario)
         await scenario.assert_withholds()
@@ -361,7 +361,7 @@
 def test_a_list_in_quick_pieces_does_not_end_the_lease() -> None:
     async def steps(scenario: DrainScenario) -> None:
         await wait_until_renewed(scenario)
-        scenario.agent.faults.piece = 120
+        scenario.agent.faults.chunk_bytes = 120
         await scenario.drain()
         await until(lambda: scenario.rig.watch.seq == 2)
         await scenario.assert_serves()
@@ -418,7 +418,7 @@
 
     async def steps(scenario: DrainScenario) -> None:
         await wait_until_renewed(scenario)
-        scenario.agent.mute_watches()
+        scenario.agent.silence_watches()
         scenario.agent.faults.status = 503
         await scenario.drain()
         await wait_until_expired(scenario)
@@ -459,7 +459,7 @@
         for _ in range(3):
             assert await scenario.response_code() == 200
 
-    run_scenario(steps, first_word_s=(60.0, 60.0))
+    run_scenario(steps, response_delay_s=(60.0, 60.0))
 
 
 def test_a_write_delayed_beyond_a_stall_is_counted_and_logged(
@@ -507,13 +507,13 @@
     async def steps(scenario: DrainScenario) -> None:
         await wait_until_renewed(scenario)
         scenario.agent.faults.down = True
-        scenario.agent.mute_watches()
+        scenario.agent.silence_watches()
         await until(lambda: scenario.rig.limiter.guard.lease_expires_at == math.inf)
         assert await scenario.response_code() == 200  # with the known list
         await scenario.drain_while_down()
-        scenario.agent.faults.first_word_s = (0.8, 0.8)  # delays the response to the next calls
+        scenario.agent.faults.response_delay_s = (0.8, 0.8)  # delays the response to the next calls
         scenario.agent.reset_watches()
-        scenario.agent.come_back()
+        scenario.agent.restore_discovery()
         async with asyncio.timeout(0.5):
             await wait_until_expired(scenario)
         await scenario.assert_withholds()
