--- a/basaltpoint/fronts/__init__.py
+++ b/basaltpoint/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""The ways in: bytes to arrivals, decisions to answers."""
+"""The fronts: they turn received bytes into arrivals and decisions into responses."""
--- a/basaltpoint/fronts/control/__init__.py
+++ b/basaltpoint/fronts/control/__init__.py
@@ -1,1 +1,1 @@
-"""Where operators call: one line in, the answer out."""
+"""The control address for operators: one command line per connection and its response."""
--- a/basaltpoint/fronts/control/console.py
+++ b/basaltpoint/fronts/control/console.py
@@ -1,4 +1,4 @@
-"""The second address: operators' calls, one line to a connection, answered whatever the load."""
+"""The control address: operators' commands, one line per connection, served under any load."""
 
 from __future__ import annotations
 
@@ -15,18 +15,16 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CONNECTIONS = (
-    12  # open at a time, each a descriptor; with one more the caller that is silent for longest goes
-)
-MAX_LINE_BYTES = 256  # bytes; the longest call has 10
-READ_TIMEOUT_S = 5.0  # for a line to come whole; no caller needs more, and each holds a descriptor
-WRITE_TIMEOUT_S = 2.0  # for the caller to read its answer
+MAX_CONNECTIONS = 12  # each takes a descriptor; a further connection closes the oldest
+MAX_LINE_BYTES = 256  # the longest command has 10
+READ_TIMEOUT_S = 5.0  # for a complete line; each connection holds a descriptor
+WRITE_TIMEOUT_S = 2.0  # for the operator to read the response
 
 CommandHandler = Callable[[], Iterable[str]]
 
 
 class _Connection(asyncio.Protocol):
-    """One connection of an operator."""
+    """An operator's connection."""
 
     def __init__(self, console: Console) -> None:
         self._console = console
@@ -36,7 +34,7 @@
         self._has_responded = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's own is no subclass of it
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
         self._timer = asyncio.get_running_loop().call_later(READ_TIMEOUT_S, self.abort)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -54,8 +52,8 @@
 
     def eof_received(self) -> bool:
         if not self._has_responded and self._line:
-            self._respond(self._line)  # whole all the same: nothing can follow
-        return self._has_responded  # what is written still goes out
+            self._respond(self._line)  # complete without a line end: nothing can follow
+        return self._has_responded  # keeps the transport open while the response is written
 
     def _respond(self, line: bytes) -> None:
         assert self._transport and self._timer
@@ -71,13 +69,15 @@
 
 
 class Console:
-    """Listens at the second address. Who says nothing, half a line or too much costs a bounded number of
-    descriptors, and is cut first."""
+    """Serves the control address.
+
+    Connections that send nothing, an incomplete line or too much data take a bounded number of descriptors.
+    """
 
     def __init__(self, listener: socket.socket, commands: Mapping[str, CommandHandler]) -> None:
-        """`calls`: what is answered to each call, line by line."""
+        """`commands`: handlers by command; each returns the lines of the response."""
         self._commands = commands
-        self._connections: dict[_Connection, None] = {}  # the one that came first, first
+        self._connections: dict[_Connection, None] = {}  # oldest first
         self._pending = PendingConnections()
         self._listener = listener
 
@@ -90,45 +90,45 @@
         asyncio.get_running_loop().add_reader(self._listener, self._accept)
 
     def run_command(self, line: bytes) -> str:
-        """The answer to one call, with its line ends."""
+        """Runs one command and returns its response with line ends."""
         name = line.strip().decode("latin-1")
-        if (call := self._commands.get(name)) is None:
+        if (command := self._commands.get(name)) is None:
             return f"fail no such call {name[:40]!r}; there are: {', '.join(self._commands)}\n"
         try:
-            return "".join(f"{each}\n" for each in call())
+            return "".join(f"{row}\n" for row in command())
         except Exception:
-            log.exception("the call %s failed", name)
+            log.exception("the command %s failed", name)
             return "fail the call broke down; the log tells where\n"
 
     def _accept(self) -> None:
-        for _ in range(MAX_CONNECTIONS):  # a few at a time: what is in hand elsewhere gets its turn
+        for _ in range(MAX_CONNECTIONS):  # bounded, so that other work of the loop is not delayed
             try:
                 sock, _ = self._listener.accept()
             except OSError as error:
-                trouble = accept_error_origin(error)
-                if trouble is ErrorOrigin.CONNECTION:
+                origin = accept_error_origin(error)
+                if origin is ErrorOrigin.CONNECTION:
                     continue
-                if trouble is not ErrorOrigin.WOULD_BLOCK:
-                    log.warning("no descriptor for an operator's call: %s: %s", trouble.value, error)
-                if trouble is ErrorOrigin.PROCESS:
+                if origin is not ErrorOrigin.WOULD_BLOCK:
+                    log.warning("no descriptor for an operator's connection: %s: %s", origin.value, error)
+                if origin is ErrorOrigin.PROCESS:
                     self._close_oldest()
                 return
             if len(self._connections) >= MAX_CONNECTIONS:
                 self._close_oldest()
-            caller = _Connection(self)
-            self._connections[caller] = None
-            self._pending.attach(sock, caller, partial(self.connection_closed, caller))
+            connection = _Connection(self)
+            self._connections[connection] = None
+            self._pending.attach(sock, connection, partial(self.connection_closed, connection))
 
     def _close_oldest(self) -> None:
-        if first := next(iter(self._connections), None):
-            self.connection_closed(first)
-            first.abort()
+        if oldest := next(iter(self._connections), None):
+            self.connection_closed(oldest)
+            oldest.abort()
 
-    def connection_closed(self, caller: _Connection) -> None:
-        self._connections.pop(caller, None)
+    def connection_closed(self, connection: _Connection) -> None:
+        self._connections.pop(connection, None)
 
     def close(self) -> None:
         asyncio.get_running_loop().remove_reader(self._listener)
         self._listener.close()
-        for caller in list(self._connections):
-            caller.abort()
+        for connection in list(self._connections):
+            connection.abort()
--- a/basaltpoint/fronts/platform/__init__.py
+++ b/basaltpoint/fronts/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's way in: PROTOCOL's headers over HTTP/1.1."""
+"""The platform's front: HTTP/1.1 with the headers of PROTOCOL."""
--- a/basaltpoint/fronts/platform/client_request.py
+++ b/basaltpoint/fronts/platform/client_request.py
@@ -1,4 +1,4 @@
-"""One request of a client and, once it is there, its answer."""
+"""A client's request and its response, as far as it is available."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 
 
 class RequestConnection(Protocol):
-    """What a call needs of the connection that it came over."""
+    """What a request needs of its client connection."""
 
     @property
     def client_left_unnoticed(self) -> bool:
-        """Whether its client has gone unnoticed, as nothing is read from it for now."""
+        """Whether the client left while reading was paused."""
 
     def is_client_gone(self) -> bool:
-        """Whether its client has gone, as the system knows now."""
+        """Returns whether the client has left, according to the kernel."""
 
     def abort(self, reason: str) -> None:
-        """End it at once."""
+        """Closes the connection at once."""
 
     def flush(self) -> None:
-        """Write the answers that are there."""
+        """Writes the available responses."""
 
-    def pause_upload(self, held: bool) -> None:
-        """Take no more of a body while the server does not."""
+    def pause_upload(self, paused: bool) -> None:
+        """Pauses reading while the server accepts no more of the body."""
 
     def release_body(self, size: int) -> None:
-        """So many bytes of a body are held no more."""
+        """Accounts for bytes of a body that are no longer buffered."""
 
 
 class ClientRequest:
-    """One request of a client and, once it is there, its answer."""
+    """A client's request and its response, as far as it is available."""
 
     __slots__ = (
         "_connection",
@@ -65,32 +65,33 @@
         self.body = body
         self.streamed = streamed
         self.chunked = chunked
-        self.exchange: RequestExchange | None = None  # of one that was taken on
+        self.exchange: RequestExchange | None = None  # None for responses of the front itself
         self.reply: tuple[int, bytes, bytes] | None = None
-        # Of an answer that goes on in pieces.
-        self.streamed_head: tuple[bytes, int | None] | None = None  # its headers and length
-        self.is_head_written = False  # its head was written
-        self.pieces: list[bytes] = []  # that wait for their turn
+        self.streamed_head: tuple[bytes, int | None] | None = (
+            None  # headers and length of a response in pieces
+        )
+        self.is_head_written = False  # of a response in pieces
+        self.pieces: list[bytes] = []  # not yet written
         self.is_complete = self.broken = False
-        self.closes_connection = False  # the connection ends behind it
+        self.closes_connection = False  # after this response
 
     @property
     def is_unanswered(self) -> bool:
-        """Whether no final answer to it is there, or on its way."""
+        """Whether no response is available or has started."""
         return self.reply is None and self.streamed_head is None
 
     @property
     def request_id(self) -> str:
-        """The request's id, as its client words it."""
+        """The client's Req-Id, for the log."""
         return self.exchange.request_id.decode("latin-1") if self.exchange else "without an id"
 
     @property
     def client_left_unnoticed(self) -> bool:
-        """Whether its client has gone unnoticed, as nothing is read from the connection for now."""
+        """Whether the client left while reading was paused."""
         return self._connection.client_left_unnoticed
 
     def is_client_gone(self) -> bool:
-        """Whether its client has gone, as the system knows now; asks it twice."""
+        """Returns whether the client has left, according to the kernel (two system calls)."""
         return self._connection.is_client_gone()
 
     def close_connection(self) -> None:
@@ -110,7 +111,7 @@
         self.streamed_head = (b"Content-Type: " + content_type + b"\r\n" if content_type else b""), length
         self._connection.flush()
         if not self.is_head_written and self.exchange:
-            self.exchange.client_writable(False)  # until its turn comes
+            self.exchange.client_writable(False)  # until the earlier responses are written
 
     def send_piece(self, data: bytes) -> None:
         self.pieces.append(data)
@@ -124,8 +125,8 @@
         self.broken = True
         self._connection.flush()
 
-    def pause_upload(self, held: bool) -> None:
-        self._connection.pause_upload(held)
+    def pause_upload(self, paused: bool) -> None:
+        self._connection.pause_upload(paused)
 
     def release_body(self, size: int) -> None:
         self._connection.release_body(size)
--- a/basaltpoint/fronts/platform/close_guard.py
+++ b/basaltpoint/fronts/platform/close_guard.py
@@ -1,8 +1,8 @@
-"""The check right before this process closes a client's connection, and the count of what it found.
+"""Checks each close of a client's connection, and counts the violations found.
 
-Whatever was taken gets one final answer, and a request whose bytes lie in a closed socket gets none
-(STANDING). Each place that closes sees to that; here it is checked once for all of them, and a case is a
-violation: counted, and logged with the reason of the close and the requests that it cost.
+Every accepted request gets one final answer, and a request whose bytes are unread in a closed socket gets
+none (STANDING). Each place that closes a connection has to ensure this; the check here covers all of them. A
+violation is counted, and logged with the reason of the close and the requests that were lost.
 """
 
 from __future__ import annotations
@@ -16,20 +16,23 @@
 
 
 class CloseViolation(Enum):
-    """What a close cost."""
+    """What was lost by closing a connection."""
 
     UNANSWERED = "requests in hand have no answer"
     UNREAD = "bytes lie in it unread"
 
 
 class CloseGuard:
-    """What one process closed over."""
+    """Counts the violations of one process."""
 
     def __init__(self) -> None:
         self.violations: Counter[CloseViolation] = Counter()
 
     def check_close(self, reason: str, unanswered: Sequence[str], unread: bool) -> None:
-        """A connection is closed for this reason; `unanswered`: the ids of its requests with no answer."""
+        """Checks a connection that is about to be closed.
+
+        `unanswered`: the ids of its requests without a response; `unread`: whether its socket holds data.
+        """
         if unanswered:
             self.violations[CloseViolation.UNANSWERED] += 1
             log.error(
@@ -40,6 +43,6 @@
             log.error("violation: a connection was closed (%s) over bytes that were not read", reason)
 
     def metric_lines(self) -> Iterator[str]:
-        """The counts, one a line, for the control address."""
-        for dropped in CloseViolation:
-            yield f'gw_violations{{rule="{dropped.name.lower()}"}} {self.violations[dropped]}'
+        """Yields the counts as lines for the control address."""
+        for violation in CloseViolation:
+            yield f'gw_violations{{rule="{violation.name.lower()}"}} {self.violations[violation]}'
--- a/basaltpoint/fronts/platform/config.py
+++ b/basaltpoint/fronts/platform/config.py
@@ -1,4 +1,4 @@
-"""What a limiter is told at its start: the `GW_*` variables and the JSON file they name."""
+"""A limiter's configuration: the `GW_*` variables and the JSON file that they name."""
 
 from __future__ import annotations
 
@@ -11,22 +11,21 @@
 from basaltpoint.config.address import Address, ConfigError, parse_address
 from basaltpoint.config.settings import SettingsError, parse_settings
 
-DEFAULT_SOCKETS = 1024  # descriptors; what DEPLOY grants on the days that count, where the file is silent
-DEFAULT_MEMORY_MB = 192.0  # what DEPLOY grants at most on those days
-PROGRAM_MB = 20.0  # of the memory; the program itself with all its tables (14 MB seen on the long day)
-BODY_COPIES = 4  # of a body at a time: its pieces, the whole, the message to a server, what is unsent of it
-MIN_BODY_BYTES = 1 << 20  # bytes
+DEFAULT_SOCKETS = 1024  # descriptors; the default is the grant in DEPLOY
+DEFAULT_MEMORY_MB = 192.0  # the largest grant in DEPLOY
+PROGRAM_MB = 20.0  # memory of the program with all its tables; 14 MB were measured on the long day
+BODY_COPIES = 4  # at a time: its pieces, the joined body, the message to a server and its unsent rest
+MIN_BODY_BYTES = 1 << 20
 DEFAULT_CONNECT_TIMEOUT_MS = 250.0
 DEFAULT_IDLE_MS = 15_000.0
-MAX_REUSE_IDLE_S = (
-    0.05  # a connection that was free for longer may be ending unseen; a new one costs little, but
-)
-MIN_REUSE_IDLE_S = (
-    0.015  # after an answer, before the connection's next request: a second answer comes some ms later
-)
-REUSE_FRACTION = 0.5  # of the time a server keeps it, where a handshake has a price
-DEFAULT_MAX_RETRY_AFTER_MS = 500.0  # a client is told to stay away for so long at most
-MAX_OPEN = 1000  # requests in hand: with bodies of 64 KiB at either end they stay within the memory
+# A server may be closing a connection that was idle for longer; a new one costs little, unless a handshake
+# has a price (see REUSE_FRACTION).
+MAX_REUSE_IDLE_S = 0.05
+# Between a response and the connection's next request: an erroneous second response arrives some ms later.
+MIN_REUSE_IDLE_S = 0.015
+REUSE_FRACTION = 0.5  # of the time that a server keeps a connection, if a handshake has a price
+DEFAULT_MAX_RETRY_AFTER_MS = 500.0
+MAX_OPEN = 1000  # outstanding requests; with bodies of 64 KiB in both directions they fit into the memory
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,19 +33,19 @@
     name: str
     listen: Address
     discovery: Address
-    control: Address | None  # where operators call
-    socket_fd: int | None  # the clients' listening socket, where the platform holds it
+    control: Address | None  # for operators
+    socket_fd: int | None  # the clients' listening socket, if the platform provides it
     seed: int
     sockets: int
-    body_bytes: int  # of clients' bodies held at a time
+    body_bytes: int  # of clients' bodies, buffered at a time
     max_open: int
     settings: api.Settings
     zones: tuple[str, ...]
     connect_s: float
-    idle_s: float  # a server closes a connection that has stood idle for so long
-    reuse_s: float  # one that was free for longer is not used again
-    rest_s: float  # nor is one that was free for less
-    known: Any  # the last list of servers, in discovery's form
+    idle_s: float  # after which a server closes an idle connection
+    reuse_s: float  # a connection that was idle for longer is not reused
+    rest_s: float  # nor is one that was idle for less
+    known: Any  # the last known list of servers, in discovery's format
 
 
 def _table(raw: Any, key: str) -> dict[str, Any]:
@@ -101,12 +100,15 @@
 
 
 def reload_discovery(environ: Mapping[str, str]) -> Address:
-    """Where a replaced file puts discovery. The variable is as old as the start and no longer counts."""
+    """Returns discovery's address from the file; `GW_DISCOVERY` only applies at the start."""
     return parse_address(_read_file(environ).get("discovery"))
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """The configuration; the variables stand above the file's entries of the same meaning."""
+    """Loads the configuration; variables take precedence over the file's entries.
+
+    Raises ConfigError if it is missing or invalid.
+    """
     raw = _read_file(environ)
     settings, limits = _table(raw, "settings"), _table(raw, "limits")
     ceilings = _table(settings, "ceilings")
@@ -127,7 +129,7 @@
         sockets=int(_number(limits, "sockets", DEFAULT_SOCKETS)),
         body_bytes=_body_bytes(_number(limits, "memory_mb", DEFAULT_MEMORY_MB)),
         max_open=int(min(MAX_OPEN, _number(ceilings, "maxOpen", MAX_OPEN))),
-        # On sockets a refusal may always tell when to come back, whatever the simulator's clients hear.
+        # Refusals may always carry Retry-After on sockets, regardless of the simulator's setting.
         settings=replace(
             decoded, max_retry_after_ms=_number(ceilings, "maxRetryAfterMs", DEFAULT_MAX_RETRY_AFTER_MS)
         ),
--- a/basaltpoint/fronts/platform/limiter.py
+++ b/basaltpoint/fronts/platform/limiter.py
@@ -1,4 +1,4 @@
-"""The bridge: requests, answers and lists go into the request table; its effects come out."""
+"""The platform's limiter: passes requests, responses and lists to the request table, applies its effects."""
 
 from __future__ import annotations
 
@@ -44,16 +44,16 @@
 log = logging.getLogger(__name__)
 
 PROBE_TIMEOUT_S = 0.25
-SERVER_TIMEOUT_S = 5.0  # for a server in the middle of an answer, or of a body that it does not take
-MAX_LOAD_VALUE = 10_000.0  # of any figure in a load report; no server holds or serves more
-SERVER_SOCKET_FRACTION = 0.4  # of the sockets may be connections to servers
+SERVER_TIMEOUT_S = 5.0  # for a server that stops during a response or does not accept a body
+MAX_LOAD_VALUE = 10_000.0  # of any value in a load report; no server has more requests
+SERVER_SOCKET_FRACTION = 0.4  # of the sockets; the rest are for clients
 RESERVED_DESCRIPTORS = 32  # descriptors for the listener, discovery, the loop and the log
 
 PROBE_REQUEST = b"GET /metrics/load HTTP/1.1\r\nHost: backend.local\r\n\r\n"
 
 
 class RequestTerms(NamedTuple):
-    """A request's `name` (Req-Id), how long its client waits, and what the module is told of it."""
+    """A request's Req-Id, how long its client waits, and the values for the decision module."""
 
     request_id: bytes
     cls: int
@@ -65,7 +65,7 @@
 
 
 def parse_load_report(fields: tuple[str, ...], raw: bytes) -> tuple[float, ...]:
-    """A load report in the settings' order; what is none, or has a figure beyond sense, says nothing."""
+    """Returns a load report's values in the settings' order; empty if it is invalid or out of range."""
     try:
         values = tuple(float(json.loads(raw)[name]) for name in fields) if raw else ()
     except (ValueError, KeyError, TypeError, RecursionError, OverflowError):
@@ -74,14 +74,14 @@
 
 
 class Limiter(RequestTableDriver):
-    """Holds the request table, the sockets' side of each request, and the clock."""
+    """Connects the request table to the clients' requests and the servers' connections."""
 
     def __init__(
         self, config: Config, inherited: PlatformState | None = None, lease: MembershipLease | None = None
     ) -> None:
-        """`inherited`: what an older process of this limiter has left.
+        """`inherited`: the state of the predecessor, if any.
 
-        `lease`: of the list of servers; without one it needs no confirmation.
+        `lease`: of the list of servers; without it the list needs no confirmation.
         """
         self._settings = config.settings
         self.decision_module = DecisionModule(config.settings, config.seed)
@@ -91,10 +91,10 @@
         )
         self._clock_origin_s = (
             inherited.origin_s if inherited else self._clock_origin_s
-        )  # what is left tells its times
-        most = int((config.sockets - RESERVED_DESCRIPTORS) * SERVER_SOCKET_FRACTION)
+        )  # times in the inherited state use it
+        max_connections = int((config.sockets - RESERVED_DESCRIPTORS) * SERVER_SOCKET_FRACTION)
         self._servers = ServerConnections(
-            most, config.connect_s, config.reuse_s, platform_connection, config.rest_s
+            max_connections, config.connect_s, config.reuse_s, platform_connection, config.rest_s
         )
         self.listed_servers = ListedServers(
             config.zones,
@@ -102,51 +102,47 @@
             ServerStarts(inherited.unix_offset_ms if inherited else self.now() - time.time() * 1000),
             self._servers,
             self.now,
-            lambda told: self.apply_effects(self.table.handle_event(self.now(), told)),
+            lambda servers: self.apply_effects(self.table.handle_event(self.now(), servers)),
         )
-        self._exchanges: dict[int, RequestExchange] = {}  # of the requests that wait for their reply
-        self._attempts: dict[int, BufferedAttempt] = {}  # the one that is out, by request
-        self.on_request_ended: Callable[[bytes], None] | None = (
-            None  # hears the name of each request that ends
-        )
-        self._reserved: set[bytes] = set()  # Req-Ids that the older process has in hand
+        self._exchanges: dict[int, RequestExchange] = {}  # by number, of requests without a response
+        self._attempts: dict[int, BufferedAttempt] = {}  # the outstanding one, by request number
+        self.on_request_ended: Callable[[bytes], None] | None = None  # receives its Req-Id
+        self._reserved: set[bytes] = set()  # Req-Ids of the predecessor's open requests
         self._lease = lease
         self._lease_until = math.inf  # monotonic seconds
-        self.list_confirmed = (
-            asyncio.Event()
-        )  # the list of servers has been confirmed, or nobody can confirm it
+        self.list_confirmed = asyncio.Event()  # the list was confirmed, or discovery is unreachable
         known = (inherited and self._load_list(inherited.servers)) or self._load_list(config.known)
         if not known:
-            log.warning("no usable list of servers known")
+            log.warning("no usable list of servers is known")
         if inherited:
             self._inherit(inherited)
         self.lease_changed()
 
     def _load_list(self, raw: Any) -> bool:
         try:
-            told = parse_list(raw)[0]
+            host_list = parse_list(raw)[0]
         except ValueError as error:
             log.warning("a list of servers can't be read: %s", error)
             return False
-        self.listed_servers.update(told, api.ListKind.CACHED)
+        self.listed_servers.update(host_list, api.ListKind.CACHED)
         return True
 
     @property
     def known_seq(self) -> int:
-        """The version of the list of servers."""
+        """The sequence number of the list of servers."""
         return self.listed_servers.version
 
     # --- Two processes of one limiter ----------------------------------------------------------
     def _inherit(self, inherited: PlatformState) -> None:
         now = self.now()
-        for what in import_module_state(self.decision_module, inherited.module, now):
-            log.warning("not taken over: %s", what)
-        self.decision_module.started_ms = now  # of a customer that is not known nothing may have been left
-        state.share_limits(self.decision_module, now)  # as the older one did once it had written this
+        for problem in import_module_state(self.decision_module, inherited.module, now):
+            log.warning("not taken over: %s", problem)
+        self.decision_module.started_ms = now  # unknown customers may have used up their quota
+        state.share_limits(self.decision_module, now)  # as the predecessor did after writing this state
         self.reserve_ids(inherited.open_req_ids)
 
     def state_for_successor(self, halved: bool) -> PlatformState:
-        """What the next process needs; `halved`: from here on each of the two uses half of it."""
+        """Returns the state for the successor; `halved`: from now on each process uses half of the limits."""
         self.listed_servers.add_all_new()
         now = self.now()
         names = sorted(self.table.open_keys - self._reserved)
@@ -163,7 +159,7 @@
         )
 
     def reserve_ids(self, names: Iterable[bytes]) -> None:
-        """Requests of these names are another process's: a copy here would be a second one."""
+        """Rejects requests with these Req-Ids as duplicates: another process handles them."""
         fresh = set(names) - self.table.open_keys
         self._reserved |= fresh
         self.table.open_keys |= fresh
@@ -177,78 +173,80 @@
         for name in list(self._reserved):
             self.release_id(name)
 
-    # --- What clients and discovery tell -------------------------------------------------------
+    # --- Events of clients and discovery -------------------------------------------------------
     @property
     def ready(self) -> bool:
-        """Whether clients may come; one that has served stays ready while its list is confirmed anew."""
+        """Whether requests can be served; stays true while a confirmed list is being confirmed again."""
         return self.list_confirmed.is_set() and self._servers.has_ready_server()
 
     @property
     def guard(self) -> SendGuard:
-        """What was withheld from servers, and what should have been."""
+        """Counts attempts that were withheld from servers, and those that should have been."""
         return self._servers.guard
 
     @property
     def open_requests(self) -> int:
-        """Requests that wait for their reply."""
+        """The number of requests without a response."""
         return self.table.open_count
 
     def gauges(self) -> Gauges:
-        """What stands now; a server that both lists and the module know counts once."""
+        """Returns the current values; only listed servers are counted."""
         avoided = self.decision_module.avoided_servers(self.now())
         listed = set(self.listed_servers.numbers.values())
         return Gauges(self.table.open_count, len(listed), len(avoided & listed))
 
-    def accept_request(self, call: ClientSide, terms: RequestTerms, unread_s: float = 0.0) -> RequestExchange:
-        """Take a request on; from here it gets one answer, before its client gives up.
+    def accept_request(
+        self, client: ClientSide, terms: RequestTerms, unread_s: float = 0.0
+    ) -> RequestExchange:
+        """Accepts a request, which then gets one response before its deadline.
 
-        `unread_s`: how long it lay in its socket; its client has been waiting since then.
+        `unread_s`: how long it was unread in its socket; its client has been waiting since then.
         """
         name, cls, plan, customer, units, doors, wait_s = terms
         wait_ms = min(wait_s, self._settings.classes[cls].deadline_ms / 1000) * 1000
         if unread_s:
             wait_ms = max(MIN_WAIT_MS, wait_ms - unread_s * 1000)
-        passage = RequestExchange(self, call, name, cls, wait_ms)
-        passage.request_number, effects = self.table.admit(
+        exchange = RequestExchange(self, client, name, cls, wait_ms)
+        exchange.request_number, effects = self.table.admit(
             self.now(), NewRequest(cls, plan, customer, units, doors, wait_ms, RESPONSE_MARGIN_MS, 0, name)
         )
-        self._exchanges[passage.request_number] = passage
+        self._exchanges[exchange.request_number] = exchange
         if trace.enabled:
             trace.event(
                 "request %d id %s taken, class %d, waits %.3f s",
-                passage.request_number,
+                exchange.request_number,
                 name,
                 cls,
                 wait_ms / 1000,
             )
         self.apply_effects(effects)
-        return passage
+        return exchange
 
-    def abandon(self, passage: RequestExchange) -> None:
-        """The client has hung up, or is given up on."""
-        if self._exchanges.pop(passage.request_number, None):
+    def abandon(self, exchange: RequestExchange) -> None:
+        """Ends a request whose client has disconnected or whose connection is closed."""
+        if self._exchanges.pop(exchange.request_number, None):
             if trace.enabled:
-                trace.event("request %d: its client has gone", passage.request_number)
-            passage.client_disconnected()
-            self.apply_effects(self.table.client_disconnected(self.now(), passage.request_number))
-            self._cancel_unwritten(passage.request_number)
+                trace.event("request %d: its client has disconnected", exchange.request_number)
+            exchange.client_disconnected()
+            self.apply_effects(self.table.client_disconnected(self.now(), exchange.request_number))
+            self._cancel_unwritten(exchange.request_number)
 
     def _cancel_unwritten(self, ident: int) -> None:
-        """Nobody waits any more: what no server has begun is not begun, whatever may be cancelled there."""
+        """Cancels an attempt that is not written yet; unlike others it needs no permission to cancel."""
         if (attempt := self._attempts.get(ident)) and not attempt.is_written:
             attempt.cancel()
 
     def shorten_deadlines(self, latest: float) -> None:
-        """This process ends: from here on all is answered by then, a time of the loop's clock."""
+        """Bounds all deadlines, also of new requests, by a time of the loop's clock: this process ends."""
         self.apply_effects(
             self.table.shorten_deadlines(self.now(), self.now() + (latest - monotonic()) * 1000)
         )
 
-    def update_servers(self, told: HostList) -> None:
-        self.listed_servers.update(told, api.ListKind.FULL if told.whole else api.ListKind.DELTA)
+    def update_servers(self, host_list: HostList) -> None:
+        self.listed_servers.update(host_list, api.ListKind.FULL if host_list.whole else api.ListKind.DELTA)
 
     def lease_changed(self) -> None:
-        """Tell the decisions, and the check before each write, until when the list may be acted on."""
+        """Passes on until when the list is valid, to the decisions and to the check before each write."""
         now = monotonic()
         until = self._lease.expires_at(now) if self._lease else math.inf
         if until > now and not self.list_confirmed.is_set():
@@ -262,21 +260,21 @@
         self.apply_effects(self.table.handle_event(self.now(), api.MembershipConfirmed(until_ms)))
 
     def sweep(self) -> None:
-        """End what stands still: each would hold a server's connection for good."""
-        self.lease_changed()  # that nobody can be reached shows by time alone
+        """Resets stalled server connections, which would otherwise stay open for good."""
+        self.lease_changed()  # an unreachable discovery only shows by time
         self.listed_servers.sweep()
         self._servers.close_expired()
         now = monotonic()
-        for passage in list(self._exchanges.values()):
-            stream, stuck = passage.stream, passage.write_paused_since
+        for exchange in list(self._exchanges.values()):
+            stream, stuck = exchange.stream, exchange.write_paused_since
             silent = (
-                passage.response_started
+                exchange.response_started
                 and stream
                 and not stream.is_paused
                 and now - stream.last_received_at > SERVER_TIMEOUT_S
             )
             if stream and (silent or (stuck is not None and now - stuck > SERVER_TIMEOUT_S)):
-                log.warning("a server has stopped in the middle of %s", "an answer" if silent else "a body")
+                log.warning("a server has stopped in the middle of %s", "a response" if silent else "a body")
                 stream.reset()
 
     def close(self) -> None:
@@ -288,15 +286,15 @@
             case StartAttempt():
                 self._dispatch(effect)
             case Reply():
-                if passage := self._exchanges.pop(effect.request, None):
+                if exchange := self._exchanges.pop(effect.request, None):
                     if trace.enabled:
                         trace.event(
                             "request %d ends %s, why %s", effect.request, effect.result.value, effect.reason
                         )
-                    passage.finish(effect)
+                    exchange.finish(effect)
                     self._cancel_unwritten(effect.request)
                     if self.on_request_ended:
-                        self.on_request_ended(passage.request_id)
+                        self.on_request_ended(exchange.request_id)
             case CancelAttempt():
                 if attempt := self._attempts.get(effect.request):
                     attempt.cancel()
@@ -312,41 +310,41 @@
             case Fault():
                 log.error("%s", effect.text)
             case StartResponse():
-                if passage := self._exchanges.get(effect.request):
-                    passage.response_started = True
+                if exchange := self._exchanges.get(effect.request):
+                    exchange.response_started = True
 
     def _dispatch(self, effect: StartAttempt) -> None:
-        ident, passage = effect.request, self._exchanges[effect.request]  # the table sends for no other
-        call = passage.client
-        # A first attempt follows the request's reading; before a further one the client is looked for.
-        if call.is_client_gone() if effect.attempt else call.client_left_unnoticed:
-            call.close_connection()
-            self.abandon(passage)
+        ident, exchange = effect.request, self._exchanges[effect.request]  # the table starts no others
+        client = exchange.client
+        # The first attempt directly follows the reading of the request; before a retry the kernel is asked.
+        if client.is_client_gone() if effect.attempt else client.client_left_unnoticed:
+            client.close_connection()
+            self.abandon(exchange)
             self.apply_effects(
                 self.table.attempt_ended(self.now(), ident, effect.attempt, Status.CONNECT_FAILED)
             )
             return
         if trace.enabled:
             self._trace_dispatch(effect)
-        passage.attempt_deadline_ms = effect.end_by_ms
+        exchange.attempt_deadline_ms = effect.end_by_ms
         until = self.to_loop_time(effect.end_by_ms)
         attempt = BufferedAttempt(
-            self.message(passage),
+            self.message(exchange),
             until,
-            partial(self._attempt_ended, passage, effect.attempt),
-            partial(self._attempt_written, passage.cls, ident),
-            passage,
+            partial(self._attempt_ended, exchange, effect.attempt),
+            partial(self._attempt_written, exchange.cls, ident),
+            exchange,
             self.to_loop_time(effect.write_by_ms),
         )
-        # Before it begins: over a kept connection all of a body may go at once.
-        passage.attempt, passage.attempt_number = attempt, effect.attempt
+        # Set before the start: a reused connection may write the whole body at once.
+        exchange.attempt, exchange.attempt_number = attempt, effect.attempt
         self._attempts[ident] = attempt
         self._servers.start_attempt(effect.server, attempt)
 
-    def message(self, passage: RequestExchange) -> bytes:
-        """A request as a server gets it now, with the time that its attempt has left."""
-        left = f"Req-Deadline: {(passage.attempt_deadline_ms - self.now()) / 1000:.3f}\r\n\r\n"
-        return passage.client.forward + left.encode() + passage.client.body
+    def message(self, exchange: RequestExchange) -> bytes:
+        """Returns the request for a server, with the time that its attempt has left."""
+        left = f"Req-Deadline: {(exchange.attempt_deadline_ms - self.now()) / 1000:.3f}\r\n\r\n"
+        return exchange.client.forward + left.encode() + exchange.client.body
 
     def _trace_dispatch(self, effect: StartAttempt) -> None:
         names = {number: name for name, number in self.listed_servers.numbers.items()}
@@ -354,7 +352,7 @@
             "request %d attempt %d goes to %s by version %d",
             effect.request,
             effect.attempt,
-            names.get(effect.server, "a server that is gone"),
+            names.get(effect.server, "a removed server"),
             self.known_seq,
         )
 
@@ -363,14 +361,14 @@
         if trace.enabled:
             trace.event("request %d: its attempt's last byte is written", ident)
 
-    def _attempt_ended(self, passage: RequestExchange, number: int, reply: AttemptResult) -> None:
-        ident = passage.request_number
+    def _attempt_ended(self, exchange: RequestExchange, number: int, reply: AttemptResult) -> None:
+        ident = exchange.request_number
         self._attempts.pop(ident, None)
         if trace.enabled:
             trace.event("request %d attempt %d ended: %s", ident, number, reply.status.value)
-        passage.ended()
+        exchange.ended()
         load = parse_load_report(self._settings.report_fields, reply.load)
-        # A figure beyond what a request can take is no figure of this server's; it would bind the customer.
+        # More units than a request can have are ignored: they would count against the customer.
         units = reply.units if reply.units <= (self._settings.max_request_units or math.inf) else 0.0
         self.apply_effects(
             self.table.attempt_ended(
--- a/basaltpoint/fronts/platform/listed_servers.py
+++ b/basaltpoint/fronts/platform/listed_servers.py
@@ -1,4 +1,4 @@
-"""The servers of discovery's lists by name, and what a list changes at connections and decisions."""
+"""The servers of discovery's lists by name; applies a list to connections and decisions."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from basaltpoint.telemetry import trace
 from basaltpoint.upstream.servers import ServerConnections
 
-NEW_SERVERS_BATCH = 100  # new servers taken up at a time, some ms of work, before clients have their turn
+NEW_SERVERS_BATCH = 100  # per turn of the loop; takes some ms
 
 
 class ListedServers:
-    """The list as it was last told, the numbers by which decisions know its servers, and their starts."""
+    """The latest list, the numbers of its servers in the decision module, and their start times."""
 
     def __init__(
         self,
@@ -32,40 +32,40 @@
         starts: ServerStarts,
         connections: ServerConnections,
         now: Callable[[], float],
-        tell: Callable[[api.ServerList], None],
+        apply_list: Callable[[api.ServerList], None],
     ) -> None:
-        """`numbers`: of an older process; `now`: the decisions' clock, ms; `tell`: hands them a list."""
+        """`numbers`: of the predecessor; `now`: the module's clock, ms; `apply_list`: passes a list to it."""
         self.hosts: dict[str, Host] = {}
-        self.numbers = dict(numbers)  # of the servers that are not gone
+        self.numbers = dict(numbers)  # of the servers that are not removed
         self.starts = starts
         self.version = 0
-        # Never used again: outcomes may come after the end.
+        # Numbers are not reused: outcomes may arrive after a server was removed.
         self._next_number = itertools.count(max(self.numbers.values(), default=-1) + 1)
-        self._new: deque[Host] = deque()  # listed and not taken up yet
+        self._new: deque[Host] = deque()  # listed and not yet applied
         self._zones = {zone: number for number, zone in enumerate(zones)}
-        self._connections, self._now, self._apply_list = connections, now, tell
+        self._connections, self._now, self._apply_list = connections, now, apply_list
         self._log = ListLog()
 
-    def update(self, told: HostList, kind: api.ListKind) -> None:
-        """Take up a list. What concerns known servers holds at once, new ones come in slices.
+    def update(self, received: HostList, kind: api.ListKind) -> None:
+        """Applies a list: changes of known servers at once, new servers in batches.
 
-        So a list that names thousands of new servers keeps no client waiting for all of them, and no drain,
-        move or restart waits for any.
+        A list with thousands of new servers thus does not block clients, and a drain, move or restart of a
+        known server does not wait for the new ones.
         """
         self.add_all_new()
-        self.version = told.seq
-        hosts = told.hosts
+        self.version = received.seq
+        hosts = received.hosts
         if kind is not api.ListKind.DELTA:
-            hosts = (*self._unlisted(told), *hosts)
+            hosts = (*self._unlisted(received), *hosts)
         latest = {host.name: host for host in hosts}
         changed = [host for name, host in latest.items() if self.hosts.get(name) != host]
-        self._log.record(monotonic(), told.seq, kind, len(told.hosts), len(changed))
+        self._log.record(monotonic(), received.seq, kind, len(received.hosts), len(changed))
         if trace.enabled:
             for host in changed:
                 trace.event("server %s is %s at %s", host.name, host.state.value, host.address)
         if kind is api.ListKind.CACHED:
             self._apply(changed, kind)
-            for name in self.numbers.keys() - self.hosts.keys():  # an older process knew more
+            for name in self.numbers.keys() - self.hosts.keys():  # known to the predecessor only
                 self._remove(name)
             return
         self._apply([host for host in changed if host.name in self.hosts])
@@ -74,28 +74,28 @@
         )
         self._add_new()
 
-    def _unlisted(self, told: HostList) -> list[Host]:
-        """The servers that a whole list leaves out, as gone."""
-        named = {host.name for host in told.hosts}
-        left = [host for name, host in self.hosts.items() if name not in named]
-        return [host._replace(state=ServerState.GONE) for host in left]
+    def _unlisted(self, received: HostList) -> list[Host]:
+        """Returns the servers that a full list omits, as removed."""
+        named = {host.name for host in received.hosts}
+        omitted = [host for name, host in self.hosts.items() if name not in named]
+        return [host._replace(state=ServerState.GONE) for host in omitted]
 
     def _add_new(self) -> None:
-        """Take up a slice of the new servers, and the others in later turns of the loop."""
-        slice_ = [self._new.popleft() for _ in range(min(NEW_SERVERS_BATCH, len(self._new)))]
-        if slice_:
-            self._apply(slice_)
+        """Applies a batch of the new servers, and schedules the others."""
+        batch = [self._new.popleft() for _ in range(min(NEW_SERVERS_BATCH, len(self._new)))]
+        if batch:
+            self._apply(batch)
         if self._new:
             asyncio.get_running_loop().call_soon(self._add_new)
 
     def add_all_new(self) -> None:
-        """Take up the new servers that are left, ahead of what a later list says of them."""
+        """Applies the remaining new servers, before a later list."""
         if self._new:
             hosts, self._new = list(self._new), deque()
             self._apply(hosts)
 
     def _apply(self, hosts: Sequence[Host], kind: api.ListKind = api.ListKind.DELTA) -> None:
-        """Have connections and decisions go by these entries."""
+        """Applies entries to connections and decisions."""
         self._observe_clocks()
         servers = tuple(self._server(host) for host in hosts)
         for host in hosts:
@@ -109,7 +109,7 @@
                 self._remove(host.name)
 
     def _remove(self, name: str) -> None:
-        """A server is gone."""
+        """Removes a server."""
         self._connections.remove_server(self.numbers.pop(name))
         self.starts.forget(name)
 
@@ -124,7 +124,7 @@
         )
 
     def sweep(self) -> None:
-        """Look at the clocks for a step, and log what was not yet."""
+        """Checks the clocks for a step, and logs pending list entries."""
         self._observe_clocks()
         self._log.flush(monotonic())
 
@@ -132,6 +132,6 @@
         self.starts.observe_clocks(self._now(), time.time() * 1000)
 
     def document(self) -> dict[str, Any]:
-        """The whole list as discovery writes it."""
+        """Returns the full list in discovery's format."""
         hosts = [host_to_json(host) for host in self.hosts.values()]
         return {"seq": self.version, "whole": True, "hosts": hosts}
--- a/basaltpoint/fronts/platform/request_check.py
+++ b/basaltpoint/fronts/platform/request_check.py
@@ -1,4 +1,4 @@
-"""The form of a client's request: what the platform's protocol page asks of its headers, and its terms."""
+"""Validates a client's request: the headers that the platform's protocol page requires, and its terms."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 MAX_CACHED_TERMS, MAX_CACHED_TERMS_BYTES = (
     1024,
     128,
-)  # terms of calls that are remembered as good, and bytes of the longest
+)  # entries of the cache, and bytes of a key
 
 
 class BadRequestError(Exception):
-    """What is wrong with a request that is not taken on."""
+    """Why a request is rejected; `code`: the status of the response."""
 
     def __init__(self, code: int, what: str) -> None:
         super().__init__(what)
@@ -28,14 +28,14 @@
 
 
 class RequestCheck:
-    """The form of a request, by the settings; a request that has another one counts nowhere."""
+    """Validates requests by the settings; a rejected request is not counted anywhere."""
 
     def __init__(self, settings: Settings) -> None:
         self._classes = {c.name.encode(): (n, c.effect) for n, c in enumerate(settings.classes)}
         self._plans = {plan.name.encode(): n for n, plan in enumerate(settings.plans)}
         self._limiter_count = settings.limiter_count
         self._max_units = settings.max_request_units or math.inf
-        self._parsed_terms: dict[bytes, tuple[float, int]] = {}  # terms that were read lately and were good
+        self._parsed_terms: dict[bytes, tuple[float, int]] = {}  # cache of valid X-Call-Terms values
 
     def parse_terms(self, method: bytes, url: bytes, headers: dict[bytes, bytes], body: bool) -> RequestTerms:
         path = FIRST_SEGMENT.match(url)
@@ -55,14 +55,14 @@
             raise BadRequestError(400, "X-Api-Key is missing or names no customer")
         wait = _number(headers.get(b"req-deadline", b""), "Req-Deadline")
         raw = headers.get(b"x-call-terms", b"")
-        if (told := self._parsed_terms.get(raw)) is None:
-            told = self._parse_call_terms(raw)
+        if (parsed := self._parsed_terms.get(raw)) is None:
+            parsed = self._parse_call_terms(raw)
             if len(raw) <= MAX_CACHED_TERMS_BYTES:
                 if len(self._parsed_terms) >= MAX_CACHED_TERMS:
                     self._parsed_terms.clear()
-                self._parsed_terms[raw] = told
-        units, doors = told
-        return RequestTerms(name, cls, plan, customer, units, doors, wait)
+                self._parsed_terms[raw] = parsed
+        units, customer_limiters = parsed
+        return RequestTerms(name, cls, plan, customer, units, customer_limiters, wait)
 
     def _check_method(self, method: bytes, effect: Effect, headers: dict[bytes, bytes], body: bool) -> None:
         if method != (b"GET" if effect is Effect.SAFE else b"POST"):
@@ -73,16 +73,16 @@
             raise BadRequestError(400, "Idempotency-Key is missing, or not of this class")
 
     def _parse_call_terms(self, raw: bytes) -> tuple[float, int]:
-        """The units, and how many limiters the customer comes through.
+        """Returns the units and the number of limiters that the customer uses.
 
-        What is out of range is turned down here: in the module it would bind the customer it names.
+        Values out of range are rejected here: the decision module would apply them to the named customer.
         """
         pairs = [part.strip().partition(b"=")[::2] for part in raw.split(b",")]
-        told = dict(pairs)
-        if len(told) < len(pairs):
+        values = dict(pairs)
+        if len(values) < len(pairs):
             raise BadRequestError(400, "X-Call-Terms tells something twice")
-        units = _number(told.get(b"units", b""), "units in X-Call-Terms")
-        spread, first = told.get(b"spread", b""), told.get(b"first", b"")
+        units = _number(values.get(b"units", b""), "units in X-Call-Terms")
+        spread, first = values.get(b"spread", b""), values.get(b"first", b"")
         if units > self._max_units:
             raise BadRequestError(400, "more units than a request can take")
         if not (INTEGER.fullmatch(spread) and INTEGER.fullmatch(first)):
--- a/basaltpoint/fronts/platform/request_exchange.py
+++ b/basaltpoint/fronts/platform/request_exchange.py
@@ -1,4 +1,4 @@
-"""One request on its way through the platform's front: its body in, attempts out, its answer back."""
+"""The exchange of one request in the platform's front: its body, its attempts and its response."""
 
 from __future__ import annotations
 
@@ -10,10 +10,8 @@
 from basaltpoint.upstream.servers import AttemptResult
 from basaltpoint.upstream.streams import StreamConnection
 
-CLIENT_CHECK_AFTER_S = 0.05  # an attempt that begins 0.1 s after its client's end is a lost request
-MAX_READ_AHEAD_BYTES = (
-    4 * MAX_BUFFERED_BODY_BYTES
-)  # bytes of a streamed body that are read before a server takes any
+CLIENT_CHECK_AFTER_S = 0.05  # an attempt that starts 0.1 s after its client left counts as a lost request
+MAX_READ_AHEAD_BYTES = 4 * MAX_BUFFERED_BODY_BYTES  # of a streamed body, before a server accepts any
 
 STATUS_CODES = {
     RequestResult.REFUSED: 429,
@@ -26,44 +24,44 @@
 
 
 class ClientSide(Protocol):
-    """A client's request as the client side hands it over."""
+    """A client's request, and how its response is sent."""
 
     @property
-    def forward(self) -> bytes: ...  # request line and headers that go on, without the deadline
+    def forward(self) -> bytes: ...  # request line and headers for the server, without the deadline
     @property
-    def body(self) -> bytes: ...  # of one that is held whole
+    def body(self) -> bytes: ...  # empty if the body is streamed
     @property
-    def streamed(self) -> bool: ...  # its body comes piece by piece, and goes on so
+    def streamed(self) -> bool: ...  # the body is forwarded as it is received
     @property
-    def chunked(self) -> bool: ...  # and its length is not told
+    def chunked(self) -> bool: ...  # the length of the streamed body is unknown
     @property
-    def client_left_unnoticed(self) -> bool: ...  # its client has gone, and its connection could not tell
-    def is_client_gone(self) -> bool: ...  # its client has gone, as the system knows now, told or not
-    def close_connection(self) -> None: ...  # end the connection: nobody is there
+    def client_left_unnoticed(self) -> bool: ...  # the client left while reading was paused
+    def is_client_gone(self) -> bool: ...  # according to the kernel
+    def close_connection(self) -> None: ...  # closes it at once; the client has left
     def send_response(
         self, code: int, body: bytes = b"", content_type: bytes = b"", retry_s: float = 0.0
     ) -> None: ...
     def start_response(
         self, content_type: bytes, length: int | None
-    ) -> None: ...  # of an answer that goes on in pieces
+    ) -> None: ...  # of a response that is sent in pieces
     def send_piece(self, data: bytes) -> None: ...
     def finish_response(self) -> None: ...
-    def abort_response(self) -> None: ...  # what has begun can't be finished, and must not look whole
-    def pause_upload(self, held: bool) -> None: ...  # take no more of the body for now
-    def release_body(self, size: int) -> None: ...  # so much of the body is no longer held
+    def abort_response(self) -> None: ...  # must not look complete to the client
+    def pause_upload(self, paused: bool) -> None: ...
+    def release_body(self, size: int) -> None: ...  # bytes of the body are no longer buffered
 
 
 class RequestHandler(Protocol):
-    """What a passage needs of the limiter."""
+    """What an exchange needs of the limiter."""
 
-    def response_started(self, passage: RequestExchange) -> None: ...
-    def upload_started(self, passage: RequestExchange) -> None: ...
-    def upload_finished(self, passage: RequestExchange) -> None: ...
-    def message(self, passage: RequestExchange) -> bytes: ...  # as it is to be written now
+    def response_started(self, exchange: RequestExchange) -> None: ...
+    def upload_started(self, exchange: RequestExchange) -> None: ...
+    def upload_finished(self, exchange: RequestExchange) -> None: ...
+    def message(self, exchange: RequestExchange) -> bytes: ...  # with the time that is left now
 
 
 class RequestExchange:
-    """One request; the receiver of what is too long to be held."""
+    """One request; receives responses that are too long to be buffered."""
 
     __slots__ = (
         "_handler",
@@ -86,29 +84,33 @@
         "write_paused_since",
     )
 
-    def __init__(self, desk: RequestHandler, call: ClientSide, name: bytes, cls: int, wait_ms: float) -> None:
-        self._handler = desk
-        self.client = call
-        self.request_id = name
+    def __init__(
+        self, handler: RequestHandler, client: ClientSide, request_id: bytes, cls: int, wait_ms: float
+    ) -> None:
+        self._handler = handler
+        self.client = client
+        self.request_id = request_id
         self.cls = cls
-        self.wait_ms = wait_ms  # for the answer, from the last byte of the body on
+        self.wait_ms = wait_ms  # for the response, from the last byte of the body
         self.request_number = 0
-        self.attempt_number = 0  # of the attempt that is out
-        self.attempt_deadline_ms = 0.0  # and when it is given up, by the module's clock
+        self.attempt_number = 0  # of the outstanding attempt
+        self.attempt_deadline_ms = 0.0  # of the outstanding attempt, by the module's clock
         self.attempt: BufferedAttempt | None = None
-        self.stream: StreamConnection | None = None  # its connection, of one that streams
-        self.response_started = False  # its answer has begun to be passed on
+        self.stream: StreamConnection | None = (
+            None  # the server connection, if the body or response is streamed
+        )
+        self.response_started = False  # the response is being forwarded
         self.is_over = False
-        self.write_paused_since: float | None = None  # the server takes no more of the body
-        self._pieces: list[bytes] = []  # of a streamed body, that wait for the server
+        self.write_paused_since: float | None = None  # the server accepts no more of the body
+        self._pieces: list[bytes] = []  # of a streamed body, not yet sent to the server
         self._held_bytes = 0
-        self._is_body_complete = not call.streamed
+        self._is_body_complete = not client.streamed
         self.body_complete_at = monotonic()
         self._is_server_full = False
 
-    # --- A streamed body, as the client's connection tells ---------------------------------------
+    # --- A streamed body, called by the client's connection --------------------------------------
     def add_body(self, piece: bytes) -> None:
-        """More of the body; what is answered already is read past."""
+        """Adds a piece of the body; it is discarded if the request has ended."""
         if self.is_over:
             self.client.release_body(len(piece))
             return
@@ -116,13 +118,13 @@
         self._held_bytes += len(piece)
         self._send_body()
 
-    def finish_body(self, lain_s: float) -> None:
-        """The body is whole; its last bytes lay unread for so long."""
-        self._is_body_complete, self.body_complete_at = True, monotonic() - lain_s
+    def finish_body(self, unread_s: float) -> None:
+        """Marks the body as complete; its last bytes were unread for `unread_s` seconds."""
+        self._is_body_complete, self.body_complete_at = True, monotonic() - unread_s
         self._send_body()
 
     def _send_body(self) -> None:
-        """Send on what there is, as far as the server takes it."""
+        """Forwards the buffered body as far as the server accepts it."""
         stream = self.stream
         if stream is not None and stream.is_sending_body and not self._is_server_full:
             pieces, self._pieces = self._pieces, []
@@ -132,11 +134,11 @@
             if self._is_body_complete:
                 self._handler.upload_finished(self)
                 stream.finish_body()
-        # While no server takes it some of it is read ahead: a client's end lies behind its bytes.
-        most = MAX_READ_AHEAD_BYTES if stream is None else 0
-        self.client.pause_upload(not self.is_over and (self._is_server_full or self._held_bytes > most))
+        # Some of it is read ahead while no server accepts it: the end of the stream follows the bytes.
+        max_bytes = MAX_READ_AHEAD_BYTES if stream is None else 0
+        self.client.pause_upload(not self.is_over and (self._is_server_full or self._held_bytes > max_bytes))
 
-    # --- The attempt, as its connection tells ------------------------------------------------------
+    # --- The attempt, called by the server connection ----------------------------------------------
     def connected(self, stream: StreamConnection) -> None:
         self.stream = stream
         if self.client.streamed:
@@ -151,7 +153,7 @@
             self._send_body()
 
     def is_wanted(self, waited_s: float) -> bool:
-        """Whether the client is there, as the system knows, where its connection may not have been told."""
+        """Returns whether the client is still connected; asks the kernel if the attempt waited."""
         return waited_s <= CLIENT_CHECK_AFTER_S or not self.client.is_client_gone()
 
     def current_message(self) -> bytes:
@@ -168,23 +170,23 @@
             self.client.send_piece(data)
 
     def ended(self) -> None:
-        """The attempt is over."""
+        """Clears the state of the ended attempt."""
         self.attempt = self.stream = None
         self._is_server_full, self.write_paused_since = False, None
 
-    # --- The client, as its connection tells --------------------------------------------------------
+    # --- The client, called by its connection -------------------------------------------------------
     def client_writable(self, ready: bool) -> None:
-        """Whether the client takes more of the answer."""
+        """Pauses or resumes the response by whether the client accepts more of it."""
         if self.stream and self.response_started:
             self.stream.set_paused(not ready)
 
     def client_disconnected(self) -> None:
-        """Its client has gone, or is given up."""
+        """Ends the exchange without a response."""
         self._end()
 
-    # --- The answer ------------------------------------------------------------------------------
+    # --- The response ----------------------------------------------------------------------------
     def finish(self, effect: Reply) -> None:
-        """The table's word on how the request ended."""
+        """Sends the result of the request table to the client."""
         if self.is_over:
             return
         self._end()
--- a/basaltpoint/fronts/shell.py
+++ b/basaltpoint/fronts/shell.py
@@ -1,4 +1,4 @@
-"""What every front puts round the request table: clock, one timer, effects carried out in their order."""
+"""What every front adds to the request table: a clock, one timer and the ordered execution of effects."""
 
 from __future__ import annotations
 
@@ -15,39 +15,36 @@
 
 log = logging.getLogger(__name__)
 
-CLOCK_START_MS = 1e9  # the module's clock starts here, so that no start of a server falls to 0 ('long ago')
-
-
-MIN_WAIT_MS = 1.0  # of a request whose time ran out before it was read: it is answered, and not sent on
-RESPONSE_MARGIN_MS = (
-    10.0  # the module's deadline lies so much before the client's: the answer is on its way, too
-)
-UPLOAD_TIMEOUT_S = (
-    86400.0  # stands for no limit while a body is on its way; the bounds on what stands still end it
-)
+# The decision module's clock starts here, so that no server's start time becomes 0, which means "long ago".
+CLOCK_START_MS = 1e9
+MIN_WAIT_MS = 1.0  # of a request that expired before it was read: it gets a response and no attempt
+# The module's deadline lies this long before the client's: the response has to be transmitted, too.
+RESPONSE_MARGIN_MS = 10.0
+# Means no limit while a body is uploaded; timeouts for stalled connections end an upload without progress.
+UPLOAD_TIMEOUT_S = 86400.0
 
 
 class ExchangeState(Protocol):
-    """One request on its way, as the table is told of it."""
+    """What the request table needs to know of one request and its response."""
 
     @property
     def request_number(self) -> int: ...
     @property
-    def attempt_number(self) -> int: ...  # of the attempt that is out
+    def attempt_number(self) -> int: ...  # of the outstanding attempt
     @property
     def attempt(self) -> Attempt | None: ...
     @property
-    def response_started(self) -> bool: ...  # its answer has begun to be passed on
+    def response_started(self) -> bool: ...  # the response is being forwarded to the client
     @property
-    def wait_ms(self) -> float: ...
+    def wait_ms(self) -> float: ...  # for the response, from the last byte of the body
     @property
     def body_complete_at(
         self,
-    ) -> float: ...  # when its client had sent the last byte of its body, monotonic seconds
+    ) -> float: ...  # when the client had sent the last byte of the body, monotonic seconds
 
 
 class RequestTableDriver:
-    """A front's side of the table; a subclass says how an effect is carried out."""
+    """Drives the request table of a front; subclasses implement `apply_effect`."""
 
     def __init__(self, table: RequestTable) -> None:
         self.table = table
@@ -55,18 +52,18 @@
         self._effects: deque[Effect] = deque()
         self._is_applying = False
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_due_at = 0.0  # of the loop: a handle that is due at once tells no time
+        self._timer_due_at = 0.0  # loop time; a handle that is due at once does not provide it
 
     def now(self) -> float:
-        """The module's clock, ms."""
+        """Returns the time of the decision module's clock in ms."""
         return (time.monotonic() - self._clock_origin_s) * 1000 + CLOCK_START_MS
 
     def to_loop_time(self, ms: float) -> float:
-        """A time of the module's clock on that of the loop."""
+        """Converts a time of the module's clock (ms) to the event loop's clock (seconds)."""
         return (ms - CLOCK_START_MS) / 1000 + self._clock_origin_s
 
     def apply_effects(self, effects: list[Effect]) -> None:
-        """Carry effects out; what they cause themselves waits until they are done."""
+        """Applies effects in order; effects that they cause are applied after them."""
         self._effects += effects
         if self._is_applying:
             return
@@ -77,9 +74,11 @@
                 try:
                     self.apply_effect(effect)
                 except Exception:
-                    # A fault in one must not leave those behind it waiting for whatever happens next.
-                    log.exception("an effect could not be carried out: %r", effect)
-                    if isinstance(effect, StartAttempt):  # its end is owed, and it may have been written
+                    # An exception in one effect must not delay the following ones until the next event.
+                    log.exception("an effect could not be applied: %r", effect)
+                    if isinstance(
+                        effect, StartAttempt
+                    ):  # the table expects its end; it may have been written
                         self._effects += self.table.attempt_ended(
                             self.now(), effect.request, effect.attempt, Status.RESET
                         )
@@ -91,35 +90,35 @@
         raise NotImplementedError
 
     # --- One request -----------------------------------------------------------------------------
-    def response_started(self, passage: ExchangeState) -> None:
-        """Its answer's head has come and is to be passed on."""
+    def response_started(self, exchange: ExchangeState) -> None:
+        """Notifies the table that the response head was received and is to be forwarded."""
         self.apply_effects(
-            self.table.response_started(self.now(), passage.request_number, passage.attempt_number)
+            self.table.response_started(self.now(), exchange.request_number, exchange.attempt_number)
         )
 
-    def upload_started(self, passage: ExchangeState) -> None:
-        """Its body is on its way to the server: no deadline counts until it is whole."""
-        if passage.attempt:
-            # Until its connection was up the request's own time held; a body that streams is ended where it
-            # stands still, and with this process.
-            day = asyncio.get_running_loop().time() + UPLOAD_TIMEOUT_S
-            passage.attempt.set_end_by(min(day, self.to_loop_time(self.table.final_deadline_ms)))
-        self.apply_effects(self.table.upload_started(self.now(), passage.request_number))
-
-    def upload_finished(self, passage: ExchangeState) -> None:
-        """Its streamed body is whole at the server: the deadline counts from its client's last byte on."""
+    def upload_started(self, exchange: ExchangeState) -> None:
+        """Notifies the table that the body is being uploaded: no deadline applies until it is complete."""
+        if exchange.attempt:
+            # The request's own deadline applied until the connection was established. An upload ends when it
+            # makes no progress, or when this process ends.
+            latest = asyncio.get_running_loop().time() + UPLOAD_TIMEOUT_S
+            exchange.attempt.set_end_by(min(latest, self.to_loop_time(self.table.final_deadline_ms)))
+        self.apply_effects(self.table.upload_started(self.now(), exchange.request_number))
+
+    def upload_finished(self, exchange: ExchangeState) -> None:
+        """Notifies the table that the upload is complete; the deadline counts from the client's last byte."""
         now = self.now()
-        waited = (monotonic() - passage.body_complete_at) * 1000
-        wait = max(MIN_WAIT_MS, passage.wait_ms - waited)
-        self.table.upload_finished(now, passage.request_number, wait)
-        if passage.attempt and not passage.response_started:
+        waited_ms = (monotonic() - exchange.body_complete_at) * 1000
+        wait = max(MIN_WAIT_MS, exchange.wait_ms - waited_ms)
+        self.table.upload_finished(now, exchange.request_number, wait)
+        if exchange.attempt and not exchange.response_started:
             until = min(now + max(wait - RESPONSE_MARGIN_MS, wait / 2), self.table.final_deadline_ms)
-            passage.attempt.set_end_by(self.to_loop_time(until))
+            exchange.attempt.set_end_by(self.to_loop_time(until))
         self.schedule_tick()
 
     # --- Time ------------------------------------------------------------------------------------
     def schedule_tick(self) -> None:
-        """Have the table called when it is next due. Most requests end long before: the timer stays."""
+        """Schedules the table's next tick. A timer that is due earlier stays: most requests end before it."""
         if (due := self.table.next_tick_ms) is None:
             return
         when = self.to_loop_time(due)
@@ -134,6 +133,6 @@
         self.apply_effects(self.table.tick(self.now()))
 
     def cancel_tick(self) -> None:
-        """The table is not called any more."""
+        """Cancels the scheduled tick."""
         if self._timer:
             self._timer.cancel()
--- a/basaltpoint/fronts/unread.py
+++ b/basaltpoint/fronts/unread.py
@@ -1,8 +1,9 @@
-"""What lies unread in a client's socket, and for how long.
+"""Unread data in a client's socket, and how long it has been there.
 
-A connection that is closed over bytes of a request drops it. Time that a request lay there is its client's:
-a connection waits in the backlog while accept fails or there is no room, and bytes wait in a socket that is
-not read for now. The clock of a request's deadline would otherwise begin only with its reading.
+Closing a connection while unread request bytes are in its socket loses the request. The time that a request
+spent unread counts against its deadline: a connection waits in the backlog while accept fails or the limit of
+connections is reached, and bytes wait in a socket whose reading is paused. Without this the deadline would
+only count from the moment of reading.
 """
 
 from __future__ import annotations
@@ -15,26 +16,26 @@
 from enum import Enum, auto
 from time import monotonic
 
-# Bytes that a new socket takes at least while nobody reads it (half of the default of tcp_rmem, less heads of
-# packets). What lies there up to this may be all that was sent.
+# A new socket buffers at least this much while it is not read (half of the default of tcp_rmem, less packet
+# headers). Fewer unread bytes may be everything that was sent.
 MIN_RECEIVE_BUFFER_BYTES = 60_000
-FIRST_REQUEST_GRACE_S = 0.3  # what a new connection gets for its first request before it may be closed
+FIRST_REQUEST_GRACE_S = 0.3  # time for the first request of a new connection before it may be closed
 
-# `struct tcp_info` of linux/tcp.h: eight bytes, then 32-bit numbers. The tenth says how many milliseconds ago
-# data was last sent, the twelfth how many ago data last came in; both begin as the connection comes up.
+# `struct tcp_info` of linux/tcp.h: eight bytes, then 32-bit numbers. The tenth is the time in ms since data
+# was last sent, the twelfth since data was last received; both start when the connection is established.
 _TIMES = struct.Struct("=44xI4xI")
 
 
 class UnreadData(Enum):
-    """What is read next from a socket."""
+    """What the next read from a socket would return."""
 
     NOTHING = auto()
     BYTES = auto()
-    END = auto()  # its other side has gone
+    END = auto()  # end of stream or an error
 
 
 def peek(sock: socket.socket) -> UnreadData:
-    """What lies in a socket, without taking it."""
+    """Returns what a socket holds, without consuming it."""
     try:
         return UnreadData.BYTES if sock.recv(1, socket.MSG_PEEK) else UnreadData.END
     except (BlockingIOError, InterruptedError):
@@ -44,7 +45,7 @@
 
 
 def seconds_since_data(sock: socket.socket) -> tuple[float, float] | None:
-    """Seconds since data was last sent, and since it last came in; None where the system does not tell."""
+    """Returns the seconds since data was last sent and since it was last received; None if unknown."""
     try:
         sent, received = _TIMES.unpack(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TIMES.size))
         return sent / 1000, received / 1000
@@ -53,7 +54,7 @@
 
 
 def unread_bytes(sock: socket.socket) -> int:
-    """How many bytes lie in a socket; 0 where the system does not tell."""
+    """Returns the number of unread bytes in a socket; 0 if unknown."""
     try:
         return int.from_bytes(fcntl.ioctl(sock.fileno(), termios.FIONREAD, bytes(4)), sys.byteorder)
     except OSError:
@@ -61,19 +62,20 @@
 
 
 def time_unread_s(sock: socket.socket, since: float, size: int, has_responded: bool) -> float:
-    """How long what was just read may have lain there, in seconds.
+    """Returns how long the bytes that were just read may have been in the socket, in seconds.
 
-    `since`: since when the socket may not have been looked at, monotonic seconds.
-    `size`: how many bytes were read. `answered`: whether anything was sent over the connection before.
-    Of several requests in one read it is the last one's time.
+    `since`: since when the socket may not have been read, monotonic seconds.
+    `size`: the number of bytes read. `has_responded`: whether anything was sent over the connection before.
+    If one read returned several requests, the time is that of the last one.
     """
-    longest = monotonic() - since
-    moved = seconds_since_data(sock)
-    if moved is None:
-        return longest
-    sent_s, received_s = moved
+    max_s = monotonic() - since
+    ages = seconds_since_data(sock)
+    if ages is None:
+        return max_s
+    sent_s, received_s = ages
     if size + unread_bytes(sock) < MIN_RECEIVE_BUFFER_BYTES:
-        return min(longest, received_s)
-    # Its sender may have been held up since; the last bytes came as there was room, or as probes for it.
-    age_s = longest if has_responded else sent_s
-    return min(longest, age_s)
+        return min(max_s, received_s)
+    # The sender may have been blocked by flow control since: the last bytes were sent as room
+    # became available, or as window probes.
+    age_s = max_s if has_responded else sent_s
+    return min(max_s, age_s)
