--- a/basaltpoint/membership/lease.py
+++ b/basaltpoint/membership/lease.py
@@ -23,9 +23,8 @@
 
 from basaltpoint.policy.send_rules import MAX_STALL_S
 
-WATCH_SILENCE_TIMEOUT_S = (
-    6.0  # changes missed on a silent watch count as delivered after this time (STANDING)
-)
+# Changes missed on a silent watch count as delivered after this time (STANDING).
+WATCH_SILENCE_TIMEOUT_S = 6.0
 # Changes known to a new agent count as delivered this long after the change of configuration (STANDING).
 AGENT_CHANGE_TIMEOUT_S = 4.0
 # A limiter whose calls fail may miss changes for this many times `askWithinMs` (protocol page).
