--- a/basaltpoint/daemon/document.py
+++ b/basaltpoint/daemon/document_command.py
@@ -9,12 +9,18 @@
 from pathlib import Path
 
 from basaltpoint.config import storage as storages
-from basaltpoint.config.decode import Collector, FileError
+from basaltpoint.config.decode import FileError, ProblemCollector
 from basaltpoint.config.shared import parse_document
-from basaltpoint.daemon.shared_state import DOCUMENT, DRAIN, PREFIX, SERVER, check_document
+from basaltpoint.daemon.shared_state import (
+    DOCUMENT_KEY,
+    DRAIN_PREFIX,
+    SERVER_PREFIX,
+    SHARED_PREFIX,
+    check_document,
+)
 from basaltpoint.store.client import Client
-from basaltpoint.store.command import add_common, ask
-from basaltpoint.store.machine import Check, Put
+from basaltpoint.store.command import add_client_arguments, run_with_client
+from basaltpoint.store.state_machine import Check, Put
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -31,7 +37,7 @@
     show = commands.add_parser("show", help="print the document")
     show.set_defaults(act=_show)
     for command in (push, show):
-        add_common(command)
+        add_client_arguments(command)
 
 
 def add_drain_arguments(parser: argparse.ArgumentParser, drain: bool) -> None:
@@ -42,7 +48,7 @@
             "--force", action="store_true", help="though no limiter knows a server of this name"
         )
     parser.set_defaults(act=_drain if drain else _undrain)
-    add_common(parser)
+    add_client_arguments(parser)
 
 
 def run(args: argparse.Namespace) -> int:
@@ -54,26 +60,28 @@
     except FileError as error:
         print(error, file=sys.stderr)
         return 2
-    return ask(storage, args)
+    return run_with_client(storage, args)
 
 
 async def _push(client: Client, args: argparse.Namespace) -> int:
     revision = args.revision
     if revision is None:
-        held = await client.get(DOCUMENT, within_s=args.within)
-        revision = held.changed if held else 0
-    result = await client.txn([Put(DOCUMENT, args.text)], [Check(DOCUMENT, revision)], args.within)
+        held = await client.get(DOCUMENT_KEY, within_s=args.within)
+        revision = held.modified_revision if held else 0
+    result = await client.transaction(
+        [Put(DOCUMENT_KEY, args.text)], [Check(DOCUMENT_KEY, revision)], args.within
+    )
     print(f"{args.file}: revision {result.revision}")
     print("`basaltpoint store get --prefix limiter/` tells which limiters run on it")
     return 0
 
 
 async def _show(client: Client, args: argparse.Namespace) -> int:
-    held = await client.get(DOCUMENT, within_s=args.within)
+    held = await client.get(DOCUMENT_KEY, within_s=args.within)
     if held is None:
         print("the store holds no document", file=sys.stderr)
         return 1
-    print(f"# revision {held.changed}")
+    print(f"# revision {held.modified_revision}")
     sys.stdout.flush()
     sys.stdout.buffer.write(held.value)
     return 0
@@ -85,30 +93,30 @@
         print(f"found the server {args.server!r}; known are {', '.join(sorted(known))}", file=sys.stderr)
         return 1
     told = json.dumps({"since_ms": int(time.time() * 1000)}).encode()
-    await client.put(DRAIN + args.server, told, within_s=args.within)
+    await client.put(DRAIN_PREFIX + args.server, told, within_s=args.within)
     print(f"{args.server} drains: limiters send nothing new to it")
     return 0
 
 
 async def _servers(client: Client, within_s: float) -> set[str] | None:
     """Names of the servers that limiters know; None where the store does not tell."""
-    found, _ = await client.range(PREFIX, within_s=within_s)
-    if (document := found.get(DOCUMENT)) is None:
+    found, _ = await client.get_range(SHARED_PREFIX, within_s=within_s)
+    if (document := found.get(DOCUMENT_KEY)) is None:
         return None
-    out = Collector(DOCUMENT)
+    out = ProblemCollector(DOCUMENT_KEY)
     tables = parse_document(document.value, out)
     try:
-        out.check()
+        out.raise_problems()
         names = {str(row["name"]) for row in tables.get("server", [])}
     except (FileError, TypeError, KeyError):
         return None  # no limiter can use it; a drain must not wait for its mending
-    return names | {key.removeprefix(SERVER) for key in found if key.startswith(SERVER)}
+    return names | {key.removeprefix(SERVER_PREFIX) for key in found if key.startswith(SERVER_PREFIX)}
 
 
 async def _undrain(client: Client, args: argparse.Namespace) -> int:
-    if await client.get(DRAIN + args.server, within_s=args.within) is None:
+    if await client.get(DRAIN_PREFIX + args.server, within_s=args.within) is None:
         print(f"{args.server} does not drain")
         return 1
-    await client.delete(DRAIN + args.server, within_s=args.within)
+    await client.delete(DRAIN_PREFIX + args.server, within_s=args.within)
     print(f"{args.server} drains no more")
     return 0
--- a/basaltpoint/daemon/fleet_look.py
+++ b/basaltpoint/daemon/fleet_query.py
@@ -5,12 +5,12 @@
 import asyncio
 from typing import Any, TypeVar
 
-from basaltpoint.config.fleets import FleetSetting
-from basaltpoint.links.frames import VERSION, Greeting, Part
+from basaltpoint.config.fleets import FleetSettings
+from basaltpoint.links.frames import PROTOCOL_VERSION, Frame, Greeting
 from basaltpoint.links.transport import Link, Tls, connect
 from basaltpoint.peers import messages as m
 
-ANSWER_S = 3.0
+RESPONSE_TIMEOUT_S = 3.0
 
 T = TypeVar("T")
 
@@ -18,35 +18,37 @@
 class _Question:
     """One frame sent, one answer."""
 
-    def __init__(self, part: Part, kind: type[Any]) -> None:
+    def __init__(self, part: Frame, kind: type[Any]) -> None:
         self._part, self._kind = part, kind
         self.answer: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
 
-    def greeted(self, link: Link) -> bool:
+    def greeting_received(self, link: Link) -> bool:
         return link.send(self._part)
 
-    def came(self, link: Link, frame: Any) -> None:
+    def frame_received(self, link: Link, frame: Any) -> None:
         if isinstance(frame, self._kind) and not self.answer.done():
             self.answer.set_result(frame)
 
-    def lost(self, link: Link) -> None:
+    def link_closed(self, link: Link) -> None:
         if not self.answer.done():
-            self.answer.set_exception(ConnectionResetError(link.why or "it ended the connection"))
+            self.answer.set_exception(ConnectionResetError(link.close_reason or "it ended the connection"))
             self.answer.exception()  # read by whoever waits, or by nobody
 
 
-async def ask(
+async def query_member(
     tls: Tls | None,
     greeting: Greeting,
     name: str,
     address: str,
-    part: Part,
+    part: Frame,
     kind: type[T],
-    within_s: float = ANSWER_S,
+    within_s: float = RESPONSE_TIMEOUT_S,
 ) -> T:
     """Ask the member `name`; OSError, TimeoutError where no answer of the kind comes."""
     asked = _Question(part, kind)
-    link = await connect(lambda: Link(asked, greeting, False, m.PEERS, tls is None), address, name, tls)
+    link = await connect(
+        lambda: Link(asked, greeting, False, m.PEER_PROTOCOL, tls is None), address, name, tls
+    )
     try:
         async with asyncio.timeout(within_s):
             answer: T = await asked.answer
@@ -55,14 +57,16 @@
         link.close()
 
 
-async def look(setting: FleetSetting, name: str, address: str) -> m.Looked:
+async def query_view(setting: FleetSettings, name: str, address: str) -> m.ViewResponse:
     """A member's view; OSError, TimeoutError where it does not answer."""
-    greeting = Greeting(VERSION, setting.cluster)
-    return await ask(Tls.of(setting.files), greeting, name, address, m.Look((), 1), m.Looked)
+    greeting = Greeting(PROTOCOL_VERSION, setting.cluster)
+    return await query_member(
+        Tls.from_files(setting.tls_files), greeting, name, address, m.ViewRequest((), 1), m.ViewResponse
+    )
 
 
-async def remove(setting: FleetSetting, gone: str, force: bool) -> str:
+async def request_removal(setting: FleetSettings, gone: str, force: bool) -> str:
     """Have this file's member declare another gone for good; the reason why not, or nothing."""
-    greeting, part = Greeting(VERSION, setting.cluster), m.Remove((), 1, gone, force)
-    tls = Tls.of(setting.files)
-    return (await ask(tls, greeting, setting.name, setting.address, part, m.Removed)).problem
+    greeting, part = Greeting(PROTOCOL_VERSION, setting.cluster), m.RemoveRequest((), 1, gone, force)
+    tls = Tls.from_files(setting.tls_files)
+    return (await query_member(tls, greeting, setting.name, setting.address, part, m.RemoveResponse)).problem
--- a/basaltpoint/daemon/platform.py
+++ b/basaltpoint/daemon/platform.py
@@ -14,18 +14,18 @@
 
 import uvloop
 
-from basaltpoint.config.address import Address, ConfigError, inherited
+from basaltpoint.config.address import Address, ConfigError, inherited_listening_socket
 from basaltpoint.daemon import signals
-from basaltpoint.daemon.platform_upgrade import PlatformUpgrade, inherit
+from basaltpoint.daemon.platform_upgrade import PlatformUpgrade, read_predecessor_state
 from basaltpoint.fronts.control.console import Console
 from basaltpoint.fronts.platform import config as configuration
-from basaltpoint.fronts.platform.clients import BACKLOG, Clients
-from basaltpoint.fronts.platform.limiter import MARGIN, SERVER_PART, Limiter
-from basaltpoint.handover.link import claim, socket_path
+from basaltpoint.fronts.platform.clients import BACKLOG, ClientConnections
+from basaltpoint.fronts.platform.limiter import RESERVED_DESCRIPTORS, SERVER_SOCKET_FRACTION, Limiter
+from basaltpoint.handover.link import connect_to_predecessor, socket_path
 from basaltpoint.membership.backoff import Backoff
 from basaltpoint.membership.discovery import Watch
 from basaltpoint.membership.lease import MembershipLease
-from basaltpoint.system.listening import listener_when_free
+from basaltpoint.system.listening import open_listener_when_free
 from basaltpoint.telemetry import trace
 
 log = logging.getLogger("basaltpoint")
@@ -35,7 +35,7 @@
 SEED = 0x5BD1E995  # sets the watch's chance apart from the module's
 
 
-async def _sweep(limiter: Limiter, clients: Clients) -> None:
+async def _sweep(limiter: Limiter, clients: ClientConnections) -> None:
     while True:
         await asyncio.sleep(SWEEP_S)
         try:
@@ -53,10 +53,10 @@
         log.error("the configuration stays as it was: %s", error)
         return
     log.info("discovery is at %s:%d", *address)
-    watch.move(address)
+    watch.set_address(address)
 
 
-async def _answer_operators(address: Address, limiter: Limiter, clients: Clients) -> None:
+async def _answer_operators(address: Address, limiter: Limiter, clients: ClientConnections) -> None:
     """Answer operators' calls until cancelled; where the address can't be had, serve without."""
 
     def readyz() -> Iterable[str]:
@@ -65,21 +65,25 @@
         elif clients.draining:
             yield "fail draining"
         else:
-            yield "fail no server is known" if limiter.started.is_set() else "fail servers are not confirmed"
+            yield (
+                "fail no server is known"
+                if limiter.list_confirmed.is_set()
+                else "fail servers are not confirmed"
+            )
 
     def telemetry() -> Iterable[str]:
         yield "ok"
-        yield from limiter.figures.lines(limiter.gauges())
+        yield from limiter.figures.metric_lines(limiter.gauges())
         yield "eof"
 
     def rules() -> Iterable[str]:
         yield "ok"
-        yield from limiter.guard.lines()
-        yield from clients.close_guard.lines()
+        yield from limiter.guard.metric_lines()
+        yield from clients.close_guard.metric_lines()
         yield "eof"
 
     try:
-        listening = await listener_when_free(address, CONTROL_BACKLOG)
+        listening = await open_listener_when_free(address, CONTROL_BACKLOG)
     except OSError as error:
         log.error("nobody can call at %s:%d: %s", *address, error)
         return
@@ -91,10 +95,10 @@
         console.close()
 
 
-async def _listen(limiter: Limiter, clients: Clients, wait: bool) -> None:
+async def _listen(limiter: Limiter, clients: ClientConnections, wait: bool) -> None:
     """Take clients; with `wait` only once the list of servers may be acted on: the older process serves."""
     if wait:
-        await limiter.started.wait()
+        await limiter.list_confirmed.wait()
     clients.listen()
 
 
@@ -103,24 +107,24 @@
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    own = None if held else await listener_when_free(config.listen, BACKLOG)
+    own = None if held else await open_listener_when_free(config.listen, BACKLOG)
     path = socket_path(os.environ.get("TMPDIR"), config.name) if held else None
-    found = claim(path) if path else None
+    found = connect_to_predecessor(path) if path else None
     grace_s = config.settings.drain_grace_ms / 1000
-    ask_within_s = config.settings.ask_within_ms / 1000 if config.settings.must_subscribe else None
+    ask_within_s = config.settings.discovery_confirm_ms / 1000 if config.settings.must_subscribe else None
     lease = MembershipLease(time.monotonic(), grace_s, ask_within_s)
     log.info("lists of servers are %s", "pushed" if ask_within_s is None else "asked for")
-    limiter = Limiter(config, inherit(found[1]) if found else None, lease)
-    most = int((config.sockets - MARGIN) * (1 - SERVER_PART))
-    clients = Clients(limiter, config.settings, config.listen, most, config.body_bytes, held, own)
+    limiter = Limiter(config, read_predecessor_state(found[1]) if found else None, lease)
+    most = int((config.sockets - RESERVED_DESCRIPTORS) * (1 - SERVER_SOCKET_FRACTION))
+    clients = ClientConnections(limiter, config.settings, config.listen, most, config.body_bytes, held, own)
     rng = random.Random(config.seed ^ SEED)
     backoff = Backoff(rng, grace_s)
-    watch = Watch(config.discovery, limiter.listed, backoff, lease, limiter.lease_changed)
+    watch = Watch(config.discovery, limiter.update_servers, backoff, lease, limiter.lease_changed)
     watch.seq = limiter.known_seq
     loop.add_signal_handler(signal.SIGHUP, _reload, watch)
-    if signals.came(signal.SIGHUP):
+    if signals.was_received(signal.SIGHUP):
         _reload(watch)
-    if signals.came(signal.SIGTERM, signal.SIGINT):
+    if signals.was_received(signal.SIGTERM, signal.SIGINT):
         stop.set()
     tasks = [loop.create_task(watch.run()), loop.create_task(_sweep(limiter, clients))]
     upgrade = PlatformUpgrade(limiter, clients, path, found[0] if found else None) if path else None
@@ -146,7 +150,7 @@
         trace.enable()
     try:
         config = configuration.load(os.environ)
-        held = inherited(config.socket_fd) if config.socket_fd is not None else None
+        held = inherited_listening_socket(config.socket_fd) if config.socket_fd is not None else None
     except ConfigError as error:
         log.error("%s", error)
         return 2
--- a/basaltpoint/daemon/upgrade.py
+++ b/basaltpoint/daemon/upgrade.py
@@ -15,13 +15,20 @@
 from typing import Protocol
 
 from basaltpoint.handover import upgrade_state
-from basaltpoint.handover.link import Link, SuccessorListener, SuccessorSide, claim
+from basaltpoint.handover.link import (
+    HandoverLink,
+    SuccessorHandler,
+    SuccessorListener,
+    connect_to_predecessor,
+)
 from basaltpoint.handover.upgrade_state import HandoverError, Hello, UpgradeState
 
 log = logging.getLogger("basaltpoint")
 
-FLUSH_S = 3.0  # for the document to be read by a process that is starting; then its connections go as ever
-LOOK_S = 0.005
+FLUSH_TIMEOUT_S = (
+    3.0  # for the document to be read by a process that is starting; then its connections go as ever
+)
+POLL_INTERVAL_S = 0.005
 
 
 class Predecessor(Protocol):
@@ -36,8 +43,8 @@
 
     def __init__(self, path: str, name: str) -> None:
         self._path, self._name = path, name
-        self._older: Link | None = None
-        self._successor: Link | None = None
+        self._older: HandoverLink | None = None
+        self._successor: HandoverLink | None = None
         self._listener: SuccessorListener | None = None
         self._told: asyncio.Future[UpgradeState | None]
         self.listeners: list[socket.socket] = []
@@ -47,46 +54,46 @@
     # --- As the newer of two ----------------------------------------------------------------------------
     def claim(self) -> bool:
         """Whether an older process is there; HandoverError where it can't be followed."""
-        found = claim(self._path)
+        found = connect_to_predecessor(self._path)
         if found is None:
             return False
         sock, text = found
         try:
-            upgrade_state.hello(text)
+            upgrade_state.decode_hello(text)
         except HandoverError:
             sock.close()
             raise
         self._told = asyncio.get_running_loop().create_future()
-        self._older = Link(sock, _Older(self))
+        self._older = HandoverLink(sock, _Older(self))
         return True
 
-    async def wait(self) -> UpgradeState | None:
+    async def wait_for_state(self) -> UpgradeState | None:
         """What the older one leaves once it is told to end; None where it ended without a word."""
         return await self._told
 
-    def came(self, text: bytes) -> None:
+    def state_received(self, text: bytes) -> None:
         """The older one's last word."""
         if self._told.done():
             return
         try:
-            self._told.set_result(upgrade_state.read(text, time.monotonic()))
+            self._told.set_result(upgrade_state.decode(text, time.monotonic()))
         except HandoverError as error:
             log.warning("the older process's state is not taken over: %s", error)
             self._told.set_result(None)
 
-    def passed(self, sock: socket.socket) -> None:
+    def socket_received(self, sock: socket.socket) -> None:
         if sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
             self.listeners.append(sock)
         else:
             self.adopt(sock)
 
-    def alone(self) -> None:
+    def predecessor_disconnected(self) -> None:
         """The older one has gone."""
         if self._older and not self._told.done():
             log.warning("the older process ended without a last word; its place is taken as after a kill")
             self._told.set_result(None)
 
-    def serving(self, adopt: Callable[[socket.socket], None]) -> None:
+    def start_serving(self, adopt: Callable[[socket.socket], None]) -> None:
         """From now on this process serves: the next one may knock."""
         self.adopt = adopt
         while self._early:
@@ -100,11 +107,11 @@
     def _successor_came(self, sock: socket.socket) -> None:
         if self._successor:
             self._successor.close()
-        self._successor = Link(sock, SuccessorSide(self.successor_gone))
-        self._successor.document(upgrade_state.write(Hello(upgrade_state.VERSION, self._name)))
+        self._successor = HandoverLink(sock, SuccessorHandler(self.successor_disconnected))
+        self._successor.send_document(upgrade_state.encode(Hello(upgrade_state.VERSION, self._name)))
         log.info("a newer process is there; it takes over when this one is told to end")
 
-    def successor_gone(self) -> None:
+    def successor_disconnected(self) -> None:
         self._successor = None
         if self._listener:
             log.warning("the newer process ended")
@@ -113,12 +120,12 @@
         """Pass all on to the newer one; how to pass connections on, None where nobody is there."""
         if (successor := self._successor) is None:
             return None
-        told = predecessor.hand_state_over(successor.connection)
-        successor.document(upgrade_state.write(told))
-        end = time.monotonic() + FLUSH_S
-        while not successor.flushed and time.monotonic() < end:
-            await asyncio.sleep(LOOK_S)
-        return successor.connection
+        told = predecessor.hand_state_over(successor.send_connection)
+        successor.send_document(upgrade_state.encode(told))
+        end = time.monotonic() + FLUSH_TIMEOUT_S
+        while not successor.is_flushed and time.monotonic() < end:
+            await asyncio.sleep(POLL_INTERVAL_S)
+        return successor.send_connection
 
     def close(self) -> None:
         if self._listener:
@@ -138,14 +145,14 @@
     def __init__(self, upgrade: Upgrade) -> None:
         self._upgrade = upgrade
 
-    def told(self, document: bytes) -> None:
-        self._upgrade.came(document)
+    def document_received(self, document: bytes) -> None:
+        self._upgrade.state_received(document)
 
-    def adopt(self, sock: socket.socket) -> None:
-        self._upgrade.passed(sock)
+    def connection_received(self, sock: socket.socket) -> None:
+        self._upgrade.socket_received(sock)
 
-    def ended(self, name: bytes) -> None:
+    def request_completed(self, name: bytes) -> None:
         pass
 
-    def parted(self) -> None:
-        self._upgrade.alone()
+    def link_closed(self) -> None:
+        self._upgrade.predecessor_disconnected()
--- a/basaltpoint/fronts/http/relay.py
+++ b/basaltpoint/fronts/http/relay.py
@@ -1,4 +1,4 @@
-"""The ordinary front: routes and accounts to arrivals, the table's effects to attempts and answers."""
+"""The HTTP front's limiter: maps requests to routes and accounts, and the table's effects to attempts."""
 
 from __future__ import annotations
 
@@ -14,31 +14,48 @@
 
 from basaltpoint import interface as api
 from basaltpoint.config.build import ServerSpec, Setup
-from basaltpoint.core.table import Begin, Dispatch, Effect, Ending, Fault, Reply, Table, Ticket, Withdraw
+from basaltpoint.core.table import (
+    CancelAttempt,
+    Effect,
+    Fault,
+    NewRequest,
+    Reply,
+    RequestResult,
+    RequestTable,
+    StartAttempt,
+    StartResponse,
+)
 from basaltpoint.fronts.http import message
 from basaltpoint.fronts.http.connection import ClientConnection
-from basaltpoint.fronts.http.message import BadRequestError, Changes, Headers, Origin, Outgoing, Request
-from basaltpoint.fronts.http.passage import Check, Passage
-from basaltpoint.fronts.shell import EARLY_MS, Shell
-from basaltpoint.fronts.unread import FIRST_S
+from basaltpoint.fronts.http.exchange import HealthCheck, RequestExchange
+from basaltpoint.fronts.http.message import (
+    BadRequestError,
+    Headers,
+    Origin,
+    Request,
+    RequestRewrite,
+    UpstreamRequest,
+)
+from basaltpoint.fronts.shell import RESPONSE_MARGIN_MS, RequestTableDriver
+from basaltpoint.fronts.unread import FIRST_REQUEST_GRACE_S
 from basaltpoint.interface import Effect as Repeats
-from basaltpoint.interface import ServerState, Status, Why
+from basaltpoint.interface import RefusalReason, ServerState, Status
 from basaltpoint.membership.checks import Checks
-from basaltpoint.policy import Gateway
-from basaltpoint.routing.accounts import Stranger, client_address, trusts
-from basaltpoint.system.joining import Joining
+from basaltpoint.policy import DecisionModule
+from basaltpoint.routing.accounts import UnknownClient, client_address, is_trusted
+from basaltpoint.system.pending_connections import PendingConnections
 from basaltpoint.telemetry.figures import Figures
-from basaltpoint.upstream.servers import TIMER_S, Answer, Servers
-from basaltpoint.upstream.streams import StreamAnswers, StreamAttempt
+from basaltpoint.upstream.servers import TIMER_RESOLUTION_S, AttemptResult, ServerConnections
+from basaltpoint.upstream.streams import StreamAttempt, StreamConnection
 
 log = logging.getLogger(__name__)
 
-MARGIN = 32  # descriptors for the listener, the loop and the log
-SERVER_PART = 0.4  # of the sockets may be connections to servers
+RESERVED_DESCRIPTORS = 32  # file descriptors for the listener, the event loop and the log
+SERVER_SOCKET_FRACTION = 0.4  # fraction of the sockets that may be connections to servers
 
 
-class Relay(Shell):
-    """Holds the request table, the servers and what the present configuration says."""
+class Relay(RequestTableDriver):
+    """Owns the request table, the client and server connections and the current configuration."""
 
     def __init__(
         self,
@@ -48,176 +65,182 @@
         origin_s: float | None = None,
         started_ms: Mapping[str, float] = MappingProxyType({}),
     ) -> None:
-        """`down_ms`: for how long, at least, nothing has been sent on by an earlier life of this limiter.
+        """`down_ms`: minimum time for which no earlier process of this limiter has sent requests.
 
-        `origin_s`: where the module's clock began, of an older process that this one goes on for; and
-        `started_ms`: when, of that clock, it first heard of each server.
+        `origin_s`: start of the predecessor's clock, if this process takes over from one;
+        `started_ms`: when, on that clock, it first saw each server.
         """
         file = setup.file
         self.setup = setup
         self.name = file.name.encode()
-        self.head_limit = file.limits.head_kb * 1024
-        self.buffer = file.limits.buffer_kb * 1024
-        self.closing = False
-        self.gateway = Gateway(setup.settings, seed)
+        self.max_head_bytes = file.limits.head_kb * 1024
+        self.buffer_bytes = file.limits.buffer_kb * 1024
+        self.is_closing = False
+        self.decision_module = DecisionModule(setup.settings, seed)
         self.figures = Figures([cls.name for cls in setup.settings.classes])
-        super().__init__(Table(self.gateway, setup.settings.max_attempts, file.limits.requests, self.figures))
-        self._origin = self._origin if origin_s is None else origin_s
-        self._joining = Joining()
+        super().__init__(
+            RequestTable(
+                self.decision_module, setup.settings.max_attempts, file.limits.requests, self.figures
+            )
+        )
+        self._clock_origin_s = self._clock_origin_s if origin_s is None else origin_s
+        self._pending_connections = PendingConnections()
         self.connections: dict[ClientConnection, None] = {}
-        make = partial(StreamAnswers, head_limit=self.head_limit, buffer=self.buffer)
-        most = int((file.limits.sockets - MARGIN) * SERVER_PART)
-        self.most_clients = file.limits.sockets - MARGIN - most
+        make = partial(
+            StreamConnection, max_head_bytes=self.max_head_bytes, write_buffer_bytes=self.buffer_bytes
+        )
+        max_server_sockets = int((file.limits.sockets - RESERVED_DESCRIPTORS) * SERVER_SOCKET_FRACTION)
+        self.max_clients = file.limits.sockets - RESERVED_DESCRIPTORS - max_server_sockets
         up = file.upstream
-        self.servers = Servers(most, up.connect_ms / 1000, up.idle_ms / 1000, make)
-        self._placed: dict[int, ServerSpec] = {}
-        # When a server was first heard of, after the start.
-        self._started = {s.number: started_ms[s.name] for s in setup.servers if s.name in started_ms}
+        self.servers = ServerConnections(max_server_sockets, up.connect_ms / 1000, up.idle_ms / 1000, make)
+        self._servers_by_number: dict[int, ServerSpec] = {}
+        # When each server was first seen; 0 for those known from the start.
+        self._first_seen_ms = {s.number: started_ms[s.name] for s in setup.servers if s.name in started_ms}
         self._pools: set[int] = set()
-        self._passages: dict[int, Passage] = {}  # that wait for their reply
-        self._attempts: dict[int, StreamAttempt] = {}  # the one that is out, by request
+        self._exchanges: dict[int, RequestExchange] = {}  # by request, until the table's reply
+        self._attempts: dict[int, StreamAttempt] = {}  # the running attempt, by request
         self._checks = Checks(random.Random(seed))
-        self._checking: asyncio.TimerHandle | None = None
-        self._memory = int(file.limits.memory_mb * (1 << 20))
-        self._held = 0  # bytes of bodies
-        self.gateway.born = self.now() - down_ms  # what ceilings have filled since then is sure
+        self._check_timer: asyncio.TimerHandle | None = None
+        self._body_memory_bytes = int(file.limits.memory_mb * (1 << 20))
+        self._reserved_bytes = 0  # of buffered bodies
+        self.decision_module.started_ms = self.now() - down_ms  # ceilings have certainly refilled since then
         self._apply(setup, first=True)
 
     # --- Configuration -----------------------------------------------------------------------------
-    def apply(self, setup: Setup) -> None:
-        """Go over to another configuration at once; requests that are out keep what they were taken with."""
-        self.figures.retune([cls.name for cls in setup.settings.classes])
-        self.do(self.table.tell(self.now(), api.NewSettings(setup.settings)))
+    def apply_settings(self, setup: Setup) -> None:
+        """Applies a new configuration at once; requests in hand keep the settings they were admitted with."""
+        self.figures.update_classes([cls.name for cls in setup.settings.classes])
+        self.apply_effects(self.table.handle_event(self.now(), api.SettingsChanged(setup.settings)))
         self._apply(setup, first=False)
 
     def _apply(self, setup: Setup, first: bool) -> None:
-        now, before = self.now(), self._placed
+        now, previous = self.now(), self._servers_by_number
         self.setup = setup
-        up = setup.file.upstream
-        self.table.max_attempts = up.attempts
-        self.servers.retune(up.connect_ms / 1000, up.idle_ms / 1000)
-        self._placed = {spec.number: spec for spec in setup.servers}
+        upstream = setup.file.upstream
+        self.table.max_attempts = upstream.attempts
+        self.servers.update_settings(upstream.connect_ms / 1000, upstream.idle_ms / 1000)
+        self._servers_by_number = {spec.number: spec for spec in setup.servers}
         for spec in setup.servers:
-            self.servers.place(spec.number, spec.address, not spec.drain, spec.connections)
-            if spec.number not in before:  # the log's later lines go by number
+            self.servers.update_server(spec.number, spec.address, not spec.drain, spec.max_connections)
+            if spec.number not in previous:  # later log lines name a server by its number
                 log.info("server %d is %s at %s:%d", spec.number, spec.name, *spec.address)
-            self._started.setdefault(spec.number, 0.0 if first else now)
+            self._first_seen_ms.setdefault(spec.number, 0.0 if first else now)
         pools = set(setup.pools.values())
         for pool in sorted(pools | self._pools):
             members = tuple(self._server(spec) for spec in setup.servers if pool in spec.pools)
-            self.do(self.table.tell(now, api.ServerList(api.ListKind.FULL, members, pool)))
+            self.apply_effects(self.table.handle_event(now, api.ServerList(api.ListKind.FULL, members, pool)))
         self._pools = pools
-        for number in before.keys() - self._placed.keys():
-            self.servers.remove(number)
-            del self._started[number]
-        rules = {spec.number: spec.probe for spec in setup.servers if spec.probe and not spec.drain}
-        for number in self._checks.listed(now, rules):
-            self.do(self.table.tell(now, api.Checked(number, True)))
+        for number in previous.keys() - self._servers_by_number.keys():
+            self.servers.remove_server(number)
+            del self._first_seen_ms[number]
+        rules = {spec.number: spec.probe_rule for spec in setup.servers if spec.probe_rule and not spec.drain}
+        for number in self._checks.update_servers(now, rules):
+            self.apply_effects(self.table.handle_event(now, api.HealthCheckResult(number, True)))
         self._arm_checks()
 
     def _server(self, spec: ServerSpec) -> api.Server:
         state = ServerState.DRAINING if spec.drain else ServerState.READY
-        started = self._started[spec.number]
-        return api.Server(spec.number, spec.zone, 0, state, spec.weight, started)
+        first_seen_ms = self._first_seen_ms[spec.number]
+        return api.Server(spec.number, spec.zone, 0, state, spec.weight, first_seen_ms)
 
-    # --- What clients bring --------------------------------------------------------------------------
-    def admit(self, connection: ClientConnection, request: Request) -> Passage:
-        """Route, account and class of a request; BadRequestError where it is answered at once."""
+    # --- Client requests -----------------------------------------------------------------------------
+    def admit(self, connection: ClientConnection, request: Request) -> RequestExchange:
+        """Finds a request's route, account and class; BadRequestError if it is rejected."""
         setup = self.setup
         path = request.path
         match = setup.routes.match(request.host, path, request.method.decode("latin-1"), request.fields)
         if (route := match.route) is None:
-            if match.allowed:
-                allow = ", ".join(sorted(match.allowed)).encode()
+            if match.allowed_methods:
+                allow = ", ".join(sorted(match.allowed_methods)).encode()
                 raise BadRequestError(405, "no route takes this method here", [(b"Allow", allow)])
             raise BadRequestError(404, "no route takes this request")
         forwarded = request.fields.get("x-forwarded-for", "")
-        address = client_address(connection.peer, forwarded, setup.trusted)
-        account = setup.accounts.find(request.fields, address)
-        if isinstance(account, Stranger):
-            what = "the key is unknown" if account.key_came else "a key is needed"
-            raise BadRequestError(401, what, [(b"WWW-Authenticate", b"Bearer")])
-        if request.length and route.body_most and request.length > route.body_most:
+        address = client_address(connection.peer, forwarded, setup.trusted_networks)
+        account = setup.accounts.account_of(request.fields, address)
+        if isinstance(account, UnknownClient):
+            reason = "the key is unknown" if account.has_key else "a key is needed"
+            raise BadRequestError(401, reason, [(b"WWW-Authenticate", b"Bearer")])
+        if request.body_length and route.max_body_bytes and request.body_length > route.max_body_bytes:
             raise BadRequestError(413, "the body is too long")
-        passage = Passage(self, connection, request, route, account)
-        self._handle(passage)
-        passage.outgoing = self._outgoing(passage)
-        return passage
-
-    def _handle(self, passage: Passage) -> None:
-        """What the class of the route asks for: its key, its client's own deadline."""
-        handling, fields = passage.route.handling, passage.request.fields
-        if handling.effect is Repeats.KEYED and not fields.get(handling.key_header):
-            if handling.twin is None:
-                raise BadRequestError(400, f"{handling.key_header} is needed here")
-            passage.cls = handling.twin
-        if handling.deadline_header and (text := fields.get(handling.deadline_header)):
-            passage.wait_ms = min(passage.wait_ms, message.told_deadline_ms(text))
-
-    def _outgoing(self, passage: Passage) -> Outgoing:
-        route, request, identity = passage.route, passage.request, self.setup.accounts.identity
+        exchange = RequestExchange(self, connection, request, route, account)
+        self._apply_class_rules(exchange)
+        exchange.upstream_request = self._upstream_request(exchange)
+        return exchange
+
+    def _apply_class_rules(self, exchange: RequestExchange) -> None:
+        """Applies the rules of the route's class: required idempotency key, client's own deadline."""
+        class_rules, fields = exchange.route.class_rules, exchange.request.fields
+        if class_rules.effect is Repeats.KEYED and not fields.get(class_rules.key_header):
+            if class_rules.unkeyed_class is None:
+                raise BadRequestError(400, f"{class_rules.key_header} is needed here")
+            exchange.class_number = class_rules.unkeyed_class
+        if class_rules.deadline_header and (text := fields.get(class_rules.deadline_header)):
+            exchange.wait_ms = min(exchange.wait_ms, message.parse_deadline_ms(text))
+
+    def _upstream_request(self, exchange: RequestExchange) -> UpstreamRequest:
+        route, request, identity = exchange.route, exchange.request, self.setup.accounts.identity
         path = route.rewrite.apply(request.path) if route.rewrite else None
-        drops = route.drop_headers
+        drop_headers = route.drop_headers
         if not self.setup.file.identity.forward_key:
-            drops |= {identity.header.encode()}
+            drop_headers |= {identity.header.encode()}
             if identity.bearer and identity.header not in request.fields:
-                drops |= {b"authorization"}
-        peer = passage.connection.peer
-        trusted = trusts(peer, self.setup.trusted)
-        return message.outgoing(
-            request, Origin(peer, self.name, trusted), Changes(path, route.set_headers, drops)
+                drop_headers |= {b"authorization"}
+        peer = exchange.connection.peer
+        trusted = is_trusted(peer, self.setup.trusted_networks)
+        return message.upstream_request(
+            request, Origin(peer, self.name, trusted), RequestRewrite(path, route.set_headers, drop_headers)
         )
 
-    def take(self, passage: Passage) -> None:
-        """Hand a request to the table; from here it gets one answer in time."""
-        route, account = passage.route, passage.account
-        ticket = Ticket(
-            passage.cls,
+    def submit(self, exchange: RequestExchange) -> None:
+        """Hands a request to the request table, which sends exactly one reply for it in time."""
+        route, account = exchange.route, exchange.account
+        new_request = NewRequest(
+            exchange.class_number,
             account.plan,
             account.number,
             route.units,
             1,
-            passage.wait_ms,
-            EARLY_MS,
+            exchange.wait_ms,
+            RESPONSE_MARGIN_MS,
             route.pool,
         )
-        passage.ident, effects = self.table.take(self.now(), ticket)
-        self._passages[passage.ident] = passage
-        self.do(effects)
-
-    def abandon(self, passage: Passage) -> None:
-        """Its client has gone."""
-        self._passages.pop(passage.ident, None)
-        self.do(self.table.abandon(self.now(), passage.ident))
-
-    def hold(self, size: int) -> bool:
-        """Account for so many bytes of bodies; False where the memory has no room for them."""
-        if self._held + size > self._memory:
+        exchange.request_number, effects = self.table.admit(self.now(), new_request)
+        self._exchanges[exchange.request_number] = exchange
+        self.apply_effects(effects)
+
+    def client_disconnected(self, exchange: RequestExchange) -> None:
+        """Drops a request whose client has disconnected."""
+        self._exchanges.pop(exchange.request_number, None)
+        self.apply_effects(self.table.client_disconnected(self.now(), exchange.request_number))
+
+    def reserve_memory(self, size: int) -> bool:
+        """Reserves memory for bytes of bodies; returns False if the limit is reached."""
+        if self._reserved_bytes + size > self._body_memory_bytes:
             return False
-        self._held += size
+        self._reserved_bytes += size
         return True
 
-    def release(self, size: int) -> None:
-        self._held -= size
+    def release_memory(self, size: int) -> None:
+        self._reserved_bytes -= size
 
-    def joined(self, connection: ClientConnection) -> None:
-        if len(self.connections) >= self.most_clients and not self.make_room():
-            connection.cut()
+    def connection_opened(self, connection: ClientConnection) -> None:
+        if len(self.connections) >= self.max_clients and not self.make_room():
+            connection.reset()
             return
         self.connections[connection] = None
 
-    def left(self, connection: ClientConnection) -> None:
+    def connection_closed(self, connection: ClientConnection) -> None:
         self.connections.pop(connection, None)
 
     def has_room(self) -> bool:
-        """Whether one more connection may be open."""
-        return len(self.connections) + len(self._joining) < self.most_clients
+        """Whether another client connection may be opened."""
+        return len(self.connections) + len(self._pending_connections) < self.max_clients
 
     def make_room(self) -> bool:
-        """Close the connection that has been between requests for longest; new ones get their turn."""
-        since = time.monotonic() - FIRST_S
-        closable = (c for c in self.connections if c.closable(since))
-        idle = min(closable, key=lambda c: c.heard, default=None)
+        """Closes the connection that has been idle for longest, to make room for a new one."""
+        since = time.monotonic() - FIRST_REQUEST_GRACE_S
+        closable = (c for c in self.connections if c.can_close(since))
+        idle = min(closable, key=lambda c: c.last_activity_at, default=None)
         if idle is None:
             return False
         del self.connections[idle]
@@ -225,18 +248,18 @@
         return True
 
     # --- Effects -------------------------------------------------------------------------------------
-    def carry_out(self, effect: Effect) -> None:
+    def apply_effect(self, effect: Effect) -> None:
         match effect:
-            case Dispatch():
+            case StartAttempt():
                 self._dispatch(effect)
-            case Begin():
-                if passage := self._passages.get(effect.request):
-                    passage.passing = True
+            case StartResponse():
+                if exchange := self._exchanges.get(effect.request):
+                    exchange.response_started = True
             case Reply():
-                if passage := self._passages.pop(effect.request, None):
-                    passage.reply(effect)
-            case Withdraw():
-                self._withdraw(effect)
+                if exchange := self._exchanges.pop(effect.request, None):
+                    exchange.reply(effect)
+            case CancelAttempt():
+                self._cancel(effect)
             case api.CloseIdle():
                 self.servers.close_idle(effect.server)
             case api.Log():
@@ -244,142 +267,158 @@
             case Fault():
                 log.error("%s", effect.text)
 
-    def _dispatch(self, effect: Dispatch) -> None:
-        passage = self._passages[effect.request]  # the table sends for no other
-        until = self.loop_time(effect.until_ms)
-        head_only = passage.request.method == b"HEAD"
+    def _dispatch(self, effect: StartAttempt) -> None:
+        exchange = self._exchanges[effect.request]  # the table starts attempts for open requests only
+        end_by = self.to_loop_time(effect.end_by_ms)
+        head_only = exchange.request.method == b"HEAD"
         ident = effect.request
         attempt = StreamAttempt(
-            passage.message(),
-            until,
-            partial(self._ended, ident, passage),
-            passage,
+            exchange.upstream_message(),
+            end_by,
+            partial(self._ended, ident, exchange),
+            exchange,
             head_only,
-            whole_by=self.loop_time(effect.whole_ms),
+            write_by=self.to_loop_time(effect.write_by_ms),
         )
-        # Before it begins: over a kept connection all of a streamed body may go at once.
-        passage.attempt = self._attempts[ident] = attempt
-        passage.number = effect.attempt
-        self.servers.begin(effect.server, attempt)
+        # Registered before the start: on a reused connection a streamed body may be sent at once and whole.
+        exchange.attempt = self._attempts[ident] = attempt
+        exchange.attempt_number = effect.attempt
+        self.servers.start_attempt(effect.server, attempt)
 
-    def _ended(self, ident: int, passage: Passage, answer: Answer) -> None:
+    def _ended(self, ident: int, exchange: RequestExchange, result: AttemptResult) -> None:
         self._attempts.pop(ident, None)
-        passage.ended(answer)
-
-    def ended(self, passage: Passage, status: Status, final: bool) -> None:
-        """An attempt of it is over."""
-        self.do(self.table.ended(self.now(), passage.ident, passage.number, status, final=final))
+        exchange.attempt_ended(result)
+
+    def attempt_ended(self, exchange: RequestExchange, status: Status, final: bool) -> None:
+        """Reports the end of an attempt to the request table."""
+        self.apply_effects(
+            self.table.attempt_ended(
+                self.now(), exchange.request_number, exchange.attempt_number, status, is_final=final
+            )
+        )
 
-    def _withdraw(self, effect: Withdraw) -> None:
+    def _cancel(self, effect: CancelAttempt) -> None:
         if attempt := self._attempts.get(effect.request):
             attempt.cancel()
 
-    # --- Active checks -------------------------------------------------------------------------------
+    # --- Active health checks ------------------------------------------------------------------------
     def _arm_checks(self) -> None:
-        if self._checking:
-            self._checking.cancel()
-            self._checking = None
-        if (due := self._checks.next_ms) is not None:
-            when = self.loop_time(due) + TIMER_S
-            self._checking = asyncio.get_running_loop().call_at(when, self._check_due)
+        if self._check_timer:
+            self._check_timer.cancel()
+            self._check_timer = None
+        if (due := self._checks.next_due_ms) is not None:
+            when = self.to_loop_time(due) + TIMER_RESOLUTION_S
+            self._check_timer = asyncio.get_running_loop().call_at(when, self._check_due)
 
     def _check_due(self) -> None:
-        for server in self._checks.due(self.now()):
+        for server in self._checks.start_due(self.now()):
             self._check(server)
         self._arm_checks()
 
     def _check(self, server: int) -> None:
-        health, check = self.setup.file.health, Check()
-        assert health  # a server has a rule by it alone
-        host, port = self._placed[server].address
+        health, check = self.setup.file.health, HealthCheck()
+        assert health  # servers have a check rule only with this table
+        host, port = self._servers_by_number[server].address
         name = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
         raw = f"GET {health.path} HTTP/1.1\r\nHost: {name}\r\nUser-Agent: {self.setup.file.name}\r\n\r\n"
 
-        def ended(answer: Answer) -> None:
-            good = answer.status is Status.OK and check.good
-            if (up := self._checks.heard(self.now(), server, good)) is not None:
-                log.info("server %d is %s by its checks", server, "up" if up else "down")
-                self.do(self.table.tell(self.now(), api.Checked(server, up)))
+        def ended(answer: AttemptResult) -> None:
+            is_healthy = answer.status is Status.OK and check.is_healthy
+            if (is_up := self._checks.record_result(self.now(), server, is_healthy)) is not None:
+                log.info("server %d is %s by its checks", server, "up" if is_up else "down")
+                self.apply_effects(self.table.handle_event(self.now(), api.HealthCheckResult(server, is_up)))
             self._arm_checks()
 
-        until = self.loop_time(self.now() + health.timeout_ms)
-        self.servers.begin(server, StreamAttempt(raw.encode(), until, ended, check, False))
+        end_by = self.to_loop_time(self.now() + health.timeout_ms)
+        self.servers.start_attempt(server, StreamAttempt(raw.encode(), end_by, ended, check, False))
 
-    # --- What goes with a refusal ----------------------------------------------------------------------
-    def advice(self, passage: Passage, effect: Reply) -> Headers:
-        """Retry-After in whole seconds, and the account's standing (draft-ietf-httpapi-ratelimit-headers)."""
+    # --- Headers of a refusal --------------------------------------------------------------------------
+    def refusal_headers(self, exchange: RequestExchange, effect: Reply) -> Headers:
+        """Returns Retry-After in seconds and the account's quota (draft-ietf-httpapi-ratelimit-headers)."""
         headers: Headers = []
-        if effect.ending is not Ending.REFUSED:
+        if effect.result is not RequestResult.REFUSED:
             return headers
         if effect.retry_in_ms > 0:
             headers.append((b"Retry-After", b"%d" % math.ceil(effect.retry_in_ms / 1000)))
-        standing = self.gateway.standing(self.now(), passage.account.number)
-        if standing and effect.why in (Why.QUOTA, Why.CEILING, Why.PARALLEL):
-            window, full = math.ceil(standing.burst / standing.rate), math.ceil(standing.full_in_ms / 1000)
-            headers.append((b"RateLimit-Policy", b'"quota";q=%d;w=%d' % (standing.burst, window)))
-            headers.append((b"RateLimit", b'"quota";r=%d;t=%d' % (standing.left, full)))
+        quota = self.decision_module.quota_status(self.now(), exchange.account.number)
+        if quota and effect.reason in (RefusalReason.QUOTA, RefusalReason.CEILING, RefusalReason.PARALLEL):
+            window, full = math.ceil(quota.burst / quota.rate), math.ceil(quota.full_in_ms / 1000)
+            headers.append((b"RateLimit-Policy", b'"quota";q=%d;w=%d' % (quota.burst, window)))
+            headers.append((b"RateLimit", b'"quota";r=%d;t=%d' % (quota.units_left, full)))
         return headers
 
-    # --- Bounds in time ------------------------------------------------------------------------------
-    def sweep(self) -> None:
-        """End what stands still: connections, bodies, answers; each would hold its place for good."""
-        self.servers.sweep()
+    # --- Timeouts ------------------------------------------------------------------------------------
+    def close_stalled(self) -> None:
+        """Ends stalled connections, bodies and responses, which would use resources without end."""
+        self.servers.close_expired()
         now, clients = time.monotonic(), self.setup.file.clients
         for connection in list(self.connections):
-            if connection.begun is not None and now - connection.begun > clients.head_s:
-                connection.time_out("the head does not come whole")
-            elif connection.stuck is not None and now - connection.stuck > clients.stall_s:
+            if connection.head_started_at is not None and now - connection.head_started_at > clients.head_s:
+                connection.reject_timeout("the head does not come whole")
+            elif (
+                connection.write_blocked_at is not None
+                and now - connection.write_blocked_at > clients.stall_s
+            ):
                 log.warning("a client at %s has stopped reading its answer", connection.peer)
-                connection.cut()
-            elif connection.waits_for_body and now - connection.heard > clients.stall_s:
-                connection.time_out("the body does not come whole")
-            elif now - connection.heard > clients.idle_s and connection.closable(now):
+                connection.reset()
+            elif connection.awaits_body and now - connection.last_activity_at > clients.stall_s:
+                connection.reject_timeout("the body does not come whole")
+            elif now - connection.last_activity_at > clients.idle_s and connection.can_close(now):
                 connection.close()
-        for passage in list(self._passages.values()):
-            stream = passage.stream
-            if stream and passage.passing and not stream.paused and now - stream.heard > clients.stall_s:
-                log.warning("a server has stopped in the middle of its answer")
-                stream.fail()
+        for exchange in list(self._exchanges.values()):
+            stream = exchange.stream
+            if (
+                stream
+                and exchange.response_started
+                and not stream.is_paused
+                and now - stream.last_received_at > clients.stall_s
+            ):
+                log.warning("a server stopped sending in the middle of its response")
+                stream.reset()
 
     @property
-    def open(self) -> int:
-        """Requests in hand, those whose body is still coming, and those that may be on their way."""
-        since = time.monotonic() - FIRST_S
-        at_work = sum(1 for connection in self.connections if not connection.idle or connection.due(since))
-        return at_work + len(self._joining)
+    def open_requests(self) -> int:
+        """The number of requests in hand, including those still being received or possibly on their way."""
+        since = time.monotonic() - FIRST_REQUEST_GRACE_S
+        in_use = sum(
+            1
+            for connection in self.connections
+            if not connection.is_idle or connection.expects_first_request(since)
+        )
+        return in_use + len(self._pending_connections)
 
     @property
     def origin_s(self) -> float:
-        """Where the module's clock began, on the machine's monotonic clock."""
-        return self._origin
+        """Start of the limiter's clock, in seconds of the host's monotonic clock."""
+        return self._clock_origin_s
 
-    def started_ms(self) -> dict[str, float]:
-        """When each server was first heard of, by the module's clock."""
-        return {spec.name: self._started[spec.number] for spec in self._placed.values()}
+    def first_seen_ms(self) -> dict[str, float]:
+        """When each server was first seen, in milliseconds of the limiter's clock, by name."""
+        return {spec.name: self._first_seen_ms[spec.number] for spec in self._servers_by_number.values()}
 
     def adopt(self, sock: socket.socket, unread_since: float | None = None) -> None:
-        """Serve a connection that was accepted, here or by another process."""
+        """Serves a connection that this or another process has accepted."""
         sock.setblocking(False)
-        self._joining.join(sock, ClientConnection(self, sock), lambda: None)
+        self._pending_connections.attach(sock, ClientConnection(self, sock), lambda: None)
 
-    def pass_idle(self, send: Callable[[int], bool]) -> None:
-        """Pass connections between requests on to another process."""
-        for connection in [c for c in self.connections if c.idle]:
-            connection.pass_on(send)
+    def hand_over_idle(self, send: Callable[[int], bool]) -> None:
+        """Hands idle connections over to another process."""
+        for connection in [c for c in self.connections if c.is_idle]:
+            connection.hand_over(send)
 
     def close_idle(self) -> None:
-        """Part of a drain: connections go on which no request is lost by it."""
-        since = time.monotonic() - FIRST_S
-        for connection in [c for c in self.connections if c.closable(since)]:
+        """Closes, during a drain, the connections that no request can be lost on."""
+        since = time.monotonic() - FIRST_REQUEST_GRACE_S
+        for connection in [c for c in self.connections if c.can_close(since)]:
             connection.close()
 
     def close(self) -> None:
-        """End all that is left."""
+        """Resets all connections and cancels all attempts."""
         for connection in list(self.connections):
-            connection.cut()
+            connection.reset()
         for attempt in list(self._attempts.values()):
             attempt.cancel()
         self.servers.close()
-        if self._checking:
-            self._checking.cancel()
-        self.disarm()
+        if self._check_timer:
+            self._check_timer.cancel()
+        self.cancel_tick()
--- /dev/null
+++ b/basaltpoint/fronts/platform/client_request.py
@@ -0,0 +1,132 @@
+"""A client's request and its response, as far as it is available."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from basaltpoint.fronts.platform.request_exchange import RequestExchange
+
+
+class RequestConnection(Protocol):
+    """What a request needs of its client connection."""
+
+    @property
+    def client_left_unnoticed(self) -> bool:
+        """Whether the client left while reading was paused."""
+
+    def is_client_gone(self) -> bool:
+        """Returns whether the client has left, according to the kernel."""
+
+    def abort(self, reason: str) -> None:
+        """Closes the connection at once."""
+
+    def flush(self) -> None:
+        """Writes the available responses."""
+
+    def pause_upload(self, paused: bool) -> None:
+        """Pauses reading while the server accepts no more of the body."""
+
+    def release_body(self, size: int) -> None:
+        """Accounts for bytes of a body that are no longer buffered."""
+
+
+class ClientRequest:
+    """A client's request and its response, as far as it is available."""
+
+    __slots__ = (
+        "_connection",
+        "body",
+        "broken",
+        "chunked",
+        "closes_connection",
+        "exchange",
+        "forward",
+        "is_complete",
+        "is_head_written",
+        "keep_alive",
+        "pieces",
+        "reply",
+        "streamed",
+        "streamed_head",
+    )
+
+    def __init__(
+        self,
+        connection: RequestConnection,
+        keep: bool,
+        forward: bytes = b"",
+        body: bytes = b"",
+        streamed: bool = False,
+        chunked: bool = False,
+    ) -> None:
+        self._connection = connection
+        self.keep_alive = keep
+        self.forward = forward
+        self.body = body
+        self.streamed = streamed
+        self.chunked = chunked
+        self.exchange: RequestExchange | None = None  # None for responses of the front itself
+        self.reply: tuple[int, bytes, bytes] | None = None
+        self.streamed_head: tuple[bytes, int | None] | None = (
+            None  # headers and length of a response in pieces
+        )
+        self.is_head_written = False  # of a response in pieces
+        self.pieces: list[bytes] = []  # not yet written
+        self.is_complete = self.broken = False
+        self.closes_connection = False  # after this response
+
+    @property
+    def is_unanswered(self) -> bool:
+        """Whether no response is available or has started."""
+        return self.reply is None and self.streamed_head is None
+
+    @property
+    def request_id(self) -> str:
+        """The client's Req-Id, for the log."""
+        return self.exchange.request_id.decode("latin-1") if self.exchange else "without an id"
+
+    @property
+    def client_left_unnoticed(self) -> bool:
+        """Whether the client left while reading was paused."""
+        return self._connection.client_left_unnoticed
+
+    def is_client_gone(self) -> bool:
+        """Returns whether the client has left, according to the kernel (two system calls)."""
+        return self._connection.is_client_gone()
+
+    def close_connection(self) -> None:
+        self._connection.abort("its client has left")
+
+    def send_response(
+        self, code: int, body: bytes = b"", content_type: bytes = b"", retry_s: float = 0.0
+    ) -> None:
+        if self.reply is None:
+            headers = b"Content-Type: " + content_type + b"\r\n" if content_type else b""
+            if retry_s > 0:
+                headers += f"Retry-After: {retry_s:.3f}\r\n".encode()
+            self.reply = code, headers, body
+            self._connection.flush()
+
+    def start_response(self, content_type: bytes, length: int | None) -> None:
+        self.streamed_head = (b"Content-Type: " + content_type + b"\r\n" if content_type else b""), length
+        self._connection.flush()
+        if not self.is_head_written and self.exchange:
+            self.exchange.client_writable(False)  # until the earlier responses are written
+
+    def send_piece(self, data: bytes) -> None:
+        self.pieces.append(data)
+        self._connection.flush()
+
+    def finish_response(self) -> None:
+        self.is_complete = True
+        self._connection.flush()
+
+    def abort_response(self) -> None:
+        self.broken = True
+        self._connection.flush()
+
+    def pause_upload(self, paused: bool) -> None:
+        self._connection.pause_upload(paused)
+
+    def release_body(self, size: int) -> None:
+        self._connection.release_body(size)
--- a/basaltpoint/membership/discovery.py
+++ b/basaltpoint/membership/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the list of servers and its watch, taken up again with backoff when it breaks."""
+"""Client of the discovery service: keeps a watch on the list of servers and reconnects with backoff."""
 
 from __future__ import annotations
 
@@ -15,169 +15,180 @@
 from basaltpoint.membership.backoff import Backoff
 from basaltpoint.membership.change_batch import ChangeBatch
 from basaltpoint.membership.hosts import HostList, parse_list
+from basaltpoint.membership.json_stream import JsonObjectStream, MalformedStreamError
 from basaltpoint.membership.lease import MembershipLease
-from basaltpoint.membership.objects import BrokenError, Objects
-from basaltpoint.system.errors import OWN, connect_trouble
+from basaltpoint.system.errors import LOCAL_ORIGINS, connect_error_origin
 
 log = logging.getLogger(__name__)
 
-SILENCE_S = 3.0  # the agent writes every 2 s; what it tells counts as told after 6 s, two lost calls later
-CONNECT_S = 1.0
-BEAT_S = (
-    1.0  # an empty line so long after a call is an agent's sign that nothing changes, as it writes every 2 s
-)
-RETURN_PART = 0.1  # of a wait between two calls, where discovery seems to be back
-COMPLAIN_S = 1.0  # between two log lines on calls that fail
-GATHER_S = 0.02  # what follows so closely on what was read before is read together, so much later at most
-WHOLE_S = 1.0  # for the rest of a list to come; the agent writes it in one go
+# The agent writes at least every 2 s. Changes missed on a silent watch count as delivered after 6 s, which
+# leaves time for two lost calls after this timeout.
+WATCH_TIMEOUT_S = 3.0
+CONNECT_TIMEOUT_S = 1.0
+# The agent sends an empty line every 2 s while nothing changes. An empty line counts as such a heartbeat only
+# if it arrives this long after the request.
+MIN_HEARTBEAT_AGE_S = 1.0
+RETURN_DELAY_FRACTION = 0.1  # of the delay between two calls, used when discovery seems to be back
+FAILURE_LOG_INTERVAL_S = 1.0  # minimum time between two log lines on failed calls
+READ_BATCH_DELAY_S = 0.02  # reading pauses this long so that changes in quick succession are read together
+LIST_TIMEOUT_S = 1.0  # for the rest of a partly received list; the agent writes each list in one go
 
 
-class _Listener(Protocol):
-    """Who hears of what a watch says."""
+class _WatchEventHandler(Protocol):
+    """Receives the events of one watch connection."""
 
-    def told(self, stream: _Stream, raw: Any) -> bool:
-        """An object has come; False where it can't be used."""
+    def list_received(self, connection: _WatchConnection, raw: Any) -> bool:
+        """A JSON object was received. Returns False if it cannot be used."""
 
-    def heard(self, stream: _Stream, quiet: bool) -> None:
-        """Something has come; `quiet`: it says that nothing is new."""
+    def data_received(self, connection: _WatchConnection, is_heartbeat: bool) -> None:
+        """Data was received. `is_heartbeat`: it is an empty line, sent while nothing changes."""
 
-    def read(self) -> None:
-        """All objects that came together have been told."""
+    def read_finished(self) -> None:
+        """All objects of one read have been reported."""
 
-    def in_part(self, stream: _Stream) -> None:
-        """A list has begun to come and is not whole."""
+    def partial_list_received(self, connection: _WatchConnection) -> None:
+        """The beginning of a list was received, but not its end."""
 
-    def turned_away(self, stream: _Stream) -> None:
-        """The call was answered with a refusal."""
+    def call_refused(self, connection: _WatchConnection) -> None:
+        """The server refused the call with an HTTP status other than 200."""
 
-    def cut_off(self, stream: _Stream) -> None:
-        """The other side has ended the connection."""
+    def closed_by_peer(self, connection: _WatchConnection) -> None:
+        """The server closed the connection."""
 
-    def ended(self, stream: _Stream) -> None:
-        """The connection has ended."""
+    def connection_closed(self, connection: _WatchConnection) -> None:
+        """The connection is closed."""
 
 
-class _Stream(asyncio.Protocol):
-    """One watch: cuts the chunked answer into objects."""
+class _WatchConnection(asyncio.Protocol):
+    """The connection of one watch: splits the chunked HTTP response into JSON objects."""
 
-    def __init__(self, listener: _Listener) -> None:
-        self._listener = listener
+    def __init__(self, handler: _WatchEventHandler) -> None:
+        self._handler = handler
         self._parser = httptools.HttpResponseParser(self)
-        self._objects = Objects()
+        self._object_stream = JsonObjectStream()
         self._body = b""
-        self._good = False  # the answer is one to a watch
-        self._closed_here = False  # this side ended it
+        self._is_watch_response = False  # the response status is 200
+        self._closed_locally = False
         self._transport: asyncio.Transport | None = None
-        self._short: asyncio.TimerHandle | None = None  # runs while a list has come in part
-        self.ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.asked = self.heard = asyncio.get_running_loop().time()
-        self._told_at = -math.inf  # when a read last held the end of a list
-        self.spoke = False  # bytes of an answer have come
-        self.fresh = True  # none of its lists has counted
-        self.told = False  # a list has come whole
+        self._list_timer: asyncio.TimerHandle | None = None  # runs while a list is partly received
+        self.closed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self.requested_at = self.last_received_at = asyncio.get_running_loop().time()
+        self._last_list_at = -math.inf  # when a read last completed a list, loop time in seconds
+        self.has_response = False  # at least one byte of the response was received
+        self.awaits_first_list = True  # no list of this watch has been accepted
+        self.has_list = False  # a complete list was received
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's own is no subclass of it
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass of it
 
     def data_received(self, data: bytes) -> None:
-        self.heard = now = asyncio.get_running_loop().time()
-        if not self.spoke:
-            self.spoke = True
-            log.info("discovery: first word %.3f s after the call", self.heard - self.asked)
+        self.last_received_at = now = asyncio.get_running_loop().time()
+        if not self.has_response:
+            self.has_response = True
+            log.info(
+                "discovery: first byte received %.3f s after the call",
+                self.last_received_at - self.requested_at,
+            )
         try:
             self._parser.feed_data(data)
             body, self._body = self._body, b""
-            if self._good:
-                self._listener.heard(self, body.isspace() and not self._objects.unfinished)
-            if not self._tell(body, now):
+            if self._is_watch_response:
+                self._handler.data_received(
+                    self, body.isspace() and not self._object_stream.has_partial_object
+                )
+            if not self._deliver(body, now):
                 return
-        except (httptools.HttpParserError, BrokenError) as error:
-            log.warning("discovery: the watch can't be read: %r", error)
+        except (httptools.HttpParserError, MalformedStreamError) as error:
+            log.warning("discovery: invalid watch response: %r", error)
             self.close()
             return
-        # A list that stops half way is asked for anew; empty lines behind it must not keep it waiting.
-        if self._objects.unfinished and not self._short:
-            self._listener.in_part(self)
-            self._short = asyncio.get_running_loop().call_later(WHOLE_S, self._stopped_short)
+        # A list that stays incomplete is requested again; heartbeats behind it must not restart the timer.
+        if self._object_stream.has_partial_object and not self._list_timer:
+            self._handler.partial_list_received(self)
+            self._list_timer = asyncio.get_running_loop().call_later(LIST_TIMEOUT_S, self._list_timed_out)
 
-    def _tell(self, body: bytes, now: float) -> bool:
-        """Hand on the objects that end in these bytes; False where one can't be used."""
+    def _deliver(self, body: bytes, now: float) -> bool:
+        """Reports the objects that these bytes complete. Returns False if one of them cannot be used."""
         lists = 0
         try:
-            for told in self._objects.feed(body):
+            for raw_list in self._object_stream.feed(body):
                 lists += 1
-                self._whole()
-                if not self._listener.told(self, told):
+                self._cancel_list_timer()
+                if not self._handler.list_received(self, raw_list):
                     self.close()
                     return False
         finally:
-            self._listener.read()
+            self._handler.read_finished()
         if lists:
-            # The read before came late itself, where it was gathered. Nothing waits that has come in part.
-            if now < self._told_at + 2 * GATHER_S and not self._objects.unfinished:
-                self._gather()
-            self._told_at = now
+            # If the previous read was delayed by a pause, it counts too. A partly received list is never
+            # delayed.
+            if (
+                now < self._last_list_at + 2 * READ_BATCH_DELAY_S
+                and not self._object_stream.has_partial_object
+            ):
+                self._pause_reading()
+            self._last_list_at = now
         return True
 
-    def _gather(self) -> None:
-        """Let what follows closely come together: each waking of the process costs more than a change."""
+    def _pause_reading(self) -> None:
+        """Pauses reading to read close changes together: a wakeup costs more than a change."""
         if self._transport and not self._transport.is_closing():
             self._transport.pause_reading()
-            asyncio.get_running_loop().call_later(GATHER_S, self._read_on)
+            asyncio.get_running_loop().call_later(READ_BATCH_DELAY_S, self._resume_reading)
 
-    def _read_on(self) -> None:
+    def _resume_reading(self) -> None:
         if self._transport and not self._transport.is_closing():
             self._transport.resume_reading()
 
-    def _whole(self) -> None:
-        """Nothing is awaited of the list that was coming."""
-        if self._short:
-            self._short.cancel()
-            self._short = None
+    def _cancel_list_timer(self) -> None:
+        """Stops the timer of a partly received list."""
+        if self._list_timer:
+            self._list_timer.cancel()
+            self._list_timer = None
 
-    def _stopped_short(self) -> None:
-        log.warning("discovery: a list stopped half way")
+    def _list_timed_out(self) -> None:
+        log.warning("discovery: the rest of a list did not arrive in time")
         self.close()
 
     def on_headers_complete(self) -> None:
-        self._good = (status := self._parser.get_status_code()) == 200
-        if not self._good:
-            log.warning("discovery: answered %d", status)
-            self._listener.turned_away(self)
+        self._is_watch_response = (status := self._parser.get_status_code()) == 200
+        if not self._is_watch_response:
+            log.warning("discovery: the watch was refused with status %d", status)
+            self._handler.call_refused(self)
             self.close()
 
     def on_body(self, body: bytes) -> None:
-        if self._good:
+        if self._is_watch_response:
             self._body += body
 
     def on_message_complete(self) -> None:
         self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        log.info("discovery: a watch has ended: %s", repr(exc) if exc else "closed")
-        if not self._closed_here:
-            self._listener.cut_off(self)
-        self._whole()
-        if not self.ended.done():
-            self.ended.set_result(None)
-        self._listener.ended(self)
+        log.info("discovery: watch connection closed: %s", repr(exc) if exc else "no error")
+        if not self._closed_locally:
+            self._handler.closed_by_peer(self)
+        self._cancel_list_timer()
+        if not self.closed.done():
+            self.closed.set_result(None)
+        self._handler.connection_closed(self)
 
     def close(self) -> None:
-        self._closed_here = True
+        self._closed_locally = True
         if self._transport:
             self._transport.close()
 
     def abort(self) -> None:
-        self._closed_here = True
+        self._closed_locally = True
         if self._transport:
             self._transport.abort()
 
 
 class Watch:
-    """Keeps one watch open and hands on each list that says something new.
+    """Keeps one watch open and reports each list that contains something new.
 
-    One that has fallen silent is listened to until another one speaks: nobody can tell from here whether
-    its connection is gone or the agent has nothing to say, and between two watches nothing would be heard.
+    A watch without data is kept open until another watch receives data: the limiter cannot tell whether the
+    connection is lost or the agent has nothing to send, and no change would be received between two watches.
     """
 
     def __init__(
@@ -186,176 +197,186 @@
         on_list: Callable[[HostList], None],
         backoff: Backoff,
         lease: MembershipLease | None = None,
-        on_lease: Callable[[], None] = lambda: None,
+        on_lease_change: Callable[[], None] = lambda: None,
     ) -> None:
-        """`lease`: of the list of servers, kept by what the watch hears; `on_lease` hears of its changes."""
+        """`lease`: the membership lease that the watch renews; `on_lease_change`: called when it changes."""
         self._address = address
         self._lease = lease or MembershipLease(0.0, 0.0)
-        self._on_lease = on_lease
-        self._complained_at = -math.inf
-        self._live: _Stream | None = None  # the watch whose word was the latest
+        self._on_lease_change = on_lease_change
+        self._failure_logged_at = -math.inf
+        self._confirmed_connection: _WatchConnection | None = None  # the watch that last renewed the lease
         self._batch = ChangeBatch()
-        self._current: _Stream | None = None  # has told all that there is, as soon as that is applied
-        self._returned = False  # discovery seems to be back: what it has is to be heard soon
+        # This watch has delivered everything up to now; it renews the lease once its changes are applied.
+        self._up_to_date_connection: _WatchConnection | None = None
+        self._discovery_returned = False  # discovery seems to be back, so the next call is made sooner
         self._backoff = backoff
         self._on_list = on_list
-        self._turn: asyncio.Timeout | None = None
-        self._held: _Stream | None = None  # has fallen silent, and may speak yet
+        self._call_timeout: asyncio.Timeout | None = None
+        self._silent_connection: _WatchConnection | None = None  # timed out, but may still receive data
         self.seq = 0
 
-    def move(self, address: Address) -> None:
-        """Follow another agent at once; what the last one told stays known."""
+    def set_address(self, address: Address) -> None:
+        """Switches to another agent at once; the servers known so far are kept."""
         if address != self._address:
             self._address = address
-            self._lease.moved(monotonic())
-            self._live = None  # its end, which follows, loses nothing that counts
-            self._on_lease()
-            if self._turn is None:
-                self.seq = 0  # what is known has another agent's version
-            elif not self._turn.expired():  # else it moves already, and goes to the latest address
-                self._turn.reschedule(asyncio.get_running_loop().time())
+            self._lease.agent_changed(monotonic())
+            self._confirmed_connection = None  # the end of the old connection must not shorten the lease
+            self._on_lease_change()
+            if self._call_timeout is None:
+                self.seq = 0  # the known version is the previous agent's
+            elif not self._call_timeout.expired():  # if expired, the switch is under way with this address
+                self._call_timeout.reschedule(asyncio.get_running_loop().time())
 
     async def run(self) -> None:
-        """Watch for ever; each break is followed by a new watch from the last version read."""
-        rests = False  # what is known at the start may be old: a drain told since is to be heard at once
+        """Watches until cancelled; after each interruption a new watch starts at the last version read."""
+        waits = False  # the first call is made at once: the known list may be old and miss a drain
         try:
             while True:
                 try:
-                    async with asyncio.timeout(None) as self._turn:
-                        if rests:
-                            wait_s = self._backoff.wait_s()
-                            await asyncio.sleep(wait_s * RETURN_PART if self._returned else wait_s)
-                        self._returned = False
-                        rests = True
-                        self._backoff.failed()  # until it is served
-                        await self._try()
-                except TimeoutError:  # moved: the new agent counts its versions from where it likes
-                    self._hold(None)
-                    self.seq, rests = 0, False
-                    self._backoff.served()
+                    async with asyncio.timeout(None) as self._call_timeout:
+                        if waits:
+                            delay_s = self._backoff.next_delay_s()
+                            await asyncio.sleep(
+                                delay_s * RETURN_DELAY_FRACTION if self._discovery_returned else delay_s
+                            )
+                        self._discovery_returned = False
+                        waits = True
+                        self._backoff.record_failure()  # until the call succeeds
+                        await self._follow_once()
+                except TimeoutError:  # the address has changed; the new agent has its own version numbers
+                    self._set_silent_connection(None)
+                    self.seq, waits = 0, False
+                    self._backoff.record_success()
         finally:
-            self._hold(None)
+            self._set_silent_connection(None)
 
-    async def _try(self) -> None:
+    async def _follow_once(self) -> None:
         try:
             await self._follow()
         except OSError as error:
-            if monotonic() - self._complained_at >= COMPLAIN_S:
-                self._complained_at = monotonic()
-                log.warning("discovery: %r", error)
+            if monotonic() - self._failure_logged_at >= FAILURE_LOG_INTERVAL_S:
+                self._failure_logged_at = monotonic()
+                log.warning("discovery: call failed: %r", error)
         except Exception:
-            # A fault of this program: without a watch every drain from here on would be overheard.
-            log.exception("discovery: the watch failed and is taken up again")
+            # An internal error must not end the task: without a watch every later drain would be missed.
+            log.exception("discovery: internal error in the watch; reconnecting")
 
     async def _follow(self) -> None:
         loop = asyncio.get_running_loop()
         host, port = self._address
-        self._lease.asked(monotonic())
+        self._lease.call_started(monotonic())
         try:
-            async with asyncio.timeout(self._backoff.within_s(CONNECT_S)):
-                _, stream = await loop.create_connection(lambda: _Stream(self), host, port)
+            async with asyncio.timeout(self._backoff.call_timeout_s(CONNECT_TIMEOUT_S)):
+                _, connection = await loop.create_connection(lambda: _WatchConnection(self), host, port)
         except OSError as error:
-            if connect_trouble(error) in OWN:
-                self._lease.not_made()
+            if connect_error_origin(error) in LOCAL_ORIGINS:
+                self._lease.call_failed_locally()
             if isinstance(error, ConnectionRefusedError):
-                self._backoff.absent()
+                self._backoff.record_connection_refused()
             raise
-        first_s = self._backoff.within_s(SILENCE_S)
+        first_response_timeout_s = self._backoff.call_timeout_s(WATCH_TIMEOUT_S)
         try:
             query = f"GET /discovery/hosts?follow=1&since={self.seq} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n"
-            assert stream._transport
-            stream._transport.write(query.encode())
-            log.info("discovery: %s:%d is asked for what followed version %d", host, port, self.seq)
-            # TCP does not tell that the other machine vanished: only its silence does.
-            while not stream.ended.done():
-                left = stream.heard + (SILENCE_S if stream.spoke else first_s) - loop.time()
-                if left <= 0:
-                    log.warning("discovery: no word for %.1f s", loop.time() - stream.heard)
-                    self._hold(stream)
+            assert connection._transport
+            connection._transport.write(query.encode())
+            log.info("discovery: requesting from %s:%d the changes after version %d", host, port, self.seq)
+            # TCP does not report that the other host has vanished; only missing data shows it.
+            while not connection.closed.done():
+                remaining_s = (
+                    connection.last_received_at
+                    + (WATCH_TIMEOUT_S if connection.has_response else first_response_timeout_s)
+                    - loop.time()
+                )
+                if remaining_s <= 0:
+                    log.warning("discovery: no data for %.1f s", loop.time() - connection.last_received_at)
+                    self._set_silent_connection(connection)
                     return
-                await asyncio.wait([stream.ended], timeout=left)
+                await asyncio.wait([connection.closed], timeout=remaining_s)
         finally:
-            if stream is not self._held:
-                stream.abort()
-
-    def _hold(self, stream: _Stream | None) -> None:
-        """Listen on to one that has fallen silent, in place of the one before it."""
-        if self._held and not self._held.ended.done():
-            if stream and self._held.heard > stream.heard:
-                return  # the one before has spoken since this one was asked for
-            self._held.abort()
-        self._held = stream
-
-    # --- What a watch says, as its listener ------------------------------------------------------------
-    def heard(self, stream: _Stream, quiet: bool) -> None:
-        """A watch speaks: none before it is needed. With `quiet` it says that nothing is new."""
-        if stream is not self._held:
-            self._hold(None)
-        if quiet:
-            self._backoff.served()
-            # The first answer to a call is a list: an empty line ahead of it says nothing yet.
-            if stream.told or stream.heard >= stream.asked + BEAT_S:
-                self._confirmed(stream)
-
-    def told(self, stream: _Stream, raw: Any) -> bool:
-        """Take one list; False where it must be asked for again."""
+            if connection is not self._silent_connection:
+                connection.abort()
+
+    def _set_silent_connection(self, connection: _WatchConnection | None) -> None:
+        """Keeps a watch that has timed out open, in place of an earlier one."""
+        if self._silent_connection and not self._silent_connection.closed.done():
+            if connection and self._silent_connection.last_received_at > connection.last_received_at:
+                return  # the earlier watch has received data since this one was requested
+            self._silent_connection.abort()
+        self._silent_connection = connection
+
+    # --- Events of a watch connection ------------------------------------------------------------------
+    def data_received(self, connection: _WatchConnection, is_heartbeat: bool) -> None:
+        """Closes the silent watch if another one receives data; a heartbeat confirms the known list."""
+        if connection is not self._silent_connection:
+            self._set_silent_connection(None)
+        if is_heartbeat:
+            self._backoff.record_success()
+            # The first response to a call is a list: an empty line before it confirms nothing.
+            if (
+                connection.has_list
+                or connection.last_received_at >= connection.requested_at + MIN_HEARTBEAT_AGE_S
+            ):
+                self._renew_lease(connection)
+
+    def list_received(self, connection: _WatchConnection, raw: Any) -> bool:
+        """Accepts one list. Returns False if it must be requested again."""
         try:
-            told, sound = parse_list(raw)
+            host_list, is_complete = parse_list(raw)
         except ValueError as error:
-            log.warning("discovery: a list can't be read: %r", error)
+            log.warning("discovery: invalid list: %r", error)
             return False
-        self._backoff.served()
-        stream.told = True
-        # Repeats and stragglers are old news; only the first list of a watch may start versions anew.
-        if told.seq <= self.seq and not (stream.fresh and told.whole):
-            self._current = stream
+        self._backoff.record_success()
+        connection.has_list = True
+        # Repeated and late lists are ignored; only the first list of a watch may restart the version numbers.
+        if host_list.seq <= self.seq and not (connection.awaits_first_list and host_list.whole):
+            self._up_to_date_connection = connection
             return True
-        stream.fresh = False
-        if not sound or not self._batch.fits(told):
-            self._apply()
-        if told.whole or not sound:
-            self._on_list(told)
+        connection.awaits_first_list = False
+        if not is_complete or not self._batch.can_merge(host_list):
+            self._apply_batch()
+        if host_list.whole or not is_complete:
+            self._on_list(host_list)
         else:
-            self._batch.add(told)
-        if sound:
-            self.seq = told.seq
-        self._current = stream if sound else None
-        return sound
-
-    def read(self) -> None:
-        """Hand on what came together; only then may it be acted on as current."""
-        self._apply()
-        current, self._current = self._current, None
-        if current:
-            self._confirmed(current)
-
-    def _apply(self) -> None:
-        if (changes := self._batch.take()) is not None:
+            self._batch.add(host_list)
+        if is_complete:
+            self.seq = host_list.seq
+        self._up_to_date_connection = connection if is_complete else None
+        return is_complete
+
+    def read_finished(self) -> None:
+        """Applies the changes of one read, and renews the lease only afterwards."""
+        self._apply_batch()
+        connection, self._up_to_date_connection = self._up_to_date_connection, None
+        if connection:
+            self._renew_lease(connection)
+
+    def _apply_batch(self) -> None:
+        if (changes := self._batch.pop_merged()) is not None:
             self._on_list(changes)
 
-    def in_part(self, stream: _Stream) -> None:
-        """What the rest of the list says has been told, and can't be acted on."""
-        self._lease.spoke(monotonic())
-        self._on_lease()
-
-    def turned_away(self, stream: _Stream) -> None:
-        self._lease.refused()
-
-    def cut_off(self, stream: _Stream) -> None:
-        if self._lease.until(monotonic()) == math.inf:
-            self._returned = True
-        self._lease.cut_off()
-        self._on_lease()
-
-    def ended(self, stream: _Stream) -> None:
-        """What discovery tells from here on is not heard, unless another watch is open."""
-        if stream is self._live:
-            self._live = None
-            self._lease.missing(monotonic())
-            self._on_lease()
-
-    def _confirmed(self, stream: _Stream) -> None:
-        """Up to now all that was told has been heard."""
-        self._live = stream
-        self._lease.renewed(monotonic())
-        self._on_lease()
+    def partial_list_received(self, connection: _WatchConnection) -> None:
+        """Shortens the lease: the rest of the list counts as delivered and cannot be applied yet."""
+        self._lease.partial_list_received(monotonic())
+        self._on_lease_change()
+
+    def call_refused(self, connection: _WatchConnection) -> None:
+        self._lease.call_refused()
+
+    def closed_by_peer(self, connection: _WatchConnection) -> None:
+        if self._lease.expires_at(monotonic()) == math.inf:
+            self._discovery_returned = True
+        self._lease.closed_by_peer()
+        self._on_lease_change()
+
+    def connection_closed(self, connection: _WatchConnection) -> None:
+        """Shortens the lease, unless another watch is open: changes are no longer received."""
+        if connection is self._confirmed_connection:
+            self._confirmed_connection = None
+            self._lease.watch_lost(monotonic())
+            self._on_lease_change()
+
+    def _renew_lease(self, connection: _WatchConnection) -> None:
+        """Renews the lease: every change up to now has been received."""
+        self._confirmed_connection = connection
+        self._lease.renew(monotonic())
+        self._on_lease_change()
--- a/basaltpoint/peers/actions.py
+++ b/basaltpoint/peers/actions.py
@@ -1,56 +1,59 @@
-"""What the peers' machine asks of its shell."""
+"""Actions that the membership state machine asks its caller to carry out."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from basaltpoint.peers.messages import Message, Row
+from basaltpoint.peers.messages import MemberRecord, Message
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send to a member; a message that can't go out is lost."""
+    """Send a message to a member; it is lost if it can't be sent."""
 
-    to: str
+    member: str
     address: str
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
-    """A member is seen otherwise than before; None where it was not known."""
+class MemberChanged:
+    """A member's record has changed; `before` is None if the member was unknown."""
 
-    before: Row | None
-    after: Row
+    before: MemberRecord | None
+    after: MemberRecord
 
 
 @dataclass(frozen=True, slots=True)
-class Rival:
-    """Ask who answers there under this member's own name, over a connection apart; tell `rival` of it."""
+class CheckNameConflict:
+    """Another process seems to use this member's name: ping it over a separate connection.
+
+    The response goes to `name_conflict_found`.
+    """
 
     address: str
 
 
 @dataclass(frozen=True, slots=True)
-class End:
-    """This process can't be a member; the reason is the operator's to read."""
+class Terminate:
+    """This process can't be a member of the fleet; the reason is for the operator."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Named:
-    """A member sent what it may not; for the log."""
+class ProtocolViolation:
+    """A member sent something that is not allowed; for the log."""
 
-    name: str
-    text: str
+    member: str
+    problem: str
 
 
 @dataclass(frozen=True, slots=True)
-class Paused:
-    """This process stood still; for the log."""
+class PauseDetected:
+    """This process was paused, by a stopped process or a blocked event loop; for the log."""
 
-    for_ms: float
+    duration_ms: float
 
 
-Action = Send | Changed | Rival | End | Named | Paused
+Action = Send | MemberChanged | CheckNameConflict | Terminate | ProtocolViolation | PauseDetected
--- a/basaltpoint/routing/regex.py
+++ b/basaltpoint/routing/regex.py
@@ -1,19 +1,19 @@
-"""Regular expressions of routes, on RE2: its time is linear in the text, so no path can stall the loop."""
+"""Regular expressions of routes, with RE2: it matches in linear time, so no path can block the event loop."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from typing import Any
 
-MEMORY = 8 << 20  # bytes that one expression's automaton may take; a larger one is refused at its compiling
+MAX_AUTOMATON_BYTES = 8 << 20  # per expression; a larger one is rejected when it is compiled
 
 
 class RegexError(ValueError):
-    """An expression that RE2 does not take; says why."""
+    """RE2 does not accept an expression; the message gives the reason."""
 
 
-def check(expression: str) -> None:
-    """RegexError where the expression can't be used: bad syntax, back references, look-around, too large."""
+def check_expression(expression: str) -> None:
+    """Raises RegexError for bad syntax, back references, look-around and too large expressions."""
     import re2  # type: ignore[import-untyped]
 
     try:
@@ -25,13 +25,13 @@
 
 def _options(re2: Any) -> Any:
     options = re2.Options()
-    options.max_mem = MEMORY
+    options.max_mem = MAX_AUTOMATON_BYTES
     options.log_errors = False
     return options
 
 
-class Set:
-    """Expressions searched together. `^` and `$` anchor; without them one is found anywhere in the path."""
+class ExpressionSet:
+    """Expressions that are searched together; without `^` and `$` they match anywhere in the path."""
 
     def __init__(self, expressions: Sequence[str]) -> None:
         import re2
--- a/basaltpoint/sim/adapter.py
+++ b/basaltpoint/sim/adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: isolated gateways behind the simulator's wire on standard input and output."""
+"""Serves decision modules to the simulator over standard input and output."""
 
 from __future__ import annotations
 
@@ -7,18 +7,22 @@
 from typing import BinaryIO
 
 from basaltpoint import interface as api
-from basaltpoint.policy import Gateway
+from basaltpoint.policy import DecisionModule
 from basaltpoint.sim import wire
 
 
-class Host:
-    """Isolated gateways, one for each instance; nothing passes between them."""
+class SimulatorAdapter:
+    """One decision module for each simulated instance; the modules share no state."""
 
     def __init__(self) -> None:
-        self._gateways: dict[int, Gateway] = {}
+        self._modules: dict[int, DecisionModule] = {}
 
-    def reply(self, now: float, count: int, body: bytes) -> bytes:
-        records = wire.decode_batch(count, body)
+    def reply(self, now: float, record_count: int, body: bytes) -> bytes:
+        """Handles a batch of `record_count` records at `now` (ms); returns the reply or fault frame.
+
+        Raises WireError for a batch that the protocol does not allow.
+        """
+        records = wire.decode_batch(record_count, body)
         groups: list[tuple[int, list[api.Action]]] = []
         for instance, record in records:
             if not groups or groups[-1][0] != instance:
@@ -35,19 +39,22 @@
         return wire.encode_reply(groups)
 
     def _handle(self, instance: int, now: float, record: wire.Record) -> list[api.Action]:
-        if isinstance(record, wire.Spawn):
-            self._gateways[instance] = Gateway(record.settings, record.seed)
+        if isinstance(record, wire.InstanceStarted):
+            self._modules[instance] = DecisionModule(record.settings, record.seed)
             return []
-        if isinstance(record, wire.Teardown):
-            self._gateways.pop(instance, None)
+        if isinstance(record, wire.InstanceStopped):
+            self._modules.pop(instance, None)
             return []
-        if instance not in self._gateways:
+        if instance not in self._modules:
             raise wire.WireError(f"event for instance {instance}, which has not been started")
-        return self._gateways[instance].handle(now, record)
+        return self._modules[instance].handle(now, record)
 
 
 def read_frame(stream: BinaryIO) -> tuple[float, int, bytes] | None:
-    """Clock, record count and records of the next batch, or None at a clean end of input."""
+    """Returns time (ms), record count and records of the next batch; None at the end of the input.
+
+    Raises WireError if the input ends inside a frame.
+    """
     head = stream.read(wire.BATCH_HEAD.size)
     if not head:
         return None
@@ -61,14 +68,14 @@
 
 
 def main() -> int:
-    host, source, sink = Host(), sys.stdin.buffer, sys.stdout.buffer
-    number = 0
+    adapter, source, sink = SimulatorAdapter(), sys.stdin.buffer, sys.stdout.buffer
+    frame_number = 0
     try:
         while (frame := read_frame(source)) is not None:
-            sink.write(host.reply(*frame))
+            sink.write(adapter.reply(*frame))
             sink.flush()
-            number += 1
+            frame_number += 1
     except wire.WireError as error:
-        print(f"basaltpoint.sim: frame {number}: {error}", file=sys.stderr)
+        print(f"basaltpoint.sim: frame {frame_number}: {error}", file=sys.stderr)
         return 2
     return 0
--- a/basaltpoint/store/files.py
+++ b/basaltpoint/store/files.py
@@ -1,4 +1,4 @@
-"""The few operations on files that the disk needs; tests put another in their place that loses things."""
+"""The file operations that `Disk` needs; tests substitute an implementation that simulates data loss."""
 
 from __future__ import annotations
 
@@ -9,62 +9,62 @@
 
 
 class Files(Protocol):
-    """One folder. OSError where the system can't."""
+    """The files of one folder. All methods raise OSError if the operating system reports a failure."""
 
-    def names(self) -> list[str]: ...
+    def list_names(self) -> list[str]: ...
 
     def read(self, name: str) -> bytes: ...
 
     def append(self, name: str, data: bytes) -> None:
-        """Write behind what a file holds; it comes to be with the first byte."""
+        """Appends to a file and creates it if it does not exist."""
 
-    def cut(self, name: str, size: int) -> None:
-        """Shorten a file, on the disk as well."""
+    def truncate(self, name: str, size: int) -> None:
+        """Truncates a file to `size` bytes and syncs it."""
 
     def sync(self, name: str) -> None:
-        """Have all of a file's bytes on the disk."""
+        """Syncs a file's data to disk."""
 
     def rename(self, old: str, new: str) -> None: ...
 
     def remove(self, name: str) -> None: ...
 
-    def sync_names(self) -> None:
-        """Have the folder itself on the disk: without it, a new file may be gone after a power failure."""
+    def sync_directory(self) -> None:
+        """Syncs the folder itself; otherwise a new file may be missing after a power failure."""
 
 
-class Folder:
-    """The system's files."""
+class OsFiles:
+    """Files of the operating system."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self._open: dict[str, int] = {}
+        self._open_files: dict[str, int] = {}
 
-    def names(self) -> list[str]:
+    def list_names(self) -> list[str]:
         return sorted(os.listdir(self.path))
 
     def read(self, name: str) -> bytes:
         return (self.path / name).read_bytes()
 
     def append(self, name: str, data: bytes) -> None:
-        handle = self._handle(name)
+        handle = self._descriptor(name)
         view = memoryview(data)
         while view:
             view = view[os.write(handle, view) :]
 
-    def _handle(self, name: str) -> int:
-        if (handle := self._open.get(name)) is None:
+    def _descriptor(self, name: str) -> int:
+        if (descriptor := self._open_files.get(name)) is None:
             flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC
-            handle = self._open[name] = os.open(self.path / name, flags, 0o600)
-        return handle
+            descriptor = self._open_files[name] = os.open(self.path / name, flags, 0o600)
+        return descriptor
 
-    def cut(self, name: str, size: int) -> None:
-        handle = self._handle(name)
+    def truncate(self, name: str, size: int) -> None:
+        handle = self._descriptor(name)
         os.ftruncate(handle, size)
         os.fsync(handle)
 
     def sync(self, name: str) -> None:
-        # The size is data that must be found again, and fdatasync writes it, too.
-        os.fdatasync(self._handle(name))
+        # fdatasync(2) also writes the file size, which is needed to read the data back.
+        os.fdatasync(self._descriptor(name))
 
     def rename(self, old: str, new: str) -> None:
         self._close(old)
@@ -74,29 +74,29 @@
         self._close(name)
         os.unlink(self.path / name)
 
-    def sync_names(self) -> None:
-        sync_folder(self.path)
+    def sync_directory(self) -> None:
+        sync_directory(self.path)
 
     def _close(self, name: str) -> None:
-        if (handle := self._open.pop(name, None)) is not None:
+        if (handle := self._open_files.pop(name, None)) is not None:
             os.close(handle)
 
     def close(self) -> None:
-        for name in list(self._open):
+        for name in list(self._open_files):
             self._close(name)
 
 
-def sync_folder(path: Path) -> None:
-    """Have a folder's names on the disk."""
-    handle = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
+def sync_directory(path: Path) -> None:
+    """Syncs a folder's entries to disk."""
+    descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        os.fsync(handle)
+        os.fsync(descriptor)
     finally:
-        os.close(handle)
+        os.close(descriptor)
 
 
-def replace(path: Path, data: bytes) -> None:
-    """Have a file hold these bytes, on the disk: whole, or as it was. Its owner alone may read it."""
+def replace_file(path: Path, data: bytes) -> None:
+    """Replaces a file's content atomically and durably. Only its owner may read it."""
     temporary = path.with_name(path.name + ".tmp")
     with open(temporary, "wb") as file:
         os.fchmod(file.fileno(), 0o600)
@@ -104,11 +104,11 @@
         file.flush()
         os.fsync(file.fileno())
     os.rename(temporary, path)
-    sync_folder(path.parent)
+    sync_directory(path.parent)
 
 
-Point = Callable[[str], None]
+CrashPoint = Callable[[str], None]
 
 
-def no_point(name: str) -> None:
+def no_crash_point(name: str) -> None:
     """A crash point at which nothing happens."""
--- a/basaltpoint/store/node.py
+++ b/basaltpoint/store/node.py
@@ -1,6 +1,6 @@
-"""One replica without its sockets: core, state machine and disk, in the order that safety asks for.
+"""One replica without its sockets: Raft, state machine and disk, driven in the order that safety requires.
 
-It is synchronous and knows no clock; the simulator of the tests drives the same code as the shell does.
+The code is synchronous and reads no clock; the simulator of the tests drives it as the replica process does.
 """
 
 from __future__ import annotations
@@ -11,263 +11,286 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
-from basaltpoint.store import machine as kv
+from basaltpoint.store import state_machine as kv
 from basaltpoint.store.disk import Disk
-from basaltpoint.store.files import Files, Point, no_point
-from basaltpoint.store.messages import Entry, Kind, Members, Message, Snapshot
-from basaltpoint.store.raft import Options, Output, Raft, RefusedError, Role
+from basaltpoint.store.files import CrashPoint, Files, no_crash_point
+from basaltpoint.store.messages import Entry, EntryKind, Membership, Message, Snapshot
+from basaltpoint.store.raft import Output, Raft, RaftOptions, RefusedError, Role
 
 log = logging.getLogger(__name__)
 
-Send = Callable[[str, Message], None]
-Done = Callable[[kv.Result | None], None]  # None: whether it took effect is not known
-ReadDone = Callable[[bool], None]
-RECOVER_MS = (200.0, 2000.0)  # until a disk that failed is tried again: first, and at most
-LEASES_MS = 100.0  # between two looks for leases that ran out; by so much one may live longer
+SendMessage = Callable[[str, Message], None]
+CommandCallback = Callable[[kv.Result | None], None]  # None: the outcome is unknown
+ReadCallback = Callable[[bool], None]
+DISK_RETRY_MS = (200.0, 2000.0)  # first and longest delay before a failed disk is written again
+LEASE_CHECK_INTERVAL_MS = 100.0  # a lease may outlive its end by this time
 
 
 @dataclass(frozen=True, slots=True)
-class Sizes:
-    """When the log is compacted, and what the state may hold."""
+class StorageLimits:
+    """Sizes of the log that trigger a snapshot, and the maximum size of the state.
 
-    snapshot_entries: int = 20_000  # entries since the last snapshot
-    snapshot_bytes: int = 32 << 20  # of these; both lie in memory twice at most
-    state_bytes: int = kv.STATE_BYTES
+    At most twice as many entries and bytes are in memory, as entries from the preceding snapshot on are kept.
+    """
+
+    snapshot_entries: int = 20_000  # since the last snapshot
+    snapshot_bytes: int = 32 << 20  # of these entries
+    max_state_bytes: int = kv.MAX_STATE_BYTES
 
 
 class Node:
-    """One replica; `broken` tells why it takes no part for now: its disk failed, and is tried again."""
+    """One replica.
+
+    `failure` is empty, or states why the replica takes no part at present: its disk failed and is retried.
+    """
 
     def __init__(
         self,
-        me: str,
+        name: str,
         files: Files,
         rng: random.Random,
         now: float,
-        send: Send,
+        send: SendMessage,
         *,
-        options: Options = Options(),  # noqa: B008 - it can't be changed
-        sizes: Sizes = Sizes(),
-        initial: Members | None = None,
-        suspect: bool = False,
-        point: Point = no_point,
+        options: RaftOptions = RaftOptions(),  # noqa: B008 - immutable
+        limits: StorageLimits = StorageLimits(),
+        initial: Membership | None = None,
+        may_be_stale: bool = False,
+        crash_point: CrashPoint = no_crash_point,
     ) -> None:
-        """`initial`: the members of a new cluster, on an empty disk. DamageError, OSError from the disk."""
-        self.me, self._send, self._sizes = me, send, sizes
-        self.disk = Disk(files, point)
-        if initial and not self.disk.log.last and not self.disk.log.snapshot.members.members:
-            self._begin(initial)
-        self.machine = kv.Machine(sizes.state_bytes)
-        self.machine.load(self.disk.log.snapshot.data)
-        self.core = Raft(me, options, rng, now, self.disk.hard, self.disk.log, suspect)
-        self.broken = ""
-        self._recover_at = self._recover_ms = 0.0  # when the disk is tried again, and the wait after that
-        self._now = now
-        self._pending: dict[int, tuple[int, Done]] = {}  # by index: term
-        self._reads: dict[int, ReadDone] = {}  # by token
-        self._ready: list[tuple[int, int]] = []  # index, token: to be answered when it is applied
-        self._token = 0
-        self._writer: Iterator[None] | None = None
-        self._shot = Snapshot()
-        self._since = 0  # bytes of entries since the last snapshot
-        self._clock = kv.Clock()
-        self._leases_at = now
-        self._led = False
-        self.applied: Callable[[], None] = lambda: None  # called after the state has changed
-
-    def _begin(self, initial: Members) -> None:
+        """`initial`: the membership of a new cluster, used on an empty disk; `now` is in ms.
+
+        Raises CorruptionError or OSError from the disk.
+        """
+        self.name, self._send, self._limits = name, send, limits
+        self.disk = Disk(files, crash_point)
+        if initial and not self.disk.log.last_index and not self.disk.log.snapshot.membership.members:
+            self._write_initial_snapshot(initial)
+        self.state_machine = kv.StoreStateMachine(limits.max_state_bytes)
+        self.state_machine.restore(self.disk.log.snapshot.data)
+        self.raft = Raft(name, options, rng, now, self.disk.hard_state, self.disk.log, may_be_stale)
+        self.failure = ""
+        self._disk_retry_at_ms = self._disk_retry_delay_ms = 0.0
+        self._now_ms = now
+        self._pending_commands: dict[int, tuple[int, CommandCallback]] = {}  # index -> term, callback
+        self._pending_reads: dict[int, ReadCallback] = {}  # token -> callback
+        self._confirmed_reads: list[tuple[int, int]] = []  # read index, token
+        self._last_read_token = 0
+        self._snapshot_writer: Iterator[None] | None = None
+        self._snapshot = Snapshot()
+        self._bytes_since_snapshot = 0  # bytes of entries
+        self._lease_timers = kv.LeaseTimers()
+        self._next_lease_check_ms = now
+        self._was_leader = False
+        self.on_state_changed: Callable[[], None] = lambda: None  # called after a change of the state
+
+    def _write_initial_snapshot(self, initial: Membership) -> None:
         first = Snapshot(0, 0, initial)
-        for _ in self.disk.snapshot(first, 0):
+        for _ in self.disk.write_snapshot(first, 0):
             pass
         self.disk.log.snapshot = first
 
-    # --- What is asked of it -----------------------------------------------------------------------
-    def propose(self, now: float, command: kv.Command, done: Done) -> None:
-        """Have a command applied; RefusedError where this replica does not lead."""
-        self._now = now
-        index = self.core.propose(now, kv.encode(command))
-        self._pending[index] = self.core.hard.term, done
-
-    def read(self, now: float, done: ReadDone) -> int:
-        """Wait until the state here is as new as all acknowledged by now; RefusedError with no leader."""
-        self._now = now
-        self._token += 1
-        self.core.read(now, self._token)
-        self._reads[self._token] = done
-        return self._token
-
-    def forget(self, token: int) -> None:
-        """Nobody waits for a read any more."""
-        self._reads.pop(token, None)
-        self.core.forget(token)
-
-    def change(self, now: float, members: Members, done: Done) -> None:
-        """Change the membership; RefusedError says why not."""
-        self._now = now
-        index = self.core.change(now, members)
-        self._pending[index] = self.core.hard.term, done
+    # --- Requests ----------------------------------------------------------------------------------
+    def propose(self, now: float, command: kv.Command, done: CommandCallback) -> None:
+        """Proposes a command; `done` receives its result.
+
+        RefusedError where this replica is not the leader.
+        """
+        self._now_ms = now
+        index = self.raft.propose(now, kv.encode_command(command))
+        self._pending_commands[index] = self.raft.hard_state.term, done
+
+    def read(self, now: float, done: ReadCallback) -> int:
+        """Starts a linearizable read and returns its token.
+
+        `done` is called with True once the local state includes everything acknowledged before the call, with
+        False if that can't be determined. RefusedError where no leader is known.
+        """
+        self._now_ms = now
+        self._last_read_token += 1
+        self.raft.request_read(now, self._last_read_token)
+        self._pending_reads[self._last_read_token] = done
+        return self._last_read_token
+
+    def cancel_read(self, token: int) -> None:
+        """Forgets a read that nobody waits for."""
+        self._pending_reads.pop(token, None)
+        self.raft.cancel_read(token)
+
+    def change_membership(self, now: float, membership: Membership, done: CommandCallback) -> None:
+        """Proposes a membership change; RefusedError states the obstacle."""
+        self._now_ms = now
+        index = self.raft.change_membership(now, membership)
+        self._pending_commands[index] = self.raft.hard_state.term, done
 
     def step(self, now: float, sender: str, message: Message) -> None:
-        self._now = now
-        self.core.step(now, sender, message)
+        self._now_ms = now
+        self.raft.step(now, sender, message)
 
     def tick(self, now: float) -> None:
-        self._now = now
-        if self.broken:
-            if now >= self._recover_at:
-                self._recover()
+        self._now_ms = now
+        if self.failure:
+            if now >= self._disk_retry_at_ms:
+                self._retry_disk()
             return
-        self.core.tick(now)
-        if self.leads and now >= self._leases_at:
-            self._leases_at = now + LEASES_MS
-            for expire in self._clock.due(now, self.machine.state.leases):
-                with suppress(RefusedError):  # while it hands over; the next leader counts anew
+        self.raft.tick(now)
+        if self.is_leader and now >= self._next_lease_check_ms:
+            self._next_lease_check_ms = now + LEASE_CHECK_INTERVAL_MS
+            for expire in self._lease_timers.expired(now, self.state_machine.state.leases):
+                with suppress(RefusedError):  # a leadership transfer; the next leader starts its own timers
                     self.propose(now, kv.Command(expire), lambda result: None)
 
     @property
-    def leads(self) -> bool:
-        return self.core.role is Role.LEADER
+    def is_leader(self) -> bool:
+        return self.raft.role is Role.LEADER
 
     @property
-    def next_ms(self) -> float:
-        """When `tick` is due."""
-        if self.broken:
-            return self._recover_at
-        due = self.core.next_ms
-        return min(due, self._leases_at) if self.leads else due
+    def next_tick_ms(self) -> float:
+        """Time in ms at which `tick` is due."""
+        if self.failure:
+            return self._disk_retry_at_ms
+        due = self.raft.next_tick_ms
+        return min(due, self._next_lease_check_ms) if self.is_leader else due
 
     @property
-    def writing(self) -> bool:
-        """Whether a snapshot is being written: `pump` goes on with it."""
-        return self._writer is not None
-
-    # --- Carrying it out -----------------------------------------------------------------------------
-    def pump(self) -> None:
-        """Do all that is due: send, write, apply, answer. To be called after each of the above."""
-        while not self.broken and (out := self.core.take()):
-            self._carry_out(out)
-        if self._led != self.leads:
-            self._led = self.leads
-            self._clock.reset()
-            if not self._led:
-                self._give_up()
-        if not self.broken:
-            self._compact()
-
-    def _carry_out(self, out: Output) -> None:
-        for to, message in out.early:
-            self._send(to, message)
+    def is_writing_snapshot(self) -> bool:
+        """Whether a snapshot is being written; each `process_output` writes the next slice."""
+        return self._snapshot_writer is not None
+
+    # --- Processing ----------------------------------------------------------------------------------
+    def process_output(self) -> None:
+        """Sends, writes, applies and completes all that is due. To be called after each method above."""
+        while not self.failure and (output := self.raft.take_output()):
+            self._process(output)
+        if self._was_leader != self.is_leader:
+            self._was_leader = self.is_leader
+            self._lease_timers.reset()
+            if not self._was_leader:
+                self._abandon_commands()
+        if not self.failure:
+            self._continue_snapshot()
+
+    def _process(self, output: Output) -> None:
+        for receiver, message in output.early_messages:
+            self._send(receiver, message)
         try:
-            if out.install is not None:
-                self._writer = None
-                self.disk.install(out.install)
-            if out.entries or out.hard is not None:
-                self.disk.write(out.entries, out.hard)
+            if output.install_snapshot is not None:
+                self._snapshot_writer = None
+                self.disk.install_snapshot(output.install_snapshot)
+            if output.entries or output.hard_state is not None:
+                self.disk.write(output.entries, output.hard_state)
         except OSError as error:
-            self._fail(error)
+            self._handle_disk_failure(error)
             return
-        self.core.synced(self._now, self.core.log.last)
-        for to, message in out.messages:
-            self._send(to, message)
-        if out.restore is not None:
-            self.machine.load(out.restore.data)
-            self._since = 0
-        for entry in out.applies:
+        self.raft.mark_synced(self._now_ms, self.raft.log.last_index)
+        for receiver, message in output.messages:
+            self._send(receiver, message)
+        if output.restore_snapshot is not None:
+            self.state_machine.restore(output.restore_snapshot.data)
+            self._bytes_since_snapshot = 0
+        for entry in output.committed_entries:
             self._apply(entry)
-        self._ready += [(index, token) for token, index in out.reads]
-        for token in out.dropped:
-            if done := self._reads.pop(token, None):
+        self._confirmed_reads += [(index, token) for token, index in output.confirmed_reads]
+        for token in output.failed_reads:
+            if done := self._pending_reads.pop(token, None):
                 done(False)
-        self._answer()
-        if out.restore is not None or out.applies:
-            self.applied()
+        self._complete_reads()
+        if output.restore_snapshot is not None or output.committed_entries:
+            self.on_state_changed()
 
     def _apply(self, entry: Entry) -> None:
-        self._since += len(entry.data)
-        if entry.kind is Kind.COMMAND:
-            result = self.machine.apply(entry.index, entry.data)
+        self._bytes_since_snapshot += len(entry.data)
+        if entry.kind is EntryKind.COMMAND:
+            result = self.state_machine.apply(entry.index, entry.data)
         else:
-            self.machine.skip(entry.index)
-            result = kv.Result(self.machine.state.revision, index=entry.index)
-        term, done = self._pending.pop(entry.index, (0, None))
+            self.state_machine.skip_entry(entry.index)
+            result = kv.Result(self.state_machine.state.revision, index=entry.index)
+        term, done = self._pending_commands.pop(entry.index, (0, None))
         if done:
             done(result if term == entry.term else None)
 
-    def _answer(self) -> None:
-        applied = self.machine.state.index
+    def _complete_reads(self) -> None:
+        applied = self.state_machine.state.applied_index
         waiting = []
-        for index, token in self._ready:
+        for index, token in self._confirmed_reads:
             if index > applied:
                 waiting.append((index, token))
-            elif done := self._reads.pop(token, None):
+            elif done := self._pending_reads.pop(token, None):
                 done(True)
-        self._ready = waiting
-
-    def _fail(self, error: OSError) -> None:
-        """Nothing more is promised until all that was is on the disk anew."""
-        self.broken = f"the disk failed: {error}"
-        self._recover_ms = RECOVER_MS[0]
-        self._recover_at = self._now + self._recover_ms
-        self._writer = None
-        log.error("store: %s; this replica votes and acknowledges nothing until it can write", self.broken)
-        self.core.fail()
-        self._give_up()
-        reads, self._reads, self._ready = self._reads, {}, []
+        self._confirmed_reads = waiting
+
+    def _handle_disk_failure(self, error: OSError) -> None:
+        """Stops voting and acknowledging until log and hard state are written to the disk again."""
+        self.failure = f"the disk failed: {error}"
+        self._disk_retry_delay_ms = DISK_RETRY_MS[0]
+        self._disk_retry_at_ms = self._now_ms + self._disk_retry_delay_ms
+        self._snapshot_writer = None
+        log.error("store: %s; this replica neither votes nor acknowledges until it can write", self.failure)
+        self.raft.mark_disk_failed()
+        self._abandon_commands()
+        reads, self._pending_reads, self._confirmed_reads = self._pending_reads, {}, []
         for read in reads.values():
             read(False)
 
-    def _recover(self) -> None:
-        """Write all anew, and take part again; where that fails it is tried again later."""
+    def _retry_disk(self) -> None:
+        """Writes log and hard state to the disk again and resumes; retries later if that fails."""
         try:
-            self.disk.rewrite(self.core.log, self.core.hard)
+            self.disk.rewrite(self.raft.log, self.raft.hard_state)
         except OSError:
-            self._recover_ms = min(RECOVER_MS[1], self._recover_ms * 2)
-            self._recover_at = self._now + self._recover_ms
+            self._disk_retry_delay_ms = min(DISK_RETRY_MS[1], self._disk_retry_delay_ms * 2)
+            self._disk_retry_at_ms = self._now_ms + self._disk_retry_delay_ms
             return
-        self.broken = ""
-        log.warning("store: the disk takes writes again; this replica takes part again")
-        self.core.recover(self._now)
-        self._catch_up()
-
-    def _catch_up(self) -> None:
-        """Apply what was committed when the disk failed, and was dropped with the rest of that turn."""
-        held = self.core.log
-        if self.machine.state.index < held.snapshot.index:
-            self.machine.load(held.snapshot.data)
-            self._since = 0
-        for entry in held.after(max(self.machine.state.index, held.snapshot.index), upto=self.core.applied):
+        self.failure = ""
+        log.warning("store: the disk accepts writes again; this replica takes part again")
+        self.raft.mark_disk_recovered(self._now_ms)
+        self._apply_missed_entries()
+
+    def _apply_missed_entries(self) -> None:
+        """Applies committed entries from the output that the disk failure left unprocessed."""
+        raft_log = self.raft.log
+        if self.state_machine.state.applied_index < raft_log.snapshot.index:
+            self.state_machine.restore(raft_log.snapshot.data)
+            self._bytes_since_snapshot = 0
+        for entry in raft_log.entries_after(
+            max(self.state_machine.state.applied_index, raft_log.snapshot.index), last=self.raft.applied_index
+        ):
             self._apply(entry)
-        self.applied()
+        self.on_state_changed()
 
-    def _give_up(self) -> None:
-        """Whether what is under way takes effect, this replica can't tell any more."""
-        pending, self._pending = self._pending, {}
+    def _abandon_commands(self) -> None:
+        """Reports an unknown outcome for all pending commands."""
+        pending, self._pending_commands = self._pending_commands, {}
         for _, done in pending.values():
             done(None)
 
     # --- Compaction --------------------------------------------------------------------------------------
-    def _compact(self) -> None:
-        held = self.core.log.snapshot.index
-        if self._writer is None:
-            many = self.core.applied - held >= self._sizes.snapshot_entries
-            if (many or self._since >= self._sizes.snapshot_bytes) and self.core.applied > held:
-                self.begin_snapshot()
+    def _continue_snapshot(self) -> None:
+        snapshot_index = self.raft.log.snapshot.index
+        if self._snapshot_writer is None:
+            many_entries = self.raft.applied_index - snapshot_index >= self._limits.snapshot_entries
+            if (
+                many_entries or self._bytes_since_snapshot >= self._limits.snapshot_bytes
+            ) and self.raft.applied_index > snapshot_index:
+                self.start_snapshot()
             return
         try:
-            next(self._writer)
+            next(self._snapshot_writer)
         except StopIteration:
-            self._writer = None
-            self.core.compacted(self._shot)
+            self._snapshot_writer = None
+            self.raft.compact_log(self._snapshot)
         except OSError as error:
-            self._fail(error)
-
-    def begin_snapshot(self) -> None:
-        """Begin to write the present state; entries before the snapshot ahead of it go with its end."""
-        core = self.core
-        index = core.applied
-        term = core.log.term(index)
-        assert term is not None and self.machine.state.index in (index, 0)
-        members, _ = core.log.members(upto=index)
-        self._shot = Snapshot(index, term, members, self.machine.save())
-        self._since = 0
-        self._writer = self.disk.snapshot(self._shot, core.log.snapshot.index)
+            self._handle_disk_failure(error)
+
+    def start_snapshot(self) -> None:
+        """Starts to write a snapshot of the current state.
+
+        Once it is written, entries before the preceding snapshot are dropped.
+        """
+        raft = self.raft
+        index = raft.applied_index
+        term = raft.log.term_at(index)
+        assert term is not None and self.state_machine.state.applied_index in (index, 0)
+        membership, _ = raft.log.membership(last=index)
+        self._snapshot = Snapshot(index, term, membership, self.state_machine.serialize())
+        self._bytes_since_snapshot = 0
+        self._snapshot_writer = self.disk.write_snapshot(self._snapshot, raft.log.snapshot.index)
--- a/basaltpoint/store/protocol.py
+++ b/basaltpoint/store/protocol.py
@@ -1,32 +1,36 @@
-"""What goes over the store's connections after the greeting: requests, answers, messages of replicas."""
+"""Frames on the store's connections after the greeting: requests, responses and messages between replicas."""
 
 from __future__ import annotations
 
 import msgspec
 
-from basaltpoint.links.frames import Greeting, Part, Speech
-from basaltpoint.store import machine as kv
+from basaltpoint.links.frames import Frame, Greeting, WireProtocol
 from basaltpoint.store import messages
+from basaltpoint.store import state_machine as kv
 
-COMMAND = 4 << 20  # bytes of the longest command: with its head it fits into a frame between replicas
-PAGE = 1 << 20  # bytes of keys and values in one answer
+MAX_COMMAND_BYTES = 4 << 20  # a command of this size and its header fit into one frame between replicas
+PAGE_BYTES = 1 << 20  # keys and values in one response; a page ends once it reaches this size
 
 
-class Peer(Part, frozen=True, tag="m"):
-    """A message of the core."""
+class ReplicaMessage(Frame, frozen=True, tag="m"):
+    """A Raft message from one replica to another."""
 
-    message: messages.Any
+    message: messages.AnyMessage
 
 
-class Do(Part, frozen=True, tag="do"):
-    """Apply a command."""
+class ExecuteCommand(Frame, frozen=True, tag="do"):
+    """Applies a command of the state machine."""
 
     ident: int
     command: kv.Command
 
 
-class Get(Part, frozen=True, tag="get"):
-    """What stands under all keys with a prefix, after a key; `local` asks for no proof that it is current."""
+class Get(Frame, frozen=True, tag="get"):
+    """Reads the values of all keys with a prefix that sort after `after`.
+
+    `exact` reads the key `prefix` alone. `local` reads the replica's state as it is, without a linearizable
+    read.
+    """
 
     ident: int
     prefix: str
@@ -35,93 +39,96 @@
     exact: bool = False
 
 
-class Watch(Part, frozen=True, tag="watch"):
-    """Tell all changes from a revision on."""
+class Watch(Frame, frozen=True, tag="watch"):
+    """Subscribes to all changes of keys with a prefix from a revision on."""
 
     ident: int
     prefix: str
     revision: int
 
 
-class Unwatch(Part, frozen=True, tag="unwatch"):
-    """End a watch."""
+class CancelWatch(Frame, frozen=True, tag="unwatch"):
+    """Ends a watch."""
 
     ident: int
 
 
-class Status(Part, frozen=True, tag="status"):
-    """Tell how it stands."""
+class GetStatus(Frame, frozen=True, tag="status"):
+    """Requests the replica's status."""
 
     ident: int
 
 
-class Change(Part, frozen=True, tag="change"):
-    """Change the membership: what is one of add, promote, remove."""
+class ChangeMembership(Frame, frozen=True, tag="change"):
+    """Changes the membership; `action` is one of add, promote, remove."""
 
     ident: int
-    what: str
+    action: str
     name: str
     address: str = ""
 
 
-class Transfer(Part, frozen=True, tag="transfer"):
-    """Hand the leadership to a member."""
+class TransferLeadership(Frame, frozen=True, tag="transfer"):
+    """Transfers the leadership to a member."""
 
     ident: int
     name: str
 
 
-class Snap(Part, frozen=True, tag="snap"):
-    """Write a snapshot now."""
+class TakeSnapshot(Frame, frozen=True, tag="snap"):
+    """Starts to write a snapshot."""
 
     ident: int
 
 
-class Dump(Part, frozen=True, tag="dump"):
-    """Tell the whole state, from an offset on; 0 begins anew, with what is current."""
+class DumpState(Frame, frozen=True, tag="dump"):
+    """Requests the whole state from an offset in bytes on; offset 0 starts with a linearizable read."""
 
     ident: int
     offset: int
 
 
-class Dumped(Part, frozen=True, tag="U"):
-    """A part of the state."""
+class DumpChunk(Frame, frozen=True, tag="U"):
+    """A part of the state, in response to `DumpState`."""
 
     ident: int
-    total: int
+    total_bytes: int
     data: bytes
     error: str = ""
 
 
-class Done(Part, frozen=True, tag="D"):
-    """The answer to a command; `error` as in machine.Result, or unavailable, unknown, refused."""
+class CommandResponse(Frame, frozen=True, tag="D"):
+    """Response to a command; its `error` is as in `Result`, or unavailable, unknown, refused."""
 
     ident: int
     result: kv.Result
 
 
-class Page(Part, frozen=True, tag="P"):
-    """The answer to `Get`: with `more` it is to be asked again, after the last key."""
+class Page(Frame, frozen=True, tag="P"):
+    """Response to `Get`; with `more`, the client continues after the last key."""
 
     ident: int
     revision: int
     values: dict[str, kv.Value]
     more: bool = False
     error: str = ""
-    age_ms: float = 0.0  # how long ago this replica knew that it was current
+    age_ms: float = 0.0  # time since this replica last had a leader
+
 
+class WatchEvents(Frame, frozen=True, tag="E"):
+    """Changes in order.
 
-class Events(Part, frozen=True, tag="E"):
-    """Changes, in their order; `compacted` ends the watch: not all of them are held any more."""
+    A nonzero `compacted` ends the watch: it is the oldest revision kept, or -1 for too many watches.
+    """
 
     ident: int
-    revision: int  # all up to it have been told
+    revision: int  # all events up to this revision have been sent
     events: tuple[kv.Event, ...]
     compacted: int = 0
 
 
-class Standing(Part, frozen=True, tag="S"):
-    """How a replica stands."""
+class ReplicaStatus(Frame, frozen=True, tag="S"):
+    """Status of a replica."""
 
     ident: int
     name: str
@@ -129,33 +136,55 @@
     role: str
     leader: str
     term: int
-    commit: int
-    applied: int
-    last: int
+    commit_index: int
+    applied_index: int
+    last_index: int
     revision: int
-    size: int
-    members: messages.Members
-    recovering: bool
-    broken: str
-    age_ms: float
-    matches: dict[str, int] = msgspec.field(default_factory=dict)  # of a leader: what each member holds
+    state_bytes: int
+    membership: messages.Membership
+    recovering: bool  # may lack entries that it acknowledged
+    failure: str  # why the replica takes no part; empty: it does
+    age_ms: float  # time since this replica last had a leader
+    # At the leader: match index of each other member.
+    match_indexes: dict[str, int] = msgspec.field(default_factory=dict)
 
 
-class Pass(Part, frozen=True, tag="f"):
-    """A follower passes a client's request on to the leader."""
+class ForwardedRequest(Frame, frozen=True, tag="f"):
+    """A client's request that a follower forwards to the leader."""
 
     ident: int
-    request: Do | Change | Transfer
+    request: ExecuteCommand | ChangeMembership | TransferLeadership
 
 
-class Passed(Part, frozen=True, tag="F"):
-    """The leader's answer to it."""
+class ForwardedResponse(Frame, frozen=True, tag="F"):
+    """The leader's response to `ForwardedRequest`."""
 
     ident: int
     result: kv.Result
 
 
-Request = Do | Get | Watch | Unwatch | Status | Change | Transfer | Snap | Dump
-Frame = Greeting | Peer | Pass | Passed | Request | Done | Page | Events | Standing | Dumped
-
-STORE = Speech("store", msgspec.msgpack.Decoder(Frame).decode)
+Request = (
+    ExecuteCommand
+    | Get
+    | Watch
+    | CancelWatch
+    | GetStatus
+    | ChangeMembership
+    | TransferLeadership
+    | TakeSnapshot
+    | DumpState
+)
+AnyFrame = (
+    Greeting
+    | ReplicaMessage
+    | ForwardedRequest
+    | ForwardedResponse
+    | Request
+    | CommandResponse
+    | Page
+    | WatchEvents
+    | ReplicaStatus
+    | DumpChunk
+)
+
+STORE_PROTOCOL = WireProtocol("store", msgspec.msgpack.Decoder(AnyFrame).decode)
--- a/tests/linear.py
+++ b/tests/linear.py
@@ -1,6 +1,8 @@
-"""A linearizability checker for histories over single keys (Wing and Gong 1993, with Lowe's memory of 2017).
+"""A linearizability checker for operations on single keys (Wing and Gong 1993, with Lowe's memoization of
+2017).
 
-Each key is judged by itself: a history is linearizable where that of each key is (Herlihy and Wing 1990).
+Each key is checked on its own: a history is linearizable if the history of each key is (Herlihy and Wing
+1990).
 """
 
 from __future__ import annotations
@@ -12,63 +14,64 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Op:
-    """One operation: `write` sets `value`; `read` saw `value`; `swap` set `value` where it found `old`.
+class Operation:
+    """One operation: `write` sets `value`, `read` returned `value`, `swap` set `value` if it found
+    `expected`.
 
-    `ended` is inf where the answer was lost: it took effect at any time after it began, or never. `good`
-    tells of a swap whether it found what it expected; None where that is not known.
+    `start` and `end` are times. `end` is inf if the response was lost: the operation took effect at any time
+    after its start, or never. `succeeded` states whether a swap found the expected value; None if unknown.
     """
 
     key: str
     kind: str
     value: str | None
-    began: float
-    ended: float
-    old: str | None = None
-    good: bool | None = True
+    start: float
+    end: float
+    expected: str | None = None
+    succeeded: bool | None = True
 
 
-def _after(state: str | None, op: Op) -> tuple[bool, str | None]:
-    """Whether it can take effect on a state, and the state behind it."""
+def _apply(state: str | None, op: Operation) -> tuple[bool, str | None]:
+    """Returns whether an operation is possible in a state, and the state after it."""
     if op.kind == "read":
         return state == op.value, state
     if op.kind == "write":
         return True, op.value
-    found = state == op.old
-    if op.good is None:
-        return True, op.value if found else state
-    return found == op.good, op.value if found else state
+    matches = state == op.expected
+    if op.succeeded is None:
+        return True, op.value if matches else state
+    return matches == op.succeeded, op.value if matches else state
 
 
-def _key_holds(ops: list[Op]) -> bool:
-    ops = sorted(ops, key=lambda op: op.began)
-    # A read whose answer was lost says nothing.
-    ops = [op for op in ops if not (op.kind == "read" and op.ended == math.inf)]
-    done = sum(1 << at for at, op in enumerate(ops) if op.ended < math.inf)
-    seen: set[tuple[int, str | None]] = set()
+def _is_linearizable(operations: list[Operation]) -> bool:
+    operations = sorted(operations, key=lambda op: op.start)
+    # A read whose response was lost adds no constraint.
+    operations = [op for op in operations if not (op.kind == "read" and op.end == math.inf)]
+    required = sum(1 << at for at, op in enumerate(operations) if op.end < math.inf)
+    visited: set[tuple[int, str | None]] = set()
     stack: list[tuple[int, str | None]] = [(0, None)]
     while stack:
-        taken, state = stack.pop()
-        if taken & done == done:
+        applied, state = stack.pop()
+        if applied & required == required:
             return True
-        # Only what began before the first end of those left can be next.
-        bound = min(op.ended for at, op in enumerate(ops) if not taken >> at & 1)
-        for at, op in enumerate(ops):
-            if op.began > bound:
+        # The next operation must have started before the earliest end of the remaining ones.
+        earliest_end = min(op.end for at, op in enumerate(operations) if not applied >> at & 1)
+        for at, op in enumerate(operations):
+            if op.start > earliest_end:
                 break
-            if taken >> at & 1:
+            if applied >> at & 1:
                 continue
-            fits, after = _after(state, op)
-            following = (taken | 1 << at, after)
-            if fits and following not in seen:
-                seen.add(following)
+            possible, next_state = _apply(state, op)
+            following = (applied | 1 << at, next_state)
+            if possible and following not in visited:
+                visited.add(following)
                 stack.append(following)
     return False
 
 
-def violations(history: Iterable[Op]) -> list[str]:
-    """The keys whose operations have no order that explains them."""
-    keys: dict[str, list[Op]] = defaultdict(list)
+def violations(history: Iterable[Operation]) -> list[str]:
+    """Returns the keys whose operations are not linearizable."""
+    by_key: dict[str, list[Operation]] = defaultdict(list)
     for op in history:
-        keys[op.key].append(op)
-    return [key for key, ops in sorted(keys.items()) if not _key_holds(ops)]
+        by_key[op.key].append(op)
+    return [key for key, ops in sorted(by_key.items()) if not _is_linearizable(ops)]
--- a/tests/standalone.py
+++ b/tests/standalone.py
@@ -1,4 +1,4 @@
-"""A standalone limiter on loopback, from a file that the test words."""
+"""A standalone limiter on loopback, with a configuration file written by the test."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from basaltpoint.daemon.standalone import Standalone
 
 KEY = "a-key-of-the-tests"
-DIGEST = "sha256:" + hashlib.sha256(KEY.encode()).hexdigest()
+KEY_DIGEST = "sha256:" + hashlib.sha256(KEY.encode()).hexdigest()
 
-# Class times beyond the tests' patience: what waits for one of them fails.
+# The deadlines are longer than the tests' timeouts, so that a test that waits for one of them fails.
 CLASSES = """
 [[class]]
 name = "read"
@@ -49,9 +49,9 @@
     classes: str = CLASSES,
     top: str = "",
 ) -> str:
-    """A file: plan `p` with one account, the classes above, the servers, pools by servers' numbers."""
+    """Returns a configuration: plan `p` with one account, the classes above, servers and pools."""
     parts = [f'listen = "127.0.0.1:0"\n{top}\n{extra}\n[[plan]]\nname = "p"\n{rate}\n']
-    parts.append(f'[[account]]\nname = "one"\nplan = "p"\nkeys = ["{DIGEST}"]\n{classes}')
+    parts.append(f'[[account]]\nname = "one"\nplan = "p"\nkeys = ["{KEY_DIGEST}"]\n{classes}')
     for number, address in enumerate(servers):
         drained = "true" if number in drain else "false"
         parts.append(f'[[server]]\nname = "s{number}"\naddress = "{address}"\ndrain = {drained}\n')
@@ -83,8 +83,8 @@
 """
 
 
-class Rig:
-    """The limiter, its file and a way to connect."""
+class StandaloneFixture:
+    """The limiter, its configuration file and a way to connect."""
 
     def __init__(self, limiter: Standalone, path: Path) -> None:
         self.limiter = limiter
@@ -98,22 +98,24 @@
         return self.limiter.reload()
 
     @property
-    def quiet(self) -> bool:
-        """Whether nothing is left of any request."""
+    def is_idle(self) -> bool:
+        """Whether no state of any request is left."""
         relay = self.limiter.relay
-        pools = relay.gateway.pools.values()
-        left = relay.table.entries or relay._passages or relay._attempts or relay.gateway.requests
-        return not left and not relay._held and all(pool.count == [0, 0] for pool in pools)
+        pools = relay.decision_module.pools.values()
+        left = relay.table.requests or relay._exchanges or relay._attempts or relay.decision_module.requests
+        return (
+            not left and not relay._reserved_bytes and all(pool.lane_outstanding == [0, 0] for pool in pools)
+        )
 
 
 @contextlib.asynccontextmanager
-async def standalone(tmp_path: Path, text: str) -> AsyncIterator[Rig]:
+async def standalone(tmp_path: Path, text: str) -> AsyncIterator[StandaloneFixture]:
     path = tmp_path / "limiter.toml"
     path.write_text(text)
     limiter = Standalone(path, seed=1)
     await limiter.start()
     try:
-        yield Rig(limiter, path)
+        yield StandaloneFixture(limiter, path)
     finally:
         await limiter.close()
 
@@ -121,12 +123,12 @@
 def request(
     method: str = "GET", path: str = "/a", body: bytes = b"", version: str = "1.1", **headers: str | None
 ) -> bytes:
-    """A request; `headers` are named with _ for -, None leaves one out."""
-    told: dict[str, str | None] = {"Host": "api.test", "X-Api-Key": KEY}
+    """A request; header names have _ for -, and the value None omits a header."""
+    fields: dict[str, str | None] = {"Host": "api.test", "X-Api-Key": KEY}
     if body or method in ("POST", "PUT", "PATCH"):
-        told["Content-Length"] = str(len(body))
-    told.update({name.replace("_", "-"): value for name, value in headers.items()})
-    rows = [f"{name}: {value}" for name, value in told.items() if value is not None]
+        fields["Content-Length"] = str(len(body))
+    fields.update({name.replace("_", "-"): value for name, value in headers.items()})
+    rows = [f"{name}: {value}" for name, value in fields.items() if value is not None]
     return "\r\n".join([f"{method} {path} HTTP/{version}", *rows, "", ""]).encode() + body
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -41,10 +41,10 @@
 from basaltpoint import interface as api
 from basaltpoint.config.settings import parse_settings
 from basaltpoint.handover import platform_state, state, upgrade_state
-from basaltpoint.handover.link import Link, claim, socket_path
+from basaltpoint.handover.link import HandoverLink, connect_to_predecessor, socket_path
 from basaltpoint.handover.platform_state import PlatformState, PlatformStateError
 from basaltpoint.handover.upgrade_state import UpgradeState
-from basaltpoint.policy import Gateway
+from basaltpoint.policy import DecisionModule
 
 ROOT = Path(__file__).parent.parent
 
@@ -53,17 +53,17 @@
     return api.Plan(rate, burst, ceiling_rate=rate, ceiling_depth=burst, name="basic")
 
 
-def gateway(seed: int = 1, **changes: Any) -> Gateway:
+def gateway(seed: int = 1, **changes: Any) -> DecisionModule:
     made = parse_settings(json.dumps(SETTINGS).encode())
-    return Gateway(replace(made, plans=(plan(),), **changes), seed)
+    return DecisionModule(replace(made, plans=(plan(),), **changes), seed)
 
 
-def peers(one: Gateway, now: float, started: float = 0.0) -> None:
+def peers(one: DecisionModule, now: float, started: float = 0.0) -> None:
     ready = tuple(api.Server(n, 0, 0, api.ServerState.READY, 1.0, started) for n in range(3))
     one.handle(now, api.ServerList(api.ListKind.FULL, ready))
 
 
-def ask(one: Gateway, now: float, ident: int, customer: int = 7) -> bool:
+def ask(one: DecisionModule, now: float, ident: int, customer: int = 7) -> bool:
     """Whether a request of one unit is sent on; it is answered at once."""
     actions = one.handle(now, api.Arrival(ident, 2, 0, customer, 1.0, 1, now + 1000.0))
     sent = [action for action in actions if isinstance(action, api.Send)]
@@ -72,19 +72,19 @@
     return bool(sent)
 
 
-def passed(old: Gateway, new: Gateway, now: float) -> None:
+def passed(old: DecisionModule, new: DecisionModule, now: float) -> None:
     """What the newer process takes over when it starts, over JSON as between processes."""
-    module = json.loads(json.dumps(state.take(old, now)))
-    state.halve(old, now)
-    assert list(platform_state.put(new, module, now)) == []
-    new.born = now
-    state.halve(new, now)
+    module = json.loads(json.dumps(state.export_state(old, now)))
+    state.share_limits(old, now)
+    assert list(platform_state.import_module_state(new, module, now)) == []
+    new.started_ms = now
+    state.share_limits(new, now)
 
 
-def finish(old: Gateway, new: Gateway, now: float, since: float) -> None:
-    rows = json.loads(json.dumps(state.take(old, now)))["customers"]
-    state.whole(new, now)
-    assert state.join(new, rows, now, since) == 0
+def finish(old: DecisionModule, new: DecisionModule, now: float, since: float) -> None:
+    rows = json.loads(json.dumps(state.export_state(old, now)))["customers"]
+    state.restore_full_limits(new, now)
+    assert state.merge_customers(new, rows, now, since) == 0
 
 
 @given(st.integers(0, 2**32))
@@ -124,18 +124,22 @@
     now = begin = 1e9
     for one in (old, new):
         peers(one, now)
-        one.born = now - 10_000.0
+        one.started_ms = now - 10_000.0
     sent, handed = 0, rng.randrange(1, 100)
     for n in range(150):
         now += rng.uniform(5, 60)
         if n == handed:
             told = UpgradeState(
-                1, 0.0, state.take(old, now), {"account": {"a": 7}, "server": {}, "pool": {}}, {}
+                1, 0.0, state.export_state(old, now), {"account": {"a": 7}, "server": {}, "pool": {}}, {}
             )
-            state.spend(old, now, 10_000.0)
-            told = upgrade_state.read(upgrade_state.write(told), 1.0)
-            list(upgrade_state.put(new, told, {"account": {"a": 9}, "server": {}, "pool": {}}, now))
-            new.born = now
+            state.exhaust_ceilings(old, now, 10_000.0)
+            told = upgrade_state.decode(upgrade_state.encode(told), 1.0)
+            list(
+                upgrade_state.import_module_state(
+                    new, told, {"account": {"a": 9}, "server": {}, "pool": {}}, now
+                )
+            )
+            new.started_ms = now
         one, customer = (new, 9) if n >= handed and rng.random() < 0.5 else (old, 7)
         sent += ask(one, now, n + 1, customer)
         assert sent <= 10.0 + 5.0 * (now - begin) / 1000.0 + 1e-6
@@ -147,10 +151,10 @@
     peers(old, 1e9)
     peers(new, 1e9)
     now = 1e9 + 10_000.0
-    module = json.loads(json.dumps(state.take(old, now)))
+    module = json.loads(json.dumps(state.export_state(old, now)))
     ask(old, now, 1)
-    module = json.loads(json.dumps(state.take(old, now)))
-    list(platform_state.put(new, module, now))
+    module = json.loads(json.dumps(state.export_state(old, now)))
+    list(platform_state.import_module_state(new, module, now))
     assert sum(ask(one, now, n) for one in (old, new) for n in range(2, 30)) > 10
     old, new = gateway(1), gateway(2)
     peers(old, 1e9)
@@ -165,8 +169,8 @@
     peers(old, 1e9)
     now = 1e9 + 10_000.0
     ask(old, now, 1)
-    state.halve(old, now)
-    state.whole(old, now)
+    state.share_limits(old, now)
+    state.restore_full_limits(old, now)
     assert sum(ask(old, now, n) for n in range(2, 30)) <= 9  # what the other may have drawn stays drawn
     now += 10_000.0
     assert sum(ask(old, now, n) for n in range(30, 60)) == 10
@@ -182,12 +186,14 @@
     now += 1.0
     for ident, one in enumerate((old, new, old, new, new), 2):
         ask(one, now, ident)
-    before = old.customers[7].store.refill(now)
+    before = old.customers[7].quota_bucket.refill(now)
     finish(old, new, now, now - 1.0)
     joined = new.customers[7]
-    assert joined.log[-1][1] == 6.0 and [row[0] for row in joined.log] == sorted(row[0] for row in joined.log)
-    drawn = joined.log[-1][2] - old.customers[7].log[-1][2]
-    assert drawn >= 3.0 and joined.store.level == pytest.approx(before - drawn)
+    assert joined.draw_log[-1][1] == 6.0 and [row[0] for row in joined.draw_log] == sorted(
+        row[0] for row in joined.draw_log
+    )
+    drawn = joined.draw_log[-1][2] - old.customers[7].draw_log[-1][2]
+    assert drawn >= 3.0 and joined.quota_bucket.level == pytest.approx(before - drawn)
 
 
 def test_a_cold_servers_ramp_passes_over() -> None:
@@ -195,16 +201,16 @@
     old, new = gateway(1), gateway(2)
     for one in (old, new):
         peers(one, 1e9, started=1e9)
-        one.handle(1e9, api.Checked(0, True))
+        one.handle(1e9, api.HealthCheckResult(0, True))
     for n in range(3):
-        old.pools[0].fleet.peers[n].allowance = 0.9
-        old.pools[0].fleet.peers[n].health.suspect = n == 1
+        old.pools[0].servers.records[n].allowance = 0.9
+        old.pools[0].servers.records[n].health.suspect = n == 1
     passed(old, new, 1e9 + 1.0)
     for n in range(3):
-        one, two = (each.pools[0].fleet.peers[n] for each in (old, new))
+        one, two = (each.pools[0].servers.records[n] for each in (old, new))
         assert one.allowance + two.allowance == pytest.approx(0.9)
         assert two.health.suspect is (n == 1)
-    assert new.pools[0].fleet.suspects == {1}
+    assert new.pools[0].servers.suspects == {1}
 
 
 def estate(**changes: Any) -> bytes:
@@ -243,8 +249,8 @@
 )
 def test_a_torn_stale_or_foreign_document_is_told_and_left(text: bytes) -> None:
     with pytest.raises(PlatformStateError):
-        platform_state.read(text, 10.0)
-    assert isinstance(platform_state.read(estate(), 10.0), PlatformState)
+        platform_state.decode(text, 10.0)
+    assert isinstance(platform_state.decode(estate(), 10.0), PlatformState)
 
 
 @given(st.data())
@@ -257,7 +263,7 @@
     now = 1e9 + 10_000.0
     ask(old, now, 1, customer=7)
     ask(old, now, 2, customer=8)
-    module = json.loads(json.dumps(state.take(old, now)))
+    module = json.loads(json.dumps(state.export_state(old, now)))
     spots = [(part, key) for part in ("clock", "waits") for key in module[part]]
     spots += [(part, 0, key) for part in ("pools", "servers", "customers") for key in module[part][0]]
     *way, last = data.draw(st.sampled_from(spots))
@@ -265,7 +271,7 @@
     for step in way:
         place_ = place_[step]
     place_[last] = data.draw(st.sampled_from([None, "x", [], {}, -1e300, 1e300, [[1]], True]))
-    list(platform_state.put(new, module, now))
+    list(platform_state.import_module_state(new, module, now))
     assert 8 in new.customers
     assert all(isinstance(ask(new, now + n, 10 + n, 7), bool) for n in range(3))
 
@@ -278,7 +284,7 @@
 
 def test_a_silent_or_strange_older_process_does_not_hold_up_a_start(tmp_path: Path) -> None:
     path = str(tmp_path / "strange")
-    assert claim(path) is None
+    assert connect_to_predecessor(path) is None
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as listener:
         listener.bind(path)
         listener.listen()
@@ -291,7 +297,7 @@
 
         thread = threading.Thread(target=answer)
         thread.start()
-        assert claim(path) is None
+        assert connect_to_predecessor(path) is None
         thread.join()
 
 
@@ -318,23 +324,23 @@
         return getattr(self._real, name)
 
 
-class Heard:
+class RecordingHandler:
     """What a link tells its process."""
 
     def __init__(self) -> None:
         self.documents: list[bytes] = []
         self.parts = 0
 
-    def told(self, document: bytes) -> None:
+    def document_received(self, document: bytes) -> None:
         self.documents.append(document)
 
-    def adopt(self, sock: socket.socket) -> None:
+    def connection_received(self, sock: socket.socket) -> None:
         sock.close()
 
-    def ended(self, name: bytes) -> None:
+    def request_completed(self, name: bytes) -> None:
         pass
 
-    def parted(self) -> None:
+    def link_closed(self) -> None:
         self.parts += 1
 
 
@@ -349,13 +355,13 @@
             sock.setblocking(False)
         reader = StrainedSocket(far, name, 3 if side == "reader" else 0)
         writer = StrainedSocket(near, name, 3 if side == "writer" else 0)
-        heard, other = Heard(), Heard()
-        receiving = Link(reader, heard)  # type: ignore[arg-type]
-        sending = Link(writer, other)  # type: ignore[arg-type]
-        sending.document(b"all that is known")
+        heard, other = RecordingHandler(), RecordingHandler()
+        receiving = HandoverLink(reader, heard)  # type: ignore[arg-type]
+        sending = HandoverLink(writer, other)  # type: ignore[arg-type]
+        sending.send_document(b"all that is known")
         await until(lambda: heard.documents == [b"all that is known"])
         assert not reader.left and not writer.left
-        assert sending.open and receiving.open and not heard.parts and not other.parts
+        assert sending.is_open and receiving.is_open and not heard.parts and not other.parts
         sending.close()
         await until(lambda: heard.parts == 1)
         receiving.close()
@@ -563,7 +569,7 @@
             run_on.raw["discovery"] = "{}:{}".format(*watched.address)
             old = await run_on.start()
             await watched.watches.get()
-            watched.tell(listing(2, host("a", one.address, "leaving"), host("b", two.address), whole=False))
+            watched.send(listing(2, host("a", one.address, "leaving"), host("b", two.address), whole=False))
             client = await run_on.connect()
             asked = 0
             while not two.requests:  # until it has heard
@@ -585,7 +591,7 @@
     run_on.raw["discovery"] = "{}:{}".format(*watched.address)
     starting = asyncio.create_task(run_on.start())
     await watched.watches.get()
-    watched.tell(listing(1, whole=False))
+    watched.send(listing(1, whole=False))
     old = await starting
     newer = asyncio.create_task(run_on.start())
     await watched.watches.get()
@@ -604,7 +610,7 @@
                 client.close()
             assert not newer.done()
             assert (await run_on.started[1].call("readyz"))[0] == "fail servers are not confirmed"
-            watched.tell(listing(1, whole=False))
+            watched.send(listing(1, whole=False))
             await newer
             assert await old.end() == 0
             client = await run_on.connect()
@@ -623,7 +629,7 @@
             client = await run_on.connect()
             assert (await client.ask(message("fix", "refused"))).code == 429
             assert not newer.done() and not server.requests
-            watched.tell(listing(1, whole=False))
+            watched.send(listing(1, whole=False))
             await newer
             assert (await client.ask(message("fix", "after"))).body == b"after"
 
--- a/tests/test_linear.py
+++ b/tests/test_linear.py
@@ -1,39 +1,39 @@
-"""The checker itself: it must find what is planted, and nothing else."""
+"""The linearizability checker finds every planted violation and reports none in valid histories."""
 
 from __future__ import annotations
 
 import math
 import random
 
-from linear import Op, violations
+from linear import Operation, violations
 
 
-def op(kind: str, value: str | None, began: float, ended: float, **more: object) -> Op:
-    return Op("k", kind, value, began, ended, **more)  # type: ignore[arg-type]
+def op(kind: str, value: str | None, began: float, ended: float, **more: object) -> Operation:
+    return Operation("k", kind, value, began, ended, **more)  # type: ignore[arg-type]
 
 
-def history(rng: random.Random, count: int = 60) -> list[Op]:
-    """Concurrent operations that did have an order: each takes effect at a moment within its time."""
-    made, state = [], None
-    moment = 0.0
+def history(rng: random.Random, count: int = 60) -> list[Operation]:
+    """Returns concurrent operations with a valid order: each takes effect at a time between start and end."""
+    operations, state = [], None
+    effect_time = 0.0
     for at in range(count):
-        moment += rng.random()
-        began, ended = moment - rng.random() * 3, moment + rng.random() * 3
+        effect_time += rng.random()
+        start, end = effect_time - rng.random() * 3, effect_time + rng.random() * 3
         kind = rng.choice(("read", "write", "swap"))
         if kind == "read":
-            made.append(op("read", state, began, ended))
+            operations.append(op("read", state, start, end))
         elif kind == "write":
             state = f"v{at}"
-            made.append(op("write", state, began, ended))
+            operations.append(op("write", state, start, end))
         else:
             old = rng.choice((state, "other"))
-            good = old == state
-            state = f"v{at}" if good else state
-            made.append(op("swap", f"v{at}", began, ended, old=old, good=good))
-    return made
+            succeeded = old == state
+            state = f"v{at}" if succeeded else state
+            operations.append(op("swap", f"v{at}", start, end, expected=old, succeeded=succeeded))
+    return operations
 
 
-def test_histories_with_an_order_are_accepted() -> None:
+def test_linearizable_histories_are_accepted() -> None:
     for seed in range(200):
         assert not violations(history(random.Random(seed)))
 
@@ -52,18 +52,18 @@
 
 def test_two_swaps_of_one_value_are_found() -> None:
     ops = [op("write", "1", 0, 1)]
-    ops += [op("swap", f"{at}", 2, 5, old="1", good=True) for at in (2, 3)]
+    ops += [op("swap", f"{at}", 2, 5, expected="1", succeeded=True) for at in (2, 3)]
     assert violations(ops) == ["k"]
 
 
-def test_a_value_that_comes_back_after_a_repeat_is_found() -> None:
-    """What a command applied twice looks like."""
+def test_a_value_that_returns_after_an_overwrite_is_found() -> None:
+    """A command that was applied twice shows up as a value that returns after it was overwritten."""
     ops = [op("write", "1", 0, 10), op("read", "1", 1, 2), op("write", "2", 3, 4), op("read", "2", 5, 6)]
     assert not violations(ops)
     assert violations([*ops, op("read", "1", 7, 8)]) == ["k"]
 
 
-def test_an_unanswered_write_may_have_taken_effect_or_not() -> None:
+def test_a_write_without_a_response_may_have_taken_effect_or_not() -> None:
     lost = op("write", "1", 0, math.inf)
     assert not violations([lost, op("read", None, 1, 2), op("read", "1", 3, 4)])
     assert not violations([lost, op("read", None, 1, 2)])
@@ -82,6 +82,6 @@
         if not writes:
             continue
         stale = ops[at]
-        ops[at] = op("read", writes[0], stale.began, stale.ended)
+        ops[at] = op("read", writes[0], stale.start, stale.end)
         found += bool(violations(ops))
     assert found > 80
--- a/tests/test_unread_time.py
+++ b/tests/test_unread_time.py
@@ -11,9 +11,9 @@
 from sockets import backend, host, limiter, message, run
 
 from basaltpoint.fronts.platform.client_connection import ClientConnection
-from basaltpoint.fronts.unread import FULL_WINDOW, unread_bytes, unread_s
+from basaltpoint.fronts.unread import MIN_RECEIVE_BUFFER_BYTES, time_unread_s, unread_bytes
 from basaltpoint.system.accepting import Acceptor
-from basaltpoint.system.listening import listener
+from basaltpoint.system.listening import open_listener
 
 LAY_S = 0.4
 SLACK_S = 0.15  # by which the time told to a server may pass what the client has left (STANDING)
@@ -27,9 +27,9 @@
         listener = FailingListener(rig.clients._acceptor, name)
         client = await rig.connect()
         client.send(raw)
-        await listener.asked.wait()
+        await listener.called.wait()
         await asyncio.sleep(LAY_S)
-        listener.left = 0
+        listener.failures_left = 0
         request = await server.arrived.get()
         assert 0.3 < float(request.headers["req-deadline"]) <= WAIT_S - LAY_S + SLACK_S
         request.reply()
@@ -48,9 +48,9 @@
         async with backend() as server, limiter(host("a", server.address)) as rig:
             listener = FailingListener(rig.clients._acceptor, "ENFILE")
             client = await rig.connect()
-            await listener.asked.wait()
+            await listener.called.wait()
             await asyncio.sleep(LAY_S)
-            listener.left = 0
+            listener.failures_left = 0
             other = await rig.connect()
             assert (await other.ask(message(path="/up"))).code == 200  # all that waited is accepted
             client.send(message(Req_Deadline=str(WAIT_S)))
@@ -68,9 +68,9 @@
             listener = FailingListener(rig.clients._acceptor, "ENFILE")
             client = await rig.connect()
             client.send(message(Req_Deadline="0.2"))
-            await listener.asked.wait()
+            await listener.called.wait()
             await asyncio.sleep(LAY_S)
-            listener.left = 0
+            listener.failures_left = 0
             assert (await client.answer()).code >= 400
             assert not server.requests
 
@@ -124,9 +124,9 @@
             listener = FailingListener(rig.clients._acceptor, "ENFILE")
             client = await rig.connect()
             client.send(message("fix", ident="early", body=b"x" * LONG_BODY, Req_Deadline="2"))
-            await listener.asked.wait()
+            await listener.called.wait()
             await asyncio.sleep(LAY_S)
-            listener.left = 0
+            listener.failures_left = 0
             early = await server.arrived.get()
             client.send(message(ident="late", Req_Deadline=str(WAIT_S)))
             late = await server.arrived.get()
@@ -142,7 +142,7 @@
 def filled(near: socket.socket, far: socket.socket, size: int) -> None:
     near.setblocking(False)
     near.send(bytes(size))
-    while unread_bytes(far) < min(size, FULL_WINDOW):
+    while unread_bytes(far) < min(size, MIN_RECEIVE_BUFFER_BYTES):
         sleep(0.001)
 
 
@@ -156,10 +156,10 @@
         sleep(0.1)
         filled(near, far, size)
         far.recv(1)
-        found = unread_s(far, before - 5.0, 1, answered=False)
+        found = time_unread_s(far, before - 5.0, 1, has_responded=False)
         assert found <= monotonic() - before + 0.01
         assert (found >= 0.09) is lain
-        assert (unread_s(far, before - 5.0, 1, answered=True) >= 5.0) is lain
+        assert (time_unread_s(far, before - 5.0, 1, has_responded=True) >= 5.0) is lain
 
 
 def test_a_connection_that_comes_to_a_socket_with_nothing_waiting_has_not_lain() -> None:
@@ -170,7 +170,7 @@
             sock.close()
             adopted.put_nowait(since)
 
-        sock = listener(("127.0.0.1", 0), 10)
+        sock = open_listener(("127.0.0.1", 0), 10)
         acceptor = Acceptor(sock, adopt, lambda: True, lambda: False, monotonic() - 3.0)
         early = socket.create_connection(acceptor.address)
         acceptor.listen()
@@ -181,7 +181,9 @@
         early.close()
         late.close()
 
-        acceptor = Acceptor(listener(("127.0.0.1", 0), 10), adopt, lambda: True, lambda: False, monotonic())
+        acceptor = Acceptor(
+            open_listener(("127.0.0.1", 0), 10), adopt, lambda: True, lambda: False, monotonic()
+        )
         acceptor.listen()
         await asyncio.sleep(0)
         late = socket.create_connection(acceptor.address)
