--- a/basaltpoint/load/__init__.py
+++ b/basaltpoint/load/__init__.py
@@ -1,1 +1,1 @@
-"""Open-loop load: bursts and recorded traces, honest about the generator's own delays."""
+"""Open-loop load generator for scenarios and traces; flags results distorted by its own delays."""
--- a/basaltpoint/load/arrivals.py
+++ b/basaltpoint/load/arrivals.py
@@ -1,7 +1,7 @@
-"""Arrivals, drawn ahead from a seed: when, by whom and of which class. Free of I/O.
+"""Request arrivals, derived from a seed: their time, account and class. Free of I/O.
 
-An open loop: an arrival's time depends on nothing that was answered. A rate that changes is drawn by thinning
-(Lewis and Shedler, 1979) for Poisson arrivals, and by the inverse of its integral for constant ones.
+The loop is open: the time of an arrival does not depend on responses. For a variable rate, Poisson arrivals
+are drawn by thinning (Lewis and Shedler, 1979) and constant arrivals by inverting the integral of the rate.
 """
 
 from __future__ import annotations
@@ -16,25 +16,25 @@
 
 from basaltpoint.load.scenario import ArrivalProcess, PlanTable, Scenario, ShapeKind, ShapeTable
 
-INTEGRATION_STEP_S = 0.001  # at which the integral of a rate is taken for constant arrivals
+INTEGRATION_STEP_S = 0.001  # step of the numerical integral of the rate, for constant arrivals
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedRequest:
-    """One request: its place in the run, and what it asks. `at_s` counts from the run's start."""
+    """One request of a run. `intended_s` is its intended start, in seconds from the start of the run."""
 
     number: int
     intended_s: float
     plan: str
     class_name: str
-    account: str  # the key it comes with
+    account: str  # the API key that it is sent with
     method: str
     path: str
     body_bytes: int
 
 
 def rate_factor(shape: ShapeTable, at_s: float, duration_s: float) -> float:
-    """What a shape multiplies the rate by."""
+    """Returns the factor by which a shape multiplies the rate at a time."""
     end = shape.to_s or duration_s
     if not shape.from_s <= at_s < end:
         return 1.0
@@ -47,7 +47,7 @@
 
 
 class PlanRate:
-    """A plan's requests a second over time."""
+    """Request rate of a plan over time, in requests per second."""
 
     def __init__(self, plan: PlanTable, scenario: Scenario) -> None:
         self._plan = plan
@@ -66,14 +66,14 @@
 
     @property
     def max_rate(self) -> float:
-        """A bound that the rate never passes."""
+        """Upper bound of the rate."""
         return self._plan.rate * math.prod(max(1.0, shape.factor) for shape in self._shapes)
 
 
 def poisson_times(
     rate: Callable[[float], float], max_rate: float, end_s: float, rng: random.Random
 ) -> Iterator[float]:
-    """Times of a Poisson process with a rate that changes and never passes `most`."""
+    """Yields the times of a Poisson process with a variable rate of at most `max_rate`."""
     at = 0.0
     while max_rate > 0:
         at += rng.expovariate(max_rate)
@@ -84,7 +84,7 @@
 
 
 def constant_times(rate: Callable[[float], float], end_s: float) -> Iterator[float]:
-    """Times at which the integral of the rate passes a whole number."""
+    """Yields the times at which the integral of the rate reaches the next integer."""
     integral, number, step = 0.0, 0, 0
     while (at := step * INTEGRATION_STEP_S) < end_s:
         current_rate = rate(at + INTEGRATION_STEP_S / 2)
@@ -96,7 +96,7 @@
 
 
 class AccountSampler:
-    """Which account of a plan asks: the n-th with a weight of 1/n to the power of the skew."""
+    """Samples accounts of a plan by Zipf's law: the n-th has a weight of 1 / n ** skew."""
 
     def __init__(self, plan: PlanTable) -> None:
         self._count = plan.accounts
@@ -118,7 +118,7 @@
 
 
 def planned_requests(scenario: Scenario) -> Iterator[PlannedRequest]:
-    """Every request of a run, in the order of their times. The same scenario gives the same ones."""
+    """Yields every request of a run in order of time. The same scenario always yields the same requests."""
     streams: list[Iterator[tuple[float, str, str]]] = []
     for at, plan in enumerate(scenario.plan):
         streams.append(_plan_arrivals(scenario, plan, random.Random(f"{scenario.seed} plan {at}")))
@@ -164,5 +164,5 @@
 
 
 def worker_share(requests: Iterator[PlannedRequest], part: int, parts: int) -> Iterator[PlannedRequest]:
-    """What one of several processes asks; together they ask everything once."""
-    return (one for one in requests if one.number % parts == part)
+    """Yields the requests of one worker; each request belongs to exactly one worker."""
+    return (request for request in requests if request.number % parts == part)
--- a/basaltpoint/load/command.py
+++ b/basaltpoint/load/command.py
@@ -1,4 +1,4 @@
-"""`basaltpoint load`: run, check, import, compare, audit; here are arguments and output alone."""
+"""Command line of `basaltpoint load`: run, check, import, compare, audit."""
 
 from __future__ import annotations
 
@@ -13,50 +13,54 @@
 from basaltpoint.config.decode import FileError
 from basaltpoint.load import compare, coordinator, ledger, report, scenario, traces
 
-EXIT_UNSOUND = 3  # exit code under --strict, where some of the numbers don't count
-EXIT_FINDINGS = 4  # exit code of an audit that found something
+EXIT_UNSOUND = 3  # exit code with --strict if some results are unsound
+EXIT_FINDINGS = 4  # exit code of an audit with findings
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """The sub-commands."""
+    """Adds the subcommands."""
     commands = parser.add_subparsers(dest="load_command", required=True)
-    run = commands.add_parser("run", help="play a scenario and report")
+    run = commands.add_parser("run", help="run a scenario and print a report")
     run.add_argument("scenario", type=Path)
-    run.add_argument("--repeat", type=int, default=1, help="runs, one after the other; compare needs three")
-    run.add_argument("--trace", type=Path, help="replay this trace (from `load import`), not drawn arrivals")
-    run.add_argument("--factor", type=float, default=1.0, help="times the trace's speed")
-    run.add_argument("--json", type=Path, help="write the report's figures here")
-    run.add_argument("--html", type=Path, help="write the report as a page here")
-    run.add_argument("--ledger", type=Path, help="write each try's answers here")
+    run.add_argument("--repeat", type=int, default=1, help="number of consecutive runs; compare needs three")
     run.add_argument(
-        "--strict", action="store_true", help=f"end with {EXIT_UNSOUND} where numbers don't count"
+        "--trace", type=Path, help="replay this trace (from `load import`) instead of generated arrivals"
     )
+    run.add_argument("--factor", type=float, default=1.0, help="speed factor of the trace")
+    run.add_argument("--json", type=Path, help="write the report as JSON to this file")
+    run.add_argument("--html", type=Path, help="write the report as an HTML page to this file")
+    run.add_argument("--ledger", type=Path, help="write the number of responses to each attempt to this file")
+    run.add_argument("--strict", action="store_true", help=f"exit with {EXIT_UNSOUND} if results are unsound")
     run.set_defaults(load_run=_run)
     check = commands.add_parser("check", help="check a scenario")
     check.add_argument("scenario", type=Path)
     check.set_defaults(load_run=_check)
-    taken = commands.add_parser("import", help="make a trace of an access log")
-    taken.add_argument("log", type=Path)
-    taken.add_argument("-o", "--output", type=Path, required=True)
-    taken.add_argument("--format", choices=sorted(traces.FORMATS), default="common")
-    taken.add_argument("--account", choices=["user", "ip"], help="what tells an account; default by format")
-    taken.add_argument("--salt", help="for accounts' names; the same salt gives the same; default: a new one")
-    taken.set_defaults(load_run=_import)
-    compared = commands.add_parser("compare", help="differences of two reports")
-    compared.add_argument("before", type=Path)
-    compared.add_argument("after", type=Path)
-    compared.set_defaults(load_run=_compare)
-    audited = commands.add_parser("audit", help="hold a run's ledger against servers' logs")
-    audited.add_argument("ledger", type=Path)
-    audited.add_argument("logs", type=Path, nargs="+")
-    audited.add_argument("--drained", action="append", default=[], metavar="SERVER=SECONDS")
-    audited.set_defaults(load_run=_audit)
-    worker = commands.add_parser("worker", help="one process of a run; started by `load run`")
+    importing = commands.add_parser("import", help="convert an access log to a trace")
+    importing.add_argument("log", type=Path)
+    importing.add_argument("-o", "--output", type=Path, required=True)
+    importing.add_argument("--format", choices=sorted(traces.FORMATS), default="common")
+    importing.add_argument(
+        "--account",
+        choices=["user", "ip"],
+        help="field that identifies an account; the default depends on the format",
+    )
+    importing.add_argument("--salt", help="salt for hashing account names; default: random")
+    importing.set_defaults(load_run=_import)
+    comparison = commands.add_parser("compare", help="compare two reports")
+    comparison.add_argument("before", type=Path)
+    comparison.add_argument("after", type=Path)
+    comparison.set_defaults(load_run=_compare)
+    auditing = commands.add_parser("audit", help="check a run's ledger against the server logs")
+    auditing.add_argument("ledger", type=Path)
+    auditing.add_argument("logs", type=Path, nargs="+")
+    auditing.add_argument("--drained", action="append", default=[], metavar="SERVER=SECONDS")
+    auditing.set_defaults(load_run=_audit)
+    worker = commands.add_parser("worker", help="worker process of a run; started by `load run`")
     worker.set_defaults(load_run=_worker)
 
 
 def run(args: argparse.Namespace) -> int:
-    """Run the sub-command; the exit code."""
+    """Runs the subcommand; returns the exit code."""
     try:
         code: int = args.load_run(args)
     except FileError as error:
@@ -77,13 +81,15 @@
 def _check(args: argparse.Namespace) -> int:
     settings = scenario.load(args.scenario)
     rate = sum(plan.rate for plan in settings.plan)
-    print(f"{args.scenario}: good; {rate:g} requests a second for {settings.duration_s:g} s, before shapes")
+    print(
+        f"{args.scenario}: valid; {rate:g} requests per second for {settings.duration_s:g} s, before shapes"
+    )
     return 0
 
 
 def _run(args: argparse.Namespace) -> int:
     if args.repeat < 1 or args.factor <= 0:
-        print("--repeat is 1 at least, --factor above 0", file=sys.stderr)
+        print("--repeat must be at least 1, --factor above 0", file=sys.stderr)
         return 2
     settings = scenario.load(args.scenario)
     runs = []
@@ -98,12 +104,12 @@
         args.json.write_text(json.dumps({"runs": runs}, indent=1))
     if args.html:
         args.html.write_text(report.page(runs[-1]))
-    is_unsound = any(made["spells"] or made["total"]["missed"] for made in runs)
+    is_unsound = any(summary["spells"] or summary["total"]["missed"] for summary in runs)
     return EXIT_UNSOUND if args.strict and is_unsound else 0
 
 
 class _Progress:
-    """A live line, on a terminal only."""
+    """Shows a progress line if standard error is a terminal."""
 
     def __init__(self, title: str) -> None:
         self._title = title
@@ -132,10 +138,10 @@
     salt = (args.salt or secrets.token_hex(16)).encode()
     with open(args.log, "rb") as source, open(args.output, "wb") as sink:
         result = traces.convert(source, sink, args.format, salt, args.account)
-    order = f"{result.reordered} put in order, {result.clamped} too far out of order"
+    order = f"{result.reordered} reordered, {result.clamped} too far out of order"
     print(f"{result.lines} lines, {result.kept} kept, {order}")
-    for why, count in result.rejected.most_common():
-        print(f"{count} skipped: {why}")
+    for reason, count in result.rejected.most_common():
+        print(f"{count} skipped: {reason}")
     for line in result.shown:
         print(f"  {line}")
     return 0 if result.kept else 2
@@ -155,14 +161,17 @@
         server, _, at = text.partition("=")
         drained[server] = float(at)
     findings = ledger.audit(client_attempts, server_attempts, drained)
-    print(f"{len(client_attempts)} tries, {len(server_attempts)} attempts, {len(findings)} findings")
+    print(
+        f"{len(client_attempts)} client attempts, {len(server_attempts)} server attempts, "
+        f"{len(findings)} findings"
+    )
     for finding in findings[:50]:
         print(f"  {finding.kind}: {finding.ident}: {finding.detail}")
     return EXIT_FINDINGS if findings else 0
 
 
 def read_ledger(path: Path) -> list[ledger.ClientAttempt]:
-    """A run's ledger; several lines of one try add up."""
+    """Reads a run's ledger; the lines of one attempt are added up."""
     found: dict[str, ledger.ClientAttempt] = {}
     with open(path, "rb") as lines:
         for line in lines:
@@ -175,7 +184,7 @@
 
 
 def read_server_log(path: Path) -> list[ledger.ServerAttempt]:
-    """A stand-in server's log."""
+    """Reads the log of a stand-in server."""
     with open(path, "rb") as lines:
         rows = [json.loads(line) for line in lines]
     names = ("ident", "server", "came_s", "ended_s", "ran", "once", "key", "repeat", "via")
--- a/basaltpoint/load/compare.py
+++ b/basaltpoint/load/compare.py
@@ -1,7 +1,8 @@
-"""Differences of two reports, with confidence from repeated runs. Free of I/O.
+"""Differences between two reports, with confidence intervals from repeated runs. Free of I/O.
 
-The interval is a bootstrap of the difference of means (Efron, 1979) with a fixed seed: runs are few and their
-figures are not normal. With fewer than three runs on a side no interval is given.
+The interval is a bootstrap of the difference of means (Efron, 1979) with a fixed seed, because there are few
+runs and their figures are not normally distributed. With fewer than three runs on a side there is no
+interval.
 """
 
 from __future__ import annotations
@@ -31,7 +32,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One figure on both sides; `low` and `high` bound the true difference, None with too few runs."""
+    """One figure of both reports; `low` and `high` bound the true difference and are None with too few
+    runs.
+    """
 
     name: str
     before: float
@@ -41,7 +44,9 @@
 
     @property
     def is_significant(self) -> bool:
-        """Whether chance among the runs does not explain it."""
+        """Whether the interval excludes zero, so that variation among the runs does not explain the
+        difference.
+        """
         return self.low is not None and self.high is not None and (self.low > 0 or self.high < 0)
 
 
@@ -53,7 +58,7 @@
 
 
 def compare(before: list[dict[str, Any]], after: list[dict[str, Any]]) -> list[Difference]:
-    """Each figure that both sides have."""
+    """Returns the difference of each figure that both reports have."""
     found = []
     for name, path in FIGURES:
         a = [value for run in before if (value := find_figure(run, path)) is not None]
@@ -65,7 +70,9 @@
 
 
 def confidence_interval(a: list[float], b: list[float]) -> tuple[float | None, float | None]:
-    """Bounds of the difference of means, at LEVEL; a wider one for a few runs, by Student's factor."""
+    """Returns the bounds of the difference of means at CONFIDENCE_LEVEL, widened for a small number of
+    runs.
+    """
     if min(len(a), len(b)) < MIN_RUNS:
         return None, None
     rng = random.Random(1)
@@ -75,7 +82,7 @@
     )
     cut = int(BOOTSTRAP_ROUNDS * (1 - CONFIDENCE_LEVEL) / 2)
     mean_difference = statistics.fmean(b) - statistics.fmean(a)
-    # A bootstrap of few values is too narrow by the root of n / (n - 1).
+    # The bootstrap interval of n values is too narrow by the factor sqrt(n / (n - 1)).
     n = min(len(a), len(b))
     widening = (n / (n - 1)) ** 0.5
     return mean_difference + (differences[cut] - mean_difference) * widening, mean_difference + (
@@ -85,9 +92,14 @@
 
 def text(differences: list[Difference]) -> str:
     lines = [f"{'':26} {'before':>12} {'after':>12} {'change':>12}  {CONFIDENCE_LEVEL:.0%} of chance"]
-    for one in differences:
-        bounds = "too few runs" if one.low is None else f"{one.low:+.4g} to {one.high:+.4g}"
-        mark = "  SURE" if one.is_significant else ""
-        change = one.after - one.before
-        lines.append(f"{one.name:26} {one.before:12.4g} {one.after:12.4g} {change:+12.4g}  {bounds}{mark}")
+    for difference in differences:
+        bounds = (
+            "too few runs" if difference.low is None else f"{difference.low:+.4g} to {difference.high:+.4g}"
+        )
+        mark = "  SURE" if difference.is_significant else ""
+        change = difference.after - difference.before
+        lines.append(
+            f"{difference.name:26} {difference.before:12.4g} {difference.after:12.4g} "
+            f"{change:+12.4g}  {bounds}{mark}"
+        )
     return "\n".join(lines)
--- a/basaltpoint/load/coordinator.py
+++ b/basaltpoint/load/coordinator.py
@@ -1,4 +1,4 @@
-"""A run over several processes: starts them, shows their progress, joins their figures."""
+"""Coordinates a run: starts the worker processes, reports their progress and merges their results."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from basaltpoint.load.stats import Stats
 from basaltpoint.load.worker import WorkerTask
 
-START_DELAY_S = 1.0  # for the processes to be ready; the run starts at one time for all
-MAX_LINE_BYTES = 1 << 28  # bytes of a process's figures
+START_DELAY_S = 1.0  # until all workers are ready; they share one start time
+MAX_LINE_BYTES = 1 << 28  # of the line with a worker's results
 
 Progress = Callable[[dict[str, Any]], None]
 
 
 class WorkerError(Exception):
-    """A process of the run ended without its figures."""
+    """A worker process ended without reporting its results."""
 
 
 async def run(
@@ -36,7 +36,10 @@
     ledger: Path | None = None,
     started: Callable[[list[int]], None] | None = None,
 ) -> Stats:
-    """Play a scenario once. `started` hears the processes' ids; WorkerError where one dies."""
+    """Runs a scenario once and returns the merged results; raises WorkerError if a worker dies.
+
+    `started` is called with the process ids of the workers.
+    """
     name, start = secrets.token_hex(4), monotonic() + START_DELAY_S
     stats, progress_by_worker = Stats(), dict[int, dict[str, Any]]()
     tasks = [
@@ -52,28 +55,28 @@
         )
         for number in range(settings.processes)
     ]
-    processes = [await _spawn(part) for part in tasks]
+    processes = [await _spawn(task) for task in tasks]
     if started:
         started([process.pid for process in processes])
 
-    async def follow(number: int, process: asyncio.subprocess.Process) -> None:
+    async def read_results(number: int, process: asyncio.subprocess.Process) -> None:
         assert process.stdout
         done = False
         while line := await process.stdout.readline():
-            told = json.loads(line)
-            if "progress" in told:
-                progress_by_worker[number] = told["progress"]
+            message = json.loads(line)
+            if "progress" in message:
+                progress_by_worker[number] = message["progress"]
                 progress(sum_progress(progress_by_worker))
             else:
-                stats.merge(told["stats"])
+                stats.merge(message["stats"])
                 done = True
         if await process.wait() or not done:
-            raise WorkerError(f"process {number} of the run ended with {process.returncode}")
+            raise WorkerError(f"worker process {number} exited with status {process.returncode}")
 
     try:
         async with asyncio.TaskGroup() as group:
             for number, process in enumerate(processes):
-                group.create_task(follow(number, process))
+                group.create_task(read_results(number, process))
     except* WorkerError as errors:
         raise errors.exceptions[0] from None
     finally:
@@ -85,7 +88,7 @@
     return stats
 
 
-async def _spawn(part: WorkerTask) -> asyncio.subprocess.Process:
+async def _spawn(task: WorkerTask) -> asyncio.subprocess.Process:
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -98,7 +101,7 @@
         env={**os.environ, "PYTHONPATH": os.pathsep.join(path for path in sys.path if path)},
     )
     assert process.stdin
-    process.stdin.write(json.dumps(asdict(part)).encode() + b"\n")
+    process.stdin.write(json.dumps(asdict(task)).encode() + b"\n")
     process.stdin.close()
     return process
 
@@ -112,7 +115,7 @@
 
 
 def _merge_ledgers(ledger: Path, processes: int) -> None:
-    """The processes' ledgers as one file."""
+    """Concatenates the ledgers of the workers into one file."""
     with open(ledger, "wb") as merged:
         for number in range(processes):
             part = Path(f"{ledger}.{number}")
--- a/basaltpoint/load/driver.py
+++ b/basaltpoint/load/driver.py
@@ -1,7 +1,7 @@
-"""One worker's run as a machine without I/O: what is due, what came back, and who tries again when.
+"""State machine of one worker's run, without I/O: which attempts are due, how they ended, and when to retry.
 
-The shell around it reads the clock and owns connections; simulated time and simulated servers drive the same
-code in tests. All times are seconds from the run's start.
+The worker around it reads the clock and owns the connections; tests drive the same code with simulated time
+and servers. All times are in seconds from the start of the run.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 
 
 class Outcome(Enum):
-    """How a request ended for its client, after its last try."""
+    """Outcome of a request for its client, after its last attempt."""
 
-    SERVED = "served"  # within the aim
-    LATE = "late"  # served, past the aim
+    SERVED = "served"  # a 2xx response within the aim
+    LATE = "late"  # a 2xx response after the aim
     REFUSED = "refused"  # 429 or 503
-    FAILED = "failed"  # any other answer, or a broken connection
-    NONE = "none"  # no answer until it was given up
-    MISSED = "missed"  # never sent: no connection or no room
+    FAILED = "failed"  # any other response, or a lost connection
+    NONE = "none"  # no response before the timeout
+    MISSED = "missed"  # never sent: no free connection, or too many requests in flight
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One message to send now."""
+    """An attempt of a request, to be sent now."""
 
-    ident: int  # of the try, within this worker
-    number: int  # from 0; later ones are the client's retries
+    ident: int  # unique within this worker
+    number: int  # 0 for the first attempt of a request; higher for client retries
     planned: PlannedRequest
     intended_s: float
     give_up_s: float
@@ -42,21 +42,21 @@
 
 @dataclass(frozen=True, slots=True)
 class AbandonAttempt:
-    """Stop waiting for a try: close its connection."""
+    """The attempt has timed out: close its connection."""
 
     ident: int
 
 
 @dataclass(slots=True)
 class _Request:
-    """A client's request over all its tries."""
+    """A request of a client over all its attempts."""
 
     planned: PlannedRequest
     honours_retry_after: bool
     attempts: int = 0
     answers: int = 0
-    began_s: float | None = None  # of the first try, truly
-    may_have_run: bool = False  # a try may have run without a word of it
+    began_s: float | None = None  # actual start of the first attempt
+    may_have_run: bool = False  # an attempt may have been executed without a response
 
 
 @dataclass(slots=True)
@@ -64,35 +64,35 @@
     request: _Request
     number: int
     intended_s: float
-    answers_before: int  # of the request, before this try
+    answers_before: int  # responses to earlier attempts of the request
     sent_s: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class RequestRecord:
-    """A request that is over."""
+    """A completed request."""
 
     planned: PlannedRequest
     outcome: Outcome
     ended_s: float
-    latency_s: float  # from the intended start of the first try
-    service_s: float  # from the true start of the last try
+    latency_s: float  # from the intended start of the first attempt
+    service_s: float  # from the actual start of the last attempt
     attempts: int
     answers: int
-    is_sound: bool  # the generator was well all the while
+    is_sound: bool  # the generator itself caused no delay during the request
 
 
 class Recorder(Protocol):
-    """Where records and sends are noted."""
+    """Receives the results of a run."""
 
     def record_request(self, record: RequestRecord) -> None: ...
-    def record_send(self, lateness_s: float, sound: bool) -> None: ...
+    def record_send(self, lateness_s: float, is_sound: bool) -> None: ...
     def record_attempt(self, request: int, number: int, answers: int, hung_up: bool) -> None: ...
     def record_anomaly(self, ident: str, what: str) -> None: ...
 
 
 class Driver:
-    """Who is due, who waits, who is over."""
+    """Decides which attempts to send, abandon and retry, and records how requests end."""
 
     def __init__(
         self,
@@ -121,7 +121,7 @@
     # --- Time ---------------------------------------------------------------------------------
     @property
     def next_s(self) -> float | None:
-        """When `tick` is due; None where nothing will ever be."""
+        """Time of the next tick; None if nothing is scheduled."""
         while self._deadlines and self._deadlines[0][1] not in self._open:
             heapq.heappop(self._deadlines)
         due = [self._next_planned.intended_s] if self._next_planned else []
@@ -131,7 +131,7 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether every request is over."""
+        """Whether every request has completed."""
         return self._next_planned is None and not self._retry_queue and not self._open
 
     @property
@@ -139,11 +139,11 @@
         return len(self._open)
 
     def is_open(self, ident: int) -> bool:
-        """Whether a try is still out."""
+        """Whether an attempt is still waiting for its response."""
         return ident in self._open
 
     def tick(self, now_s: float) -> list[Attempt | AbandonAttempt]:
-        """What is due by now. Nothing is skipped, however late it is."""
+        """Returns everything due by now. Nothing is skipped, however late it is."""
         self._health.record_turn(now_s)
         actions: list[Attempt | AbandonAttempt] = []
         while self._deadlines and self._deadlines[0][0] <= now_s:
@@ -157,8 +157,8 @@
             if self._retry_queue and (
                 not self._next_planned or self._retry_queue[0][0] <= self._next_planned.intended_s
             ):
-                when, _, request = heapq.heappop(self._retry_queue)
-                self._start_attempt(now_s, when, request, actions)
+                retry_s, _, request = heapq.heappop(self._retry_queue)
+                self._start_attempt(now_s, retry_s, request, actions)
             else:
                 assert self._next_planned
                 planned, self._next_planned = self._next_planned, next(self._requests, None)
@@ -181,9 +181,9 @@
         heapq.heappush(self._deadlines, (give_up_s, ident))
         actions.append(Attempt(ident, number, request.planned, intended_s, give_up_s))
 
-    # --- What the shell tells -----------------------------------------------------------------
+    # --- Events from the worker -----------------------------------------------------------------
     def attempt_sent(self, now_s: float, ident: int) -> None:
-        """A try's message was written."""
+        """Handles that an attempt was written to its connection."""
         if (entry := self._open.get(ident)) is None:
             return
         entry.sent_s = now_s
@@ -195,7 +195,7 @@
     def response_received(
         self, now_s: float, ident: int, code: int, retry_after_s: float | None = None
     ) -> None:
-        """A whole answer came."""
+        """Handles a complete response."""
         self._health.record_turn(now_s)
         if (entry := self._open.get(ident)) is None:
             return
@@ -208,19 +208,21 @@
             self._end_attempt(now_s, ident, Outcome.FAILED, may_have_run=code >= 500)
 
     def connection_lost(self, now_s: float, ident: int, response_begun: bool = False) -> None:
-        """The connection ended before the whole answer; one that had `begun` was cut, and counts."""
+        """Handles a connection that closed before the response was complete; a partial response counts as
+        one.
+        """
         self._health.record_turn(now_s)
         if (entry := self._open.get(ident)) is not None:
             entry.request.answers += response_begun
             self._end_attempt(now_s, ident, Outcome.FAILED, may_have_run=entry.sent_s is not None)
 
     def attempt_missed(self, now_s: float, ident: int, reason: str) -> None:
-        """A try could not be sent for want of something of the generator's own."""
+        """Handles an attempt that was not sent because the generator lacked a resource."""
         if (entry := self._open.pop(ident, None)) is not None:
             self._recorder.record_anomaly(str(entry.request.planned.number), f"missed: {reason}")
             self._record(now_s, entry, Outcome.MISSED)
 
-    # --- Ends ---------------------------------------------------------------------------------
+    # --- End of an attempt ---------------------------------------------------------------------------------
     def _end_attempt(
         self,
         now_s: float,
@@ -231,7 +233,7 @@
     ) -> None:
         entry = self._open.pop(ident)
         request = entry.request
-        # What was given up, or never went out, is owed no answer.
+        # The limiter owes no response to an attempt that was abandoned or never sent.
         no_response_owed = outcome is Outcome.NONE or entry.sent_s is None
         answers = request.answers - entry.answers_before
         self._recorder.record_attempt(request.planned.number, entry.number, answers, no_response_owed)
@@ -250,7 +252,9 @@
         self._record(now_s, entry, outcome)
 
     def _schedule_retry(self, now_s: float, request: _Request, retry_after_s: float | None) -> None:
-        """A client's own wait, or what Retry-After says where it is one that listens."""
+        """Schedules a retry after the backoff delay, or after Retry-After if the client honours it and it
+        is longer.
+        """
         wait_s = self._retries.wait_ms / 1000
         if self._retries.backoff is Backoff.NONE:
             wait_s = 0.0
--- a/basaltpoint/load/health.py
+++ b/basaltpoint/load/health.py
@@ -1,7 +1,7 @@
-"""The generator's own health: for which spells its numbers don't count. Free of I/O.
+"""Health of the generator: finds the intervals in which its measurements are unsound. Free of I/O.
 
-A generator that was starved sends late and reads late, and both look like a slow limiter. Every turn of the
-loop is noted; where none came for too long, the time between was nobody's.
+A generator that gets too little CPU time sends late and reads late; both look like a slow limiter. Every turn
+of the event loop is recorded, and an interval without a turn for too long is unsound.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnsoundInterval:
-    """Numbers of this time don't count. Seconds from the run's start."""
+    """An interval whose measurements do not count, in seconds from the start of the run."""
 
     from_s: float
     to_s: float
@@ -22,7 +22,9 @@
 
 
 class HealthMonitor:
-    """Notes turns of the loop, late sends and stolen time; keeps the spells they make, in order."""
+    """Records event loop turns, late sends and steal time, and keeps the unsound intervals in order of
+    time.
+    """
 
     def __init__(self, max_lateness_s: float, max_turn_gap_s: float, max_steal_fraction: float) -> None:
         self._max_lateness_s, self._max_turn_gap_s, self._max_steal_fraction = (
@@ -34,23 +36,23 @@
         self.intervals: list[UnsoundInterval] = []
 
     def record_turn(self, now_s: float) -> None:
-        """A turn of the loop; called first in every one, before anything is recorded in it."""
+        """Records a turn of the event loop; must be called first in every turn, before any other record."""
         if self._last_turn_s is not None and now_s - self._last_turn_s > self._max_turn_gap_s:
             self._add(UnsoundInterval(self._last_turn_s, now_s, "the loop stood still"))
         self._last_turn_s = now_s
 
     def record_send(self, intended_s: float, now_s: float) -> None:
-        """A try went out."""
+        """Records that an attempt was sent."""
         if now_s - intended_s > self._max_lateness_s:
             self._add(UnsoundInterval(intended_s, now_s, "sent late"))
 
     def record_steal(self, from_s: float, to_s: float, fraction: float) -> None:
-        """What part of the machine's time others took in between, as its counters say."""
+        """Records the fraction of the host's CPU time that other virtual machines took (steal time)."""
         if fraction > self._max_steal_fraction:
             self._add(UnsoundInterval(from_s, to_s, f"{fraction:.0%} of the machine's time was taken"))
 
     def _add(self, interval: UnsoundInterval) -> None:
-        """Join it with the last one where they meet; the first reason names the whole."""
+        """Adds an interval; merges it with the last one if they overlap, and keeps the earlier reason."""
         if self.intervals and interval.overlaps(self.intervals[-1].from_s, self.intervals[-1].to_s):
             last = self.intervals.pop()
             interval = UnsoundInterval(
@@ -59,7 +61,9 @@
         self.intervals.append(interval)
 
     def is_sound(self, from_s: float, to_s: float) -> bool:
-        """Whether no spell touches this time. The latest come first: records come in order of ends."""
+        """Whether no unsound interval overlaps this time. Scans backwards, since records arrive in order
+        of their end.
+        """
         for interval in reversed(self.intervals):
             if interval.overlaps(from_s, to_s):
                 return False
@@ -69,7 +73,7 @@
 
 
 def merge_intervals(groups: list[list[UnsoundInterval]]) -> list[UnsoundInterval]:
-    """The spells of several processes as one list: where any was starved, the whole run's numbers are."""
+    """Merges the intervals of several workers: the whole run is unsound while any worker is."""
     result: list[UnsoundInterval] = []
     for interval in sorted((s for group in groups for s in group), key=lambda s: (s.from_s, s.to_s)):
         if result and interval.overlaps(result[-1].from_s, result[-1].to_s):
--- a/basaltpoint/load/ledger.py
+++ b/basaltpoint/load/ledger.py
@@ -1,7 +1,7 @@
-"""The ledger: what clients were told, held against what servers did. Finds what must never happen.
+"""Audit of the ledger: compares responses received by clients with the logs of the servers.
 
-Pure functions over plain records, so that any test can use them with logs of its own making. Times of both
-sides are seconds of one clock.
+Finds violations of the limiter's guarantees. These are pure functions over plain records, so that tests can
+use them with logs of their own. The times of both sides are in seconds of the same clock.
 """
 
 from __future__ import annotations
@@ -11,36 +11,36 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-DRAIN_GRACE_S = 0.25  # after a drain was told nothing new may come
+DRAIN_GRACE_S = 0.25  # after the start of a drain; then no new attempt may arrive
 
 
 @dataclass(frozen=True, slots=True)
 class ClientAttempt:
-    """A try as its client saw it. A client's retry is another try."""
+    """An attempt as its client saw it. A client retry is another attempt."""
 
     ident: str
     answers: int
-    hung_up: bool = False  # the client gave up first: no answer is owed
+    hung_up: bool = False  # the client gave up first: no response is owed
 
 
 @dataclass(frozen=True, slots=True)
 class ServerAttempt:
-    """A message as a server saw it. `ended_s` is None while it is out."""
+    """An attempt as a server saw it. `ended_s` is None while it is in progress."""
 
-    ident: str  # of the try that it belongs to
+    ident: str  # of the client attempt that it belongs to
     server: str
     came_s: float
     ended_s: float | None
-    ran: bool  # its work was done, in part or whole
-    once: bool = False  # of a class that must never run twice
+    ran: bool  # it was executed, at least in part
+    once: bool = False  # its class must never be executed twice
     key: str = ""
-    repeat: bool = False  # dropped as the repeat of a key
-    via: str = ""  # the limiter that sent it, as it calls itself
+    repeat: bool = False  # dropped because its key had been received before
+    via: str = ""  # name of the limiter that sent it
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One thing that must not have happened."""
+    """A violation."""
 
     kind: str  # lost, doubled, two at once, ran twice, late drain
     ident: str
@@ -53,7 +53,9 @@
     drained_at_s: Mapping[str, float] | None = None,
     grace_s: float = DRAIN_GRACE_S,
 ) -> list[Finding]:
-    """Every finding, in the order of kinds. `drained`: when the limiter was told of each server's drain."""
+    """Returns every finding, ordered by kind. `drained_at_s`: when the limiter learned of each server's
+    drain.
+    """
     ordered = sorted(server_attempts, key=lambda attempt: attempt.came_s)
     findings = list(_audit_answers(client_attempts))
     by_ident: defaultdict[str, list[ServerAttempt]] = defaultdict(list)
@@ -89,7 +91,7 @@
 
 
 def _audit_single_execution(attempts: list[ServerAttempt]) -> Iterable[Finding]:
-    """Work that must run once: by its key over all tries of a client, else by its try."""
+    """Finds work executed twice: by key over all attempts of a client, otherwise by client attempt."""
     ran: defaultdict[str, list[ServerAttempt]] = defaultdict(list)
     for attempt in attempts:
         if attempt.ran and not attempt.repeat and (attempt.once or attempt.key):
--- a/basaltpoint/load/report.py
+++ b/basaltpoint/load/report.py
@@ -1,4 +1,4 @@
-"""What a run's figures say: a table, JSON, and a page that needs nothing else."""
+"""Reports of a run: a text table, plain data for JSON, and a self-contained HTML page."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def summary(stats: Stats, scenario: str) -> dict[str, Any]:
-    """All that a report shows, as plain data."""
+    """Returns all contents of a report as plain data."""
     total: Counter[str] = Counter()
     for ends in stats.outcomes.values():
         total.update(ends)
@@ -63,7 +63,7 @@
 
 
 def worst_interval(stats: Stats) -> dict[str, Any]:
-    """The ten seconds in a row in which the least part was served in time."""
+    """Returns the ten consecutive seconds with the smallest fraction of requests served in time."""
     if not stats.seconds:
         return {}
     found: tuple[float, int, int] | None = None
@@ -81,7 +81,7 @@
 
 
 def percentiles(stats: Stats) -> list[list[float]]:
-    """Latency by percentile, closer together towards the end, in ms."""
+    """Returns latencies in ms by percentile, with denser percentiles towards the maximum."""
     one = stats.latency.get("")
     if one is None:
         return []
@@ -91,7 +91,7 @@
 
 # --- As text -----------------------------------------------------------------------------------------
 def text(summary: dict[str, Any]) -> str:
-    """The summary for a terminal."""
+    """Returns the summary as text for a terminal."""
     head = ["", "asked", *OUTCOMES, "in time", "answers", "p50 ms", "p99 ms", "p99.9"]
     rows = [[name, *_cells(row, summary["latency_ms"].get(name, {}))] for name, row in summary["by"].items()]
     rows.append(["all", *_cells(summary["total"], summary["latency_ms"].get("all", {}))])
@@ -108,13 +108,15 @@
         )
     late = summary["lateness_ms"]
     if late:
-        lines.append(f"sent late by p50 {late['p50']:.2f}, p99 {late['p99']:.2f}, most {late['max']:.1f} ms")
+        lines.append(
+            f"sent late by p50 {late['p50']:.2f}, p99 {late['p99']:.2f}, maximum {late['max']:.1f} ms"
+        )
     for spell in summary["spells"]:
         lines.append(f"DOESN'T COUNT: {spell['from_s']:.3f} to {spell['to_s']:.3f} s, {spell['why']}")
     if summary["spells"]:
-        lines.append(f"of requests outside these spells: {_latency_text(summary['sound_ms'])}")
+        lines.append(f"of requests outside these intervals: {_latency_text(summary['sound_ms'])}")
     if summary["odd"]["count"]:
-        lines.append(f"{summary['odd']['count']} to be looked at, the first:")
+        lines.append(f"{summary['odd']['count']} anomalies, the first:")
         lines += [f"  {ident}: {what}" for ident, what in summary["odd"]["first"][:5]]
     return "\n".join(lines)
 
@@ -139,15 +141,15 @@
 td:first-child,th:first-child{{text-align:left}}svg{{width:100%;height:auto;border:1px solid #ddd}}
 pre{{overflow:auto}}</style>
 <h1>{title}</h1>{spells}{table}
-<h2>Latency over time</h2><p>From the intended start, by its second: median (green), p99 (orange), most (red).
-Grey spells don't count.</p>{over_time}
+<h2>Latency over time</h2><p>From the intended start, by its second: median (green), p99 (orange),
+maximum (red). Grey intervals don't count.</p>{over_time}
 <h2>Latency by percentile</h2>{by_percentile}
 <h2>All figures</h2><pre>{figures}</pre></html>
 """
 
 
 def page(summary: dict[str, Any]) -> str:
-    """A report as one HTML file without anything to load."""
+    """Returns the report as a self-contained HTML page."""
     spells = "".join(
         f"<p><b>Doesn't count: {s['from_s']:.3f} to {s['to_s']:.3f} s</b>, {html.escape(s['why'])}</p>"
         for s in summary["spells"]
@@ -176,7 +178,7 @@
 def _latency_over_time_plot(summary: dict[str, Any]) -> str:
     rows = summary["seconds"]
     if not rows:
-        return "<p>Nothing was asked.</p>"
+        return "<p>No requests were sent.</p>"
     end = max(row["at"] for row in rows) + 1
     max_ms = max((row["max_ms"] for row in rows), default=0.0) or 1.0
 
@@ -200,7 +202,7 @@
 def _percentile_plot(summary: dict[str, Any]) -> str:
     rows = summary["percentiles"]
     if not rows:
-        return "<p>Nothing was answered.</p>"
+        return "<p>No responses were received.</p>"
     max_ms = max(value for _, value in rows) or 1.0
     step = (PLOT_WIDTH - PLOT_MARGIN - 10) / (len(rows) - 1)
     points, labels = [], []
--- a/basaltpoint/load/scenario.py
+++ b/basaltpoint/load/scenario.py
@@ -1,4 +1,4 @@
-"""A scenario's file: who asks how often, in which shapes, and what becomes of a try that is turned away."""
+"""Scenario files: accounts and their request rates, classes, rate shapes, and client retries."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 class ArrivalProcess(Enum):
-    """How arrivals lie in time."""
+    """Distribution of arrivals in time."""
 
     POISSON = "poisson"
     CONSTANT = "constant"
 
 
 class RequestForm(Enum):
-    """How a request is worded."""
+    """Format of requests."""
 
     PLAIN = "plain"
     PLATFORM = "platform"
 
 
 class Backoff(Enum):
-    """How long a client waits before its next try."""
+    """Delay of a client before its next attempt."""
 
     NONE = "none"
     FIXED = "fixed"
@@ -36,156 +36,163 @@
 
 
 class ShapeKind(Enum):
-    """A shape in time."""
+    """Kind of a rate change."""
 
-    RAMP = "ramp"  # from 1 to `factor` evenly, and it stays there to the end of the shape
-    SINE = "sine"  # between 1 and `factor`, with a period
-    STEP = "step"  # `factor` throughout
+    RAMP = "ramp"  # rises linearly from 1 to `factor` over the duration of the shape
+    SINE = "sine"  # oscillates between 1 and `factor`
+    STEP = "step"  # `factor` for the whole duration
     SURGE = "surge"  # `factor` for every account of one plan
-    RUNAWAY = "runaway"  # one account asks `rate` a second besides
+    RUNAWAY = "runaway"  # one account sends `rate` additional requests per second
 
 
-Name = Annotated[str, described("Its name.", pattern=NAME_PATTERN)]
+Name = Annotated[str, described("Name.", pattern=NAME_PATTERN)]
 
 
 class RetryTable(msgspec.Struct, frozen=True, kw_only=True):
-    """`[retries]`: what a client does after a refusal, a failure or no answer."""
+    """`[retries]`: client retries after a refusal, a failure or no response."""
 
-    most: Annotated[int, described("Further tries of one request.", ge=0, le=100)] = 0
-    backoff: Annotated[Backoff, described("At once, after the same wait, or after one that doubles.")] = (
+    most: Annotated[int, described("Maximum number of retries of a request.", ge=0, le=100)] = 0
+    backoff: Annotated[Backoff, described("No delay, a fixed delay, or a delay that doubles.")] = (
         Backoff.FIXED
     )
     wait_ms: Annotated[
-        float, described("The first wait; each is drawn from half of it to all of it.", ge=0, le=3600000)
+        float,
+        described("First delay; each delay is drawn from half of it to its full length.", ge=0, le=3600000),
     ] = 100.0
-    honour: Annotated[float, described("Part of the clients that wait as Retry-After says.", ge=0, le=1)] = (
-        1.0
-    )
+    honour: Annotated[float, described("Fraction of the clients that honour Retry-After.", ge=0, le=1)] = 1.0
 
 
 class HealthTable(msgspec.Struct, frozen=True, kw_only=True):
-    """`[health]`: from where on the generator's own numbers don't count."""
+    """`[health]`: limits beyond which measurements of the generator are unsound."""
 
     late_ms: Annotated[
-        float, described("A send later than this is the generator's delay.", gt=0, le=60000)
+        float, described("A send later than this is a delay of the generator.", gt=0, le=60000)
     ] = 20.0
     stall_ms: Annotated[
-        float, described("So long without a turn of the loop is a spell of starvation.", gt=0, le=60000)
+        float, described("An event loop blocked for this long makes the interval unsound.", gt=0, le=60000)
     ] = 50.0
     steal: Annotated[
-        float, described("Part of the machine's time that others may take within a second.", gt=0, le=1)
+        float, described("Maximum fraction of steal time of the host within a second.", gt=0, le=1)
     ] = 0.1
 
 
 class PlanTable(msgspec.Struct, frozen=True, kw_only=True):
-    """`[[plan]]`: a group of accounts that ask alike."""
+    """`[[plan]]`: a group of accounts with a common request rate."""
 
     name: Name
-    accounts: Annotated[int, described("How many.", ge=1, le=10000000)]
-    rate: Annotated[float, described("Requests a second of all of them together.", gt=0, le=1000000)]
+    accounts: Annotated[int, described("Number of accounts.", ge=1, le=10000000)]
+    rate: Annotated[float, described("Requests per second of all accounts together.", gt=0, le=1000000)]
     skew: Annotated[
         float,
         described(
-            "Zipf's exponent: 0 for accounts alike, 1 where the n-th asks 1/n of the first.", ge=0, le=5
+            "Zipf exponent: 0 for equal accounts; with 1 the n-th account sends 1/n of the first's requests.",
+            ge=0,
+            le=5,
         ),
     ] = 0.0
-    key: Annotated[str, described("An account's key; {n} is its number within the plan.", min_length=1)] = (
-        "{plan}-{n}"
-    )
+    key: Annotated[
+        str, described("API key of an account; {n} is its number within the plan.", min_length=1)
+    ] = "{plan}-{n}"
     spread: Annotated[
-        int, described("Limiters that an account comes through (platform form).", ge=1, le=64)
+        int, described("Number of limiters that an account uses (platform form).", ge=1, le=64)
     ] = 1
 
 
 class ClassTable(msgspec.Struct, frozen=True, kw_only=True):
-    """`[[class]]`: a kind of request."""
+    """`[[class]]`: a class of requests."""
 
     name: Name
     share: Annotated[
-        float, described("Of the requests, beside the other classes' shares.", gt=0, le=1000000)
+        float, described("Share of the requests, relative to the other classes.", gt=0, le=1000000)
     ] = 1.0
-    method: Annotated[str, described("Its method.", pattern=r"^[A-Z]{1,20}$")] = "GET"
-    path: Annotated[str, described("Its path; {n} is the request's number.", pattern=r"^/")] = "/"
-    body_bytes: Annotated[int, described("Length of its body.", ge=0, le=67108864)] = 0
+    method: Annotated[str, described("HTTP method.", pattern=r"^[A-Z]{1,20}$")] = "GET"
+    path: Annotated[str, described("Path; {n} is the number of the request.", pattern=r"^/")] = "/"
+    body_bytes: Annotated[int, described("Length of the body in bytes.", ge=0, le=67108864)] = 0
     key_header: Annotated[
         str,
         described(
-            "Header with a key of its own for each request, the same for its retries; empty for none.",
+            "Header with a unique key per request, which its retries repeat; empty for none.",
             pattern=r"^[A-Za-z0-9-]{0,64}$",
         ),
     ] = ""
     aim_ms: Annotated[
         float,
-        described("An answer is in time up to this, counted from the intended start.", gt=0, le=3600000),
+        described(
+            "A response counts as in time up to this latency from the intended start.", gt=0, le=3600000
+        ),
     ] = 1000.0
     timeout_ms: Annotated[
-        float, described("A try is given up after this, counted from its intended start.", gt=0, le=3600000)
+        float, described("Timeout of an attempt, from its intended start.", gt=0, le=3600000)
     ] = 10000.0
-    units: Annotated[int, described("Units that it takes (platform form).", ge=1, le=1000000)] = 1
+    units: Annotated[int, described("Units that a request takes (platform form).", ge=1, le=1000000)] = 1
     once: Annotated[
         bool,
         described(
-            "It must never run twice; the ledger looks for that, and no client repeats one that may have run."
+            "Must never be executed twice: the audit checks it, and clients do not retry one that may have run."
         ),
     ] = False
 
 
 class ShapeTable(msgspec.Struct, frozen=True, kw_only=True):
-    """`[[shape]]`: a change of the rate; shapes at one time multiply."""
-
-    kind: Annotated[ShapeKind, described("What kind.")]
-    from_s: Annotated[float, described("Its start.", ge=0, le=1000000)] = 0.0
-    to_s: Annotated[float, described("Its end; 0: that of the run.", ge=0, le=1000000)] = 0.0
-    factor: Annotated[float, described("Times the rate.", ge=0, le=100000)] = 1.0
-    period_s: Annotated[float, described("Of a sine.", gt=0, le=1000000)] = 10.0
-    plan: Annotated[str, described("Only this plan; needed for surge and runaway.")] = ""
-    account: Annotated[int, described("Number of the account that runs away.", ge=0, le=10000000)] = 0
-    rate: Annotated[
-        float, described("Requests a second of the account that runs away.", ge=0, le=1000000)
-    ] = 0.0
+    """`[[shape]]`: a change of the rate over time; the factors of simultaneous shapes multiply."""
+
+    kind: Annotated[ShapeKind, described("Kind of the shape.")]
+    from_s: Annotated[float, described("Start.", ge=0, le=1000000)] = 0.0
+    to_s: Annotated[float, described("End; 0: the end of the run.", ge=0, le=1000000)] = 0.0
+    factor: Annotated[float, described("Factor of the rate.", ge=0, le=100000)] = 1.0
+    period_s: Annotated[float, described("Period of a sine.", gt=0, le=1000000)] = 10.0
+    plan: Annotated[str, described("Limits the shape to this plan; required for surge and runaway.")] = ""
+    account: Annotated[int, described("Number of the runaway account.", ge=0, le=10000000)] = 0
+    rate: Annotated[float, described("Requests per second of the runaway account.", ge=0, le=1000000)] = 0.0
 
 
 class Scenario(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole file."""
+    """A whole scenario file."""
 
     target: Annotated[
         tuple[str, ...],
         described(
-            "`IP:PORT` of each limiter; requests take them in turn, an account of the platform's form keeps to its set."
+            "`IP:PORT` of each limiter; used in turn, but an account in platform form keeps to its set."
         ),
     ]
     plan: tuple[PlanTable, ...]
     class_: tuple[ClassTable, ...] = msgspec.field(name="class")
     shape: tuple[ShapeTable, ...] = ()
     seed: Annotated[
-        int, described("Of all chance; the same seed asks the same.", ge=0, le=9223372036854775807)
+        int,
+        described(
+            "Seed of all random choices; the same seed gives the same requests.", ge=0, le=9223372036854775807
+        ),
     ] = 1
-    duration_s: Annotated[float, described("Arrivals come for so long.", gt=0, le=1000000)] = 10.0
-    arrivals: Annotated[ArrivalProcess, described("How they lie in time.")] = ArrivalProcess.POISSON
-    form: Annotated[RequestForm, described("How requests are worded.")] = RequestForm.PLAIN
+    duration_s: Annotated[float, described("Duration of the arrivals.", gt=0, le=1000000)] = 10.0
+    arrivals: Annotated[ArrivalProcess, described("Distribution of arrivals in time.")] = (
+        ArrivalProcess.POISSON
+    )
+    form: Annotated[RequestForm, described("Format of requests.")] = RequestForm.PLAIN
     key_header: Annotated[
-        str, described("Header that brings an account's key (plain form).", pattern=r"^[A-Za-z0-9-]{1,64}$")
+        str, described("Header with the API key of an account (plain form).", pattern=r"^[A-Za-z0-9-]{1,64}$")
     ] = "X-Api-Key"
     id_header: Annotated[
         str,
         described(
-            "Header that brings the id of a try, for the ledger (plain form).",
+            "Header with the id of an attempt, for the ledger (plain form).",
             pattern=r"^[A-Za-z0-9-]{1,64}$",
         ),
     ] = "X-Load-Id"
     processes: Annotated[
-        int, described("Processes that share the load; together they ask what one would.", ge=1, le=256)
+        int,
+        described("Number of worker processes; together they send the same requests as one.", ge=1, le=256),
     ] = 1
     connections: Annotated[
         int,
         described(
-            "Most connections of each process; without a free one an arrival is missed.", ge=1, le=1000000
+            "Maximum connections of each process; without a free one a request is missed.", ge=1, le=1000000
         ),
     ] = 2000
     in_flight: Annotated[
         int,
         described(
-            "Most tries of each process without an answer; beyond, arrivals are missed.", ge=1, le=10000000
+            "Maximum attempts in flight of each process; beyond it requests are missed.", ge=1, le=10000000
         ),
     ] = 100000
     retries: RetryTable = RetryTable()
@@ -193,7 +200,7 @@
 
 
 def load(path: Path) -> Scenario:
-    """Read and check; FileError with every problem."""
+    """Reads and validates a scenario; raises FileError with every problem."""
     problems = ProblemCollector(str(path))
     scenario = decode(Scenario, load_toml(path), problems)
     if scenario is None:
--- a/basaltpoint/load/stats.py
+++ b/basaltpoint/load/stats.py
@@ -1,7 +1,7 @@
-"""What a run came to: counts and latencies by plan and class and by second; parts of it can be joined.
+"""Results of a run: counts and latencies by plan and class and by second; results of workers can be merged.
 
-Every request is counted; no latency is sampled. Histograms are HDR (Gil Tene's, three digits), from 1 us to
-an hour. Beside those of all requests stand those of requests during which the generator was well.
+Every request is counted; no latency is sampled. Histograms are HDR histograms (Gil Tene) with three digits,
+from 1 us to one hour. There is a separate histogram of the requests during which the generator was sound.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from basaltpoint.load.health import UnsoundInterval, merge_intervals
 
 MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS = 1, 3_600_000_000, 3
-BUCKETS_PER_DECADE = 24  # of the seconds' small histograms: 10% wide, enough for a plot
-MAX_ANOMALIES = 1000  # odd things told by id; further ones are counted
+BUCKETS_PER_DECADE = 24  # of the histograms per second: buckets 10% wide, enough for a plot
+MAX_ANOMALIES = 1000  # kept with their id; further ones are only counted
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
@@ -30,7 +30,7 @@
 
 
 class SecondStats:
-    """One second of the run, by the intended starts of its requests."""
+    """Results of one second of the run; requests belong to the second of their intended start."""
 
     __slots__ = ("buckets", "max_us", "outcomes")
 
@@ -47,7 +47,7 @@
             self.max_us = max(self.max_us, value)
 
     def quantile_ms(self, fraction: float) -> float | None:
-        """A latency that this part of the answers kept to; None where none came."""
+        """Returns the latency that this fraction of the responses did not exceed; None without responses."""
         total = sum(self.buckets.values())
         counted = 0
         for bucket in sorted(self.buckets):
@@ -58,12 +58,12 @@
 
 
 class Stats:
-    """A Recorder whose state can be packed, sent and joined with that of another process."""
+    """A Recorder whose state can be packed, sent and merged with that of another process."""
 
     def __init__(self) -> None:
         self.outcomes: defaultdict[tuple[str, str], Counter[str]] = defaultdict(Counter)
         self.latency: dict[str, Any] = {}  # by "plan/class", and "" for all
-        self.sound = new_histogram()  # of all requests during which the generator was well
+        self.sound = new_histogram()  # latency of the requests during which the generator was sound
         self.service = new_histogram()
         self.lateness = new_histogram()
         self.sends = self.unsound_sends = 0
@@ -94,13 +94,13 @@
             if record.is_sound:
                 self.sound.record_value(value)
 
-    def record_send(self, lateness_s: float, sound: bool) -> None:
+    def record_send(self, lateness_s: float, is_sound: bool) -> None:
         self.sends += 1
-        self.unsound_sends += not sound
+        self.unsound_sends += not is_sound
         self.lateness.record_value(_to_us(lateness_s))
 
     def record_attempt(self, request: int, number: int, answers: int, hung_up: bool) -> None:
-        """Tries are the ledger's."""
+        """Does nothing; attempts are recorded in the ledger only."""
 
     def record_anomaly(self, ident: str, what: str) -> None:
         self.anomaly_count += 1
@@ -109,7 +109,7 @@
 
     # --- Between processes ----------------------------------------------------------------------
     def pack(self) -> dict[str, Any]:
-        """All of it as plain data."""
+        """Returns the results as plain data."""
         return {
             "ends": [[plan, cls, dict(ends)] for (plan, cls), ends in self.outcomes.items()],
             "latency": {name: one.encode().decode() for name, one in self.latency.items()},
@@ -126,7 +126,7 @@
         }
 
     def merge(self, packed: dict[str, Any]) -> None:
-        """Add what another process packed."""
+        """Adds the packed results of another process."""
         for plan, cls, ends in packed["ends"]:
             self.outcomes[plan, cls].update(ends)
         for name, encoded in packed["latency"].items():
@@ -148,7 +148,7 @@
 
 
 def percentiles_ms(histogram: Any) -> dict[str, float]:
-    """The usual percentiles of a histogram, in milliseconds."""
+    """Returns the usual percentiles, maximum and mean of a histogram, in milliseconds."""
     if not histogram.get_total_count():
         return {}
     found = {f"p{q:g}": histogram.get_value_at_percentile(q) / 1000 for q in PERCENTILES}
--- a/basaltpoint/load/traces.py
+++ b/basaltpoint/load/traces.py
@@ -1,7 +1,8 @@
-"""Recorded traces: access logs to JSON lines, and JSON lines to arrivals. Streaming: memory stays flat.
+"""Recorded traces: converts access logs to traces, and traces to arrivals. Streaming, with bounded memory.
 
-One JSON object a line: `t` (seconds, any origin), `method`, `path`; where known `account`, `class`, `bytes`.
-Accounts are hashed with a salt when a log is imported, so that a trace can be kept and shared.
+A trace has one JSON object per line: `t` (seconds, any origin), `method`, `path`, and if known `account`,
+`class` and `bytes`. Accounts are hashed with a salt when a log is imported, so that a trace can be stored and
+shared.
 """
 
 from __future__ import annotations
@@ -19,9 +20,9 @@
 from basaltpoint.load.arrivals import PlannedRequest
 from basaltpoint.load.scenario import ClassTable
 
-MAX_LINE_BYTES = 64 * 1024  # bytes; of a longer one nothing is kept
-REORDER_WINDOW_LINES = 10_000  # lines within which times that are out of order are put right
-MAX_SHOWN_LINES = 10  # bad lines that are told with their number
+MAX_LINE_BYTES = 64 * 1024  # longer lines are skipped
+REORDER_WINDOW_LINES = 10_000  # lines within which out-of-order times are sorted
+MAX_SHOWN_LINES = 10  # rejected lines that are reported with their number
 
 COMMON_PATTERN = re.compile(
     r"(?P<ip>\S+) \S+ (?P<user>\S+) \[(?P<time>[^\]]+)\] "
@@ -34,17 +35,17 @@
 
 
 class TraceError(ValueError):
-    """A line that is none; says why."""
+    """A line that cannot be parsed; the message is the reason."""
 
 
 @dataclass(slots=True)
 class ImportResult:
-    """What became of a log's lines."""
+    """Result of reading a log: how many lines were kept, reordered and rejected."""
 
     lines: int = 0
     kept: int = 0
-    reordered: int = 0  # out of order, put right within the window
-    clamped: int = 0  # out of order beyond it: taken at the time of the line before
+    reordered: int = 0  # out of order, sorted within the window
+    clamped: int = 0  # out of order beyond the window: got the time of the line before
     rejected: Counter[str] = field(default_factory=Counter)
     shown: list[str] = field(default_factory=list)
 
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TraceRow:
-    """One request of a trace."""
+    """One request of a trace. `time_s` is in seconds from any origin."""
 
     time_s: float
     method: str
@@ -76,7 +77,7 @@
 
 
 def read_lines(file: BinaryIO, result: ImportResult) -> Iterator[str]:
-    """The lines of a file; one that is too long is counted and skipped without being held."""
+    """Yields the lines of a file; counts and skips a line that is too long without holding it in memory."""
     while piece := file.readline(MAX_LINE_BYTES + 1):
         result.lines += 1
         if len(piece) > MAX_LINE_BYTES and not piece.endswith(b"\n"):
@@ -88,7 +89,7 @@
 
 
 def hash_account(account: str, salt: bytes) -> str:
-    """An account's name as a trace holds it; the same name and salt give the same."""
+    """Returns the salted hash of an account name, as stored in a trace."""
     return hashlib.blake2b(account.encode(), key=salt[:64], digest_size=8).hexdigest()
 
 
@@ -98,11 +99,11 @@
 ) -> TraceRow:
     match = pattern.match(line)
     if match is None:
-        raise TraceError("not of this format")
+        raise TraceError("not in this format")
     try:
         at = parse_time(match["time"])
     except ValueError:
-        raise TraceError(f"no time: {match['time'][:40]!r}") from None
+        raise TraceError(f"invalid time: {match['time'][:40]!r}") from None
     groups = match.groupdict()
     account = groups.get(account_field) or groups["ip"]
     size = groups["bytes"]
@@ -126,31 +127,31 @@
 
 
 def parse_common(line: str, account_field: str = "user") -> TraceRow:
-    """A line of the common or combined log format, which nginx writes, too."""
+    """Parses a line of the common or combined log format, which nginx also writes."""
     return _parse_log_line(COMMON_PATTERN, _common_time, account_field, line)
 
 
 def parse_envoy(line: str, account_field: str = "ip") -> TraceRow:
-    """A line of Envoy's default access log."""
+    """Parses a line of Envoy's default access log."""
     return _parse_log_line(ENVOY_PATTERN, _iso_time, account_field, line)
 
 
 def parse_trace(line: str, account_field: str = "") -> TraceRow:
-    """A line of this project's own traces."""
+    """Parses a line of this project's trace format."""
     try:
         raw = json.loads(line)
     except ValueError:
-        raise TraceError("no JSON") from None
+        raise TraceError("not JSON") from None
     if not isinstance(raw, dict):
-        raise TraceError("no object")
+        raise TraceError("not a JSON object")
     for key, kinds in (("t", (int, float)), ("method", str), ("path", str)):
         if key not in raw:
             raise TraceError(f"{key} is missing")
         if not isinstance(raw[key], kinds) or isinstance(raw[key], bool):
-            raise TraceError(f"{key} is of a wrong type")
+            raise TraceError(f"{key} has the wrong type")
     size = raw.get("bytes", 0)
     if isinstance(size, bool) or not isinstance(size, int) or size < 0:
-        raise TraceError("bytes is no whole number")
+        raise TraceError("bytes is not a non-negative integer")
     return TraceRow(
         float(raw["t"]),
         raw["method"],
@@ -172,7 +173,7 @@
 def read(
     file: BinaryIO, log_format: str, result: ImportResult, account_field: str | None = None
 ) -> Iterator[TraceRow]:
-    """The rows of a log in the order of their times, as far as the window reaches."""
+    """Yields the rows of a log in order of time, as far as the reorder window allows."""
     parse = FORMATS[log_format]
     heap: list[tuple[float, int, TraceRow]] = []
     last, newest = -1e300, -1e300
@@ -209,7 +210,7 @@
 def convert(
     source: BinaryIO, sink: BinaryIO, log_format: str, salt: bytes, account_field: str | None = None
 ) -> ImportResult:
-    """A log to a trace, its accounts hashed."""
+    """Converts a log to a trace, with hashed accounts."""
     result = ImportResult()
     for row in read(source, log_format, result, account_field):
         account = hash_account(row.account, salt) if row.account else ""
@@ -223,7 +224,7 @@
 def replay(
     rows: Iterable[TraceRow], factor: float, classes: dict[str, ClassTable], plan: str = "trace"
 ) -> Iterator[PlannedRequest]:
-    """The trace's arrivals at `factor` times its speed; gaps are kept, shorter by the factor."""
+    """Yields the requests of a trace at `factor` times its speed; gaps shrink by the same factor."""
     start: float | None = None
     first = next(iter(classes))
     for number, row in enumerate(rows):
@@ -242,5 +243,5 @@
 
 
 def _class_of(row: TraceRow, classes: dict[str, ClassTable], first: str) -> str:
-    """The first class with this method, else the first of all."""
+    """Returns the first class with the method of the row, or else the first class."""
     return next((name for name, cls in classes.items() if cls.method == row.method), first)
--- a/basaltpoint/load/wire.py
+++ b/basaltpoint/load/wire.py
@@ -1,4 +1,4 @@
-"""Requests on the wire: kept HTTP/1.1 connections, one request at a time on each."""
+"""HTTP/1.1 client connections of a worker: persistent, with one request at a time on each."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 
 class RequestFormatter:
-    """How a try is written, by the scenario's form."""
+    """Formats attempts as HTTP requests, in the form of the scenario."""
 
     def __init__(self, scenario: Scenario, run: str) -> None:
         self._scenario = scenario
         self._classes = {cls.name: cls for cls in scenario.class_}
         self._spread = {plan.name: plan.spread for plan in scenario.plan}
-        self._run = run  # goes into ids, so that two runs against one server differ
+        self._run = run  # part of all ids, so that two runs against the same server differ
 
     def attempt_id(self, attempt: Attempt) -> str:
-        """The try's id on the wire and in the ledger."""
+        """Returns the id of an attempt in requests and in the ledger."""
         return f"{self._run}-{attempt.planned.number}-{attempt.number}"
 
     def format_request(self, attempt: Attempt, now_s: float) -> bytes:
@@ -58,22 +58,22 @@
 
 
 def customer_number(planned: PlannedRequest) -> int:
-    """A number below 2**33 for an account's name, as the platform's form wants it."""
+    """Returns a number below 2**33 for an account name, as the platform form requires."""
     return int.from_bytes(hashlib.blake2b(planned.account.encode(), digest_size=8).digest()) % (1 << 33)
 
 
 class Connection(asyncio.Protocol):
-    """One connection."""
+    """A connection of the pool, which sends one request at a time."""
 
     def __init__(self, pool: ConnectionPool) -> None:
         self._pool = pool
         self._parser = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
-        self._retry_after: float | None = None
+        self._retry_after: float | None = None  # seconds
         self._head_only = False
-        self._response_begun = False  # some of the answer has come
-        self.ident: int | None = None  # of the try that is out on it
-        self.label = ""  # that of the last try, as the ledger has it
+        self._response_begun = False  # part of the response has been received
+        self.ident: int | None = None  # of the attempt that waits for its response; None if idle
+        self.label = ""  # ledger id of the last attempt
         self.closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -108,7 +108,8 @@
 
     def on_headers_complete(self) -> None:
         if self._head_only and self._parser.get_status_code() >= 200:
-            self._response_complete(keep_alive=False)  # the parser would wait for a body that never comes
+            # The parser would wait for a body that HEAD responses lack.
+            self._response_complete(keep_alive=False)
 
     def on_message_complete(self) -> None:
         if self._parser.get_status_code() >= 200 and not self._head_only:
@@ -116,7 +117,7 @@
 
     def _response_complete(self, keep_alive: bool) -> None:
         ident, self.ident = self.ident, None
-        code, after = self._parser.get_status_code(), self._retry_after
+        code, retry_after_s = self._parser.get_status_code(), self._retry_after
         if ident is None:
             self._pool.on_extra_response(self.label)
             self.abort()
@@ -125,7 +126,7 @@
             self._pool.free.append(self)
         else:
             self.abort()
-        self._pool.on_response(ident, code, after)
+        self._pool.on_response(ident, code, retry_after_s)
 
     def _fail(self) -> None:
         ident, self.ident = self.ident, None
@@ -141,7 +142,7 @@
 
 
 class ConnectionPool:
-    """The connections of a worker to its targets, bounded; targets take new connections in turn."""
+    """A bounded pool of connections to the targets; new connections go to the targets in turn."""
 
     def __init__(
         self,
@@ -160,7 +161,7 @@
         self._connections: set[Connection] = set()
 
     def take_free(self) -> Connection | None:
-        """A connection that is free now."""
+        """Takes an idle connection from the pool; returns None if there is none."""
         while self.free:
             connection = self.free.pop()
             if not connection.closed:
@@ -172,7 +173,7 @@
         return self.open_count >= self._max_connections
 
     async def connect(self) -> Connection:
-        """Another connection; OSError where there can be none."""
+        """Opens a connection to the next target; raises OSError on failure."""
         self._next_target += 1
         self.open_count += 1
         connection = Connection(self)
@@ -183,9 +184,11 @@
         except BaseException:
             self.open_count -= 1
             raise
-        if connection.closed:  # lost before it was ours
+        if connection.closed:  # closed before this task resumed
             self.open_count -= 1
-            raise ConnectionResetError(errno.ECONNRESET, "the connection broke at its start")
+            raise ConnectionResetError(
+                errno.ECONNRESET, "the connection was closed right after it was opened"
+            )
         self._connections.add(connection)
         return connection
 
--- a/basaltpoint/load/worker.py
+++ b/basaltpoint/load/worker.py
@@ -1,4 +1,4 @@
-"""One process of a run: the driver on a clock and on sockets. Its progress and figures are JSON lines."""
+"""Worker process of a run: drives real connections and writes progress and results as JSON lines."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 from basaltpoint.load.stats import Stats
 from basaltpoint.load.wire import Connection, ConnectionPool, RequestFormatter
 
-TURN_CHECK_INTERVAL_S = 0.005  # between looks at whether the loop turns
+TURN_CHECK_INTERVAL_S = 0.005  # interval of the task that records event loop turns
 LOCAL_RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerTask:
-    """What this process has to do."""
+    """Task of one worker process; sent as JSON on its standard input."""
 
     scenario: str
     part: int
     parts: int
-    start: float  # of the run, on the machine's monotonic clock
+    start: float  # of the run, on the host's monotonic clock, in seconds
     run: str
     trace: str = ""
     factor: float = 1.0
@@ -43,7 +43,7 @@
 
 
 class LedgerStats(Stats):
-    """Figures, and the ledger's lines where one is kept."""
+    """Results of a worker; also writes the ledger if there is one."""
 
     def __init__(self, run: str, ledger: BinaryIO | None) -> None:
         super().__init__()
@@ -59,7 +59,7 @@
 
 
 class Worker:
-    """The driver's shell."""
+    """Runs a driver with real connections and timers."""
 
     def __init__(
         self, settings: Scenario, requests: Iterator[PlannedRequest], task: WorkerTask, stats: LedgerStats
@@ -87,7 +87,7 @@
         )
         self._busy_connections: dict[int, Connection] = {}
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_at = 0.0  # of the loop: a handle that is due at once tells no time
+        self._timer_at = 0.0  # loop time of the timer; a handle that is already due does not tell its time
         self._tasks: set[asyncio.Task[None]] = set()
         self._ended = asyncio.Event()
         self._host_times = host_cpu_times()
@@ -97,7 +97,7 @@
         return monotonic() - self._start
 
     async def run(self) -> None:
-        """Until every request is over."""
+        """Runs until every request has completed."""
         loop = asyncio.get_running_loop()
         await asyncio.sleep(max(0.0, -self.now_s()))
         self._last_report_s = self.now_s()
@@ -117,7 +117,7 @@
             await asyncio.sleep(TURN_CHECK_INTERVAL_S)
 
     def _report_progress(self, now: float) -> None:
-        """Once a second: what others took of the machine, and a line of progress."""
+        """Records the host's steal time and prints a line of progress, once per second."""
         times = host_cpu_times()
         total = sum(times) - sum(self._host_times)
         if total > 0 and len(times) > 7:
@@ -129,7 +129,7 @@
                 ends[name] = ends.get(name, 0) + count
         print(json.dumps({"progress": ends}), flush=True)
 
-    # --- The driver's turns ------------------------------------------------------------------------
+    # --- Turns of the driver ------------------------------------------------------------------------
     def _tick(self) -> None:
         self._timer = None
         for action in self.driver.tick(self.now_s()):
@@ -140,13 +140,15 @@
         self._schedule_tick()
 
     def _schedule_tick(self) -> None:
-        """Be called when the driver is next due; a turn that is due now follows at once."""
+        """Sets the timer for the next tick of the driver; a tick that is due runs in the next loop
+        iteration.
+        """
         if self.driver.is_finished:
             self._ended.set()
             return
         due = self.driver.next_s
         if due is None:
-            return  # connections that come up will go on
+            return  # connections in progress call this again when they are open
         loop = asyncio.get_running_loop()
         when = loop.time() + max(0.0, due - self.now_s())
         if self._timer is None or when < self._timer_at:
@@ -209,7 +211,7 @@
 
 
 def host_cpu_times() -> list[int]:
-    """The machine's times by kind, in ticks; the eighth is what others took (proc(5), steal)."""
+    """Returns the host's CPU times by kind, in ticks; the eighth is the steal time (see proc(5))."""
     try:
         return [int(field) for field in Path("/proc/stat").read_text().split("\n", 1)[0].split()[1:9]]
     except (OSError, ValueError):
@@ -217,11 +219,11 @@
 
 
 def assigned_requests(settings: Scenario, task: WorkerTask) -> Iterator[PlannedRequest]:
-    """This process's share of the scenario's arrivals, or of a trace."""
+    """Yields this worker's share of the requests of the scenario, or of the trace."""
     if not task.trace:
         return arrivals.worker_share(arrivals.planned_requests(settings), task.part, task.parts)
     classes = {cls.name: cls for cls in settings.class_}
-    source = open(task.trace, "rb")  # noqa: SIM115, it is read as the run goes on
+    source = open(task.trace, "rb")  # noqa: SIM115, read during the whole run
     rows = traces.read(source, "own", traces.ImportResult())
     return arrivals.worker_share(traces.replay(rows, task.factor, classes), task.part, task.parts)
 
@@ -239,7 +241,7 @@
 
 
 def main() -> int:
-    """A part's description on standard input, its progress and figures on standard output."""
+    """Reads a WorkerTask from standard input; writes progress and results to standard output."""
     task = WorkerTask(**json.loads(sys.stdin.readline()))
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         stats = runner.run(_run_task(task))
--- a/basaltpoint/standins/__init__.py
+++ b/basaltpoint/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what the limiter works with: servers, peers and tools that behave as stated."""
+"""Stand-ins for the systems around a limiter: HTTP servers and discovery with configurable behaviour."""
--- a/basaltpoint/standins/command.py
+++ b/basaltpoint/standins/command.py
@@ -1,4 +1,4 @@
-"""`basaltpoint standin`: one stand-in server as a process, its behaviour told by its arguments."""
+"""Command line of `basaltpoint standin`, which runs one stand-in server."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def parse_service_time(text: str) -> Callable[[random.Random], float]:
-    """`fixed:MS`, `exp:MS` (its mean) or `uniform:MS,MS`."""
+    """Parses a service time distribution: `fixed:MS`, `exp:MS` (mean) or `uniform:MS,MS`."""
     kind, _, rest = text.partition(":")
     try:
         values = [float(part) / 1000 for part in rest.split(",")]
@@ -32,7 +32,7 @@
 
 
 def parse_stall(text: str) -> tuple[float, float]:
-    """`FROM:LENGTH` in seconds."""
+    """Parses `FROM:LENGTH`, in seconds; returns start and end."""
     try:
         start, length = (float(part) for part in text.split(":"))
     except ValueError:
@@ -41,7 +41,7 @@
 
 
 def parse_fraction(text: str) -> float:
-    """A number from 0 to 1."""
+    """Parses a number from 0 to 1."""
     try:
         value = float(text)
     except ValueError:
@@ -52,29 +52,37 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """What the command takes."""
+    """Adds the arguments of the command."""
     parser.add_argument("--listen", default="127.0.0.1:0", help="IP:PORT; port 0 takes a free one")
     parser.add_argument("--name", default="standin")
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--workers", type=int, default=16, help="requests served at once")
+    parser.add_argument("--workers", type=int, default=16, help="requests served concurrently")
     parser.add_argument(
         "--service", type=parse_service_time, default="fixed:10", help="fixed:MS, exp:MS, uniform:MS,MS"
     )
-    parser.add_argument("--errors", type=parse_fraction, default=0.0, help="part that ends in 500")
-    parser.add_argument("--resets", type=parse_fraction, default=0.0, help="part whose connection breaks")
+    parser.add_argument(
+        "--errors", type=parse_fraction, default=0.0, help="fraction of requests that end in status 500"
+    )
+    parser.add_argument(
+        "--resets", type=parse_fraction, default=0.0, help="fraction of requests whose connection is reset"
+    )
     parser.add_argument("--stall", type=parse_stall, action="append", default=[], help="FROM:LENGTH, seconds")
-    parser.add_argument("--cold", type=float, default=0.0, help="seconds until it is warm")
+    parser.add_argument("--cold", type=float, default=0.0, help="warm-up time in seconds")
+    parser.add_argument(
+        "--cold-from", type=parse_fraction, default=0.2, help="fraction of full speed at the start"
+    )
+    parser.add_argument("--drain", type=float, help="reject new requests from this second on")
+    parser.add_argument(
+        "--once", default="/corrections", help="prefix of paths that must not be executed twice"
+    )
     parser.add_argument(
-        "--cold-from", type=parse_fraction, default=0.2, help="part of its speed at its start"
+        "--keys", type=Path, help="folder shared by servers that drop repeated keys of each other"
     )
-    parser.add_argument("--drain", type=float, help="declines what is new from this second on")
-    parser.add_argument("--once", default="/corrections", help="paths beginning so must not run twice")
-    parser.add_argument("--keys", type=Path, help="folder by which servers drop each other's repeats")
-    parser.add_argument("--log", type=Path, help="a JSON line for each request that ended")
+    parser.add_argument("--log", type=Path, help="write a JSON line for each request that ended")
 
 
 def run(args: argparse.Namespace) -> int:
-    """Serve until SIGTERM; the first line printed is the address."""
+    """Runs the server until SIGTERM; the first line printed is its address."""
     try:
         host, port = parse_address(args.listen)
     except ConfigError as error:
--- a/basaltpoint/standins/discovery.py
+++ b/basaltpoint/standins/discovery.py
@@ -1,8 +1,8 @@
-"""A stand-in for discovery: one list of servers, and an agent for each limiter that tells it, with faults.
+"""Stand-in for discovery: a server list and an agent for each limiter, with fault injection.
 
-Speaks the protocol page's watch (`GET /discovery/hosts?follow=1&since=N`): a chunked answer of one JSON
-object a line, an empty line every 2 s. `Agent.told` notes when an agent had a version: from then on it counts
-as told to its limiter, whether or not a watch was open.
+Implements the watch of the protocol page (`GET /discovery/hosts?follow=1&since=N`): a chunked response with
+one JSON object per line, and an empty line every 2 s. `Agent.versions` records when an agent had each
+version: from then on the version counts as announced to its limiter, whether or not a watch was open.
 """
 
 from __future__ import annotations
@@ -16,14 +16,16 @@
 from time import monotonic
 from typing import Any
 
-HEARTBEAT_S = 2.0  # an empty line while nothing changes, as the protocol page says
+HEARTBEAT_S = 2.0  # interval of empty lines while nothing changes, as in the protocol page
 SINCE_PATTERN = re.compile(rb"since=(\d+)")
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 @dataclass(frozen=True, slots=True)
 class ListChange:
-    """One entry of the list as of a version; `at_s`: when discovery had it, monotonic seconds."""
+    """One entry of the list as of a version; `changed_s`: time of the change at discovery, monotonic
+    seconds.
+    """
 
     version: int
     changed_s: float
@@ -31,10 +33,10 @@
 
 
 class Registry:
-    """What discovery knows: the entries in protocol form, and every change of them."""
+    """The list of servers at discovery: the entries in protocol form, and all changes."""
 
     def __init__(self, entries: list[dict[str, Any]]) -> None:
-        """`entries`: the list as version 1."""
+        """`entries`: version 1 of the list."""
         self._initial_entries = {entry["host"]: entry for entry in entries}
         self.entries = dict(self._initial_entries)
         self.version = 1
@@ -42,7 +44,7 @@
         self._agents: list[Agent] = []
 
     def apply_change(self, *entries: dict[str, Any]) -> int:
-        """Take up new forms of entries as one version; agents learn it after their delays."""
+        """Applies changed entries as one new version; agents receive it after their delays."""
         self.version += 1
         for entry in entries:
             _apply(self.entries, entry)
@@ -55,7 +57,7 @@
         self._agents.append(agent)
 
     def list_at(self, version: int) -> dict[str, Any]:
-        """The whole list as it was at a version, in the form of a limiter's configuration (`known`)."""
+        """Returns the whole list as of a version, in the form of a limiter's configuration (`known`)."""
         entries = dict(self._initial_entries)
         for change in self.changes:
             if change.version <= version:
@@ -63,7 +65,7 @@
         return {"seq": version, "whole": True, "hosts": list(entries.values())}
 
     def changed_between(self, version: int, until: int) -> list[dict[str, Any]]:
-        """The latest form of each entry that changed after one version, up to another."""
+        """Returns the latest form of each entry that changed after one version, up to another."""
         latest = {c.entry["host"]: c.entry for c in self.changes if version < c.version <= until}
         return list(latest.values())
 
@@ -77,7 +79,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Watch:
-    """One open watch; a mute one looks open and says nothing any more."""
+    """One open watch; a silenced one stays open but sends nothing more."""
 
     writer: asyncio.StreamWriter
     version: int
@@ -87,29 +89,29 @@
 
 @dataclass(slots=True)
 class AgentFaults:
-    """What is wrong with an agent now; each field holds for what happens from its setting on."""
+    """Faults of an agent; a change of a field affects only later events."""
 
-    response_delay_s: tuple[float, float] = (0.0, 0.0)  # how long a call waits for its answer
-    status: int = 200  # another one turns calls away
-    down: bool = False  # it is silent and learns nothing
-    truncate_next_list: bool = False  # the next list stops half way
-    chunk_bytes: int = 0  # bytes of a list written at a time, 20 ms apart; 0: whole
+    response_delay_s: tuple[float, float] = (0.0, 0.0)  # range of the delay before a response starts
+    status: int = 200  # any other status rejects requests
+    down: bool = False  # it sends nothing and receives no changes
+    truncate_next_list: bool = False  # the next list is cut off in the middle
+    chunk_bytes: int = 0  # lists are written in chunks of this size, 20 ms apart; 0: whole
 
 
 @dataclass(eq=False)
 class Agent:
-    """The agent on one limiter's machine."""
+    """The discovery agent on the host of one limiter."""
 
     registry: Registry
     rng: random.Random
     notification_delay_s: tuple[float, float] = (
         0.0,
         0.0,
-    )  # from a change at discovery to the agent's having it
+    )  # range of the delay from a change at discovery to the agent
     faults: AgentFaults = field(default_factory=AgentFaults)
-    versions: list[tuple[float, int]] = field(default_factory=list)  # when it had a version
+    versions: list[tuple[float, int]] = field(default_factory=list)  # time and version of each list received
     request_count: int = 0
-    list_bytes_written: int = 0  # bytes of lists
+    list_bytes_written: int = 0  # of all lists
 
     def __post_init__(self) -> None:
         self.version = self.registry.version
@@ -121,12 +123,12 @@
         self.registry.add_agent(self)
 
     async def start(self) -> None:
-        """Listen, at the same address as before if it was stopped."""
+        """Starts to listen; after a stop, at the same address as before."""
         self._server = await asyncio.start_server(self._serve, *self.address)
         self.address = self._server.sockets[0].getsockname()[:2]
 
     async def stop(self) -> None:
-        """Refuse connections from here on, and reset those that are open."""
+        """Stops listening and resets the open connections."""
         if self._server:
             self._server.close()
             self._server = None
@@ -137,7 +139,7 @@
             task.cancel()
         await self.stop()
 
-    # --- What happens to it --------------------------------------------------------------------------
+    # --- Events --------------------------------------------------------------------------
     def notify(self, version: int) -> None:
         self._start_task(self._receive_after_delay(version, self.rng.uniform(*self.notification_delay_s)))
 
@@ -155,7 +157,7 @@
                     self._start_task(self._send_list(watch))
 
     def restore_discovery(self) -> None:
-        """Discovery can be reached again: what happened meanwhile is had at once."""
+        """Discovery is reachable again: the agent receives all missed changes at once."""
         self.faults.down = False
         self._set_version(self.registry.version)
 
@@ -164,11 +166,11 @@
             watch.writer.transport.abort()
 
     def silence_watches(self) -> None:
-        """The watches that are open fall silent, and stay open."""
+        """Silences the open watches; they stay open."""
         for watch in self._watches:
             watch.silenced = True
 
-    # --- Calls ---------------------------------------------------------------------------------------
+    # --- Requests ---------------------------------------------------------------------------------------
     def _start_task(self, work: Any) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
@@ -210,7 +212,9 @@
                     watch.writer.write(b"1\r\n\n\r\n")
 
     async def _send_list(self, watch: _Watch, is_first: bool = False) -> None:
-        """Write what a watch has not had; the first answer is written also where nothing has changed."""
+        """Sends the changes that a watch has not received; the first list is sent even if nothing has
+        changed.
+        """
         version = self.version
         if watch.silenced or (version <= watch.version and not is_first):
             return
--- a/basaltpoint/standins/server.py
+++ b/basaltpoint/standins/server.py
@@ -1,4 +1,4 @@
-"""A stand-in HTTP server: stated service times, stalls, errors, cold starts, and a log of attempts."""
+"""Stand-in HTTP server: configurable service times, stalls, errors and cold starts; logs requests."""
 
 from __future__ import annotations
 
@@ -17,31 +17,35 @@
 
 import httptools
 
-ID_HEADERS = ("x-load-id", "req-id")  # headers that bring the id of the try that an attempt belongs to
+ID_HEADERS = ("x-load-id", "req-id")  # headers with the id of the client attempt
 
 
 @dataclass(slots=True)
 class ServerBehaviour:
-    """How it serves. Changed while it runs, it holds from the next request on."""
+    """Behaviour of a server. A change while it runs affects requests from the next one on."""
 
-    workers: int = 4  # requests served at once; further ones wait in order
-    draw_service_s: Callable[[random.Random], float] = lambda rng: 0.01  # of each request's work
+    workers: int = 4  # requests served concurrently; further ones wait in order
+    # Draws the service time of a request, in seconds.
+    draw_service_s: Callable[[random.Random], float] = lambda rng: 0.01
     body: bytes = b"ok\n"
     status_code: int = 200
-    error_fraction: float = 0.0  # part of the requests that end in 500, their work done
-    reset_fraction: float = 0.0  # part whose connection breaks instead, their work done
-    healthy: bool = True  # what /health says
-    key_window_s: float = 5.0  # how long a repeat under a key is dropped
-    once_prefix: str = "/corrections"  # requests whose path begins so must never run twice
-    stalls: tuple[tuple[float, float], ...] = ()  # from, to: seconds from its start in which nothing ends
-    warm_up_s: float = 0.0  # after its start it is slower, evenly less so up to this
-    cold_speed_fraction: float = 0.2  # part of its speed at its start
-    drain_after_s: float | None = None  # from then on it declines what is new (503, Srv-Declined)
+    error_fraction: float = 0.0  # fraction of requests that end in status 500 after their execution
+    reset_fraction: float = 0.0  # fraction of requests whose connection is reset after their execution
+    healthy: bool = True  # result of GET /health
+    key_window_s: float = 5.0  # a repeated key is dropped for this time
+    once_prefix: str = "/corrections"  # requests with this path prefix must never be executed twice
+    # (from, to) in seconds from its start; no request ends in between.
+    stalls: tuple[tuple[float, float], ...] = ()
+    warm_up_s: float = 0.0  # warm-up time, in which the speed rises linearly
+    cold_speed_fraction: float = 0.2  # fraction of full speed at its start
+    drain_after_s: float | None = None  # from then on it rejects new requests (503, Srv-Declined)
 
 
 @dataclass(slots=True)
 class ReceivedRequest:
-    """One request that came whole. Times are seconds of the monotonic clock; `ended_s` None: it is out."""
+    """One complete request. Times are in seconds of the monotonic clock; `ended_s` is None while it is in
+    progress.
+    """
 
     ident: str
     server: str
@@ -49,12 +53,12 @@
     method: str
     path: str
     key: str = ""  # its Idempotency-Key
-    repeat: bool = False  # dropped: its key had come within the window
+    repeat: bool = False  # dropped: its key was received within the window
     once: bool = False
-    ran: bool = False  # its work was begun
+    ran: bool = False  # its execution was started
     ended_s: float | None = None
-    code: int = 0  # 0: no answer went out
-    via: str = ""  # the limiter that sent it, as it calls itself
+    code: int = 0  # 0: no response was sent
+    via: str = ""  # name of the limiter that sent it
 
 
 @dataclass(slots=True)
@@ -65,13 +69,13 @@
 
 
 class IdempotencyKeys:
-    """Which keys have come, and when: the memory by which servers drop repeats."""
+    """Idempotency keys received, with their times; servers drop repeated requests by them."""
 
     def __init__(self) -> None:
         self._received_s: dict[str, float] = {}
 
     def is_repeat(self, key: str, now: float, window_s: float) -> bool:
-        """Whether the key came within the window; if not, it has come now."""
+        """Whether the key was received within the window; if not, records it as received now."""
         if now - self._received_s.get(key, -math.inf) < window_s:
             return True
         self._received_s[key] = now
@@ -79,7 +83,7 @@
 
 
 class SharedIdempotencyKeys(IdempotencyKeys):
-    """The same for servers that are processes: a file for each key in a folder of theirs."""
+    """The same for several server processes: each key is a file in a shared folder."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__()
@@ -97,7 +101,9 @@
 
 
 class StandInServer:
-    """One server; `seen` logs every request but health checks, and `log` gets a line for each that ended."""
+    """One server; `requests` has every request except health checks, and `log` gets a line for each that
+    ended.
+    """
 
     def __init__(
         self,
@@ -108,8 +114,10 @@
         max_requests: int = 1_000_000,
         keys: IdempotencyKeys | None = None,
     ) -> None:
-        """`keep`: most requests that `seen` holds; a log has them all. `keys`: shared by servers that drop
-        each other's repeats."""
+        """`max_requests`: size limit of `requests`; older ones are dropped, but the log has them all.
+
+        `keys`: shared by servers that drop repeated keys of each other.
+        """
         self.behaviour = behaviour or ServerBehaviour()
         self.name = name
         self.rng = random.Random(seed)
@@ -124,7 +132,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Listen; `address` tells where."""
+        """Starts to listen; sets `address`."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _Connection(self), host, port)
         bound = self._server.sockets[0].getsockname()
@@ -132,7 +140,7 @@
         self.started_s = monotonic()
 
     def stop(self) -> None:
-        """End the listener and every connection."""
+        """Closes the listener and every connection."""
         if self._server:
             self._server.close()
         for connection in list(self.connections):
@@ -143,7 +151,7 @@
         return monotonic() - self.started_s
 
     def service_time_s(self, request: ReceivedRequest) -> float:
-        """How long a request's work takes from now on, stalls included."""
+        """Returns the service time of a request that starts now, including stalls."""
         behaviour, age_s = self.behaviour, self.age_s()
         duration_s = 0.0 if request.repeat else behaviour.draw_service_s(self.rng)
         if age_s < behaviour.warm_up_s:
@@ -160,7 +168,7 @@
     def request_received(
         self, connection: _Connection, method: str, path: str, headers: dict[str, str], keep_alive: bool
     ) -> None:
-        """A request has come whole."""
+        """Handles a complete request."""
         if path == "/health":
             connection.respond(200 if self.behaviour.healthy else 503, b"", keep_alive)
             return
@@ -208,7 +216,7 @@
         )
 
     def _end_without_response(self, job: _Job) -> None:
-        """Nobody is there to answer; the attempt was over when its connection ended."""
+        """Ends a request whose connection is closed; it ended when the connection closed."""
         job.request.ended_s = job.connection.closed_s or monotonic()
         self._write_log(job.request)
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,6 @@
-"""The load generator in simulated time: arrivals, waiting counted in full, retries, health, figures."""
+"""The load generator in simulated time: arrivals, latency from the intended start, retries, health,
+results.
+"""
 
 from __future__ import annotations
 
@@ -96,7 +98,9 @@
 
 # --- A server in simulated time ------------------------------------------------------------------------
 class SimulatedServer:
-    """Infinite workers, stated service times, spells in which nothing ends, codes by the test."""
+    """Has unlimited workers, given service times, stalls in which no request ends, and status codes by the
+    test.
+    """
 
     def __init__(
         self,
@@ -120,7 +124,7 @@
     pauses: tuple[tuple[float, float], ...] = (),
     broken_requests: set[int] | None = None,
 ) -> None:
-    """Play to the end. `asleep`: spells in which the generator itself does not run."""
+    """Runs the driver to its end. `pauses`: intervals in which the generator itself does not run."""
     answers: list[tuple[float, int, int, float | None]] = []
     now = 0.0
 
@@ -161,7 +165,7 @@
 
 
 class RecordingStats(Stats):
-    """Figures, and every record."""
+    """Stats that also keep every record."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -182,18 +186,26 @@
     one: Scenario, server: SimulatedServer, requests: Iterator[PlannedRequest] | None = None, **rest: object
 ) -> tuple[RecordingStats, Driver]:
     kept = RecordingStats()
-    watch = HealthMonitor(one.health.late_ms / 1000, one.health.stall_ms / 1000, one.health.steal)
+    health = HealthMonitor(one.health.late_ms / 1000, one.health.stall_ms / 1000, one.health.steal)
     classes = {cls.name: cls for cls in one.class_}
     driver = Driver(
-        requests or arrivals.planned_requests(one), classes, one.retries, watch, kept, one.seed, one.in_flight
+        requests or arrivals.planned_requests(one),
+        classes,
+        one.retries,
+        health,
+        kept,
+        one.seed,
+        one.in_flight,
     )
     simulate(driver, server, **rest)  # type: ignore[arg-type]
-    kept.unsound_intervals = watch.intervals
+    kept.unsound_intervals = health.intervals
     return kept, driver
 
 
 def test_a_stall_of_two_seconds_delays_two_thousand_requests() -> None:
-    """Not one: each that was due meanwhile waited, for what was left of the stall."""
+    """Guards against coordinated omission: each request due during a stall waits for the rest of the
+    stall.
+    """
     plan = PlanTable(name="team", accounts=10, rate=1000.0)
     one = make_scenario(plan=(plan,), arrivals=ArrivalProcess.CONSTANT)
     kept, _ = drive(one, SimulatedServer(lambda: 0.001, stalls=((4.0, 6.0),)))
@@ -202,12 +214,12 @@
     assert abs(len(delayed) - 2000) <= 2
     for record in delayed:
         assert abs(record.planned.intended_s + record.latency_s - 6.0) < 1e-6
-    # Evenly from 0 to 2 s, so their median is 1 s; half of the stall's seconds' requests are beyond it.
+    # The delays are uniform from 0 to 2 s, so their median is 1 s.
     waits = sorted(r.latency_s for r in delayed)
     assert abs(waits[1000] - 1.0) < 0.003 and waits[-1] <= 2.001
     assert kept.latency[""].get_value_at_percentile(90) / 1e6 == pytest.approx(1.0, abs=0.01)
     ends = Counter(r.outcome for r in kept.records)
-    assert abs(ends[Outcome.LATE] - 1900) <= 2  # all but those due within the aim of its end
+    assert abs(ends[Outcome.LATE] - 1900) <= 2  # all except those due less than the aim before its end
     worst = report.summary(kept, "x")["worst"]
     assert worst["asked"] >= 9000
     second = report.summary(kept, "x")["seconds"][4]
@@ -216,7 +228,9 @@
 
 
 def test_percentiles_match_a_known_distribution() -> None:
-    """Exponential service times, laid out so that the sample's quantiles are the distribution's."""
+    """Service times are placed so that the quantiles of the sample equal those of the exponential
+    distribution.
+    """
     count, mean = 50_000, 0.020
     times = [-mean * math.log(1 - (n + 0.5) / count) for n in range(count)]
     random.Random(5).shuffle(times)
@@ -235,13 +249,13 @@
     kept, driver = drive(one, SimulatedServer(lambda: 0.001), pauses=((3.0, 3.3),))
     (spell,) = kept.unsound_intervals
     assert abs(spell.from_s - 3.0) < 0.006 and spell.to_s == 3.3
-    assert driver.started_requests == len(kept.records) >= 9999  # nothing was thinned
+    assert driver.started_requests == len(kept.records) >= 9999  # no request was skipped
     late = [r for r in kept.records if r.latency_s > 0.1]
     assert 195 <= len(late) <= 205 and all(not r.is_sound for r in late)
     unsound = [r for r in kept.records if not r.is_sound]
     assert all(2.99 < r.planned.intended_s + r.latency_s < 3.32 for r in unsound)
     assert percentiles_ms(kept.sound)["max"] < 20.0 < percentiles_ms(kept.latency[""])["max"]
-    # The time from the true start is short: it alone would have hidden the sleep.
+    # The service time from the actual start stays short: alone it would hide the pause.
     assert percentiles_ms(kept.service)["p99.9"] < 5.0
     assert percentiles_ms(kept.lateness)["max"] > 290.0
 
@@ -317,17 +331,17 @@
 
 # --- Health ------------------------------------------------------------------------------------------
 def test_unsound_intervals() -> None:
-    watch = HealthMonitor(0.02, 0.05, 0.1)
+    health = HealthMonitor(0.02, 0.05, 0.1)
     for beat in (0.0, 0.01, 0.02, 0.32, 0.33):
-        watch.record_turn(beat)
-    watch.record_send(0.10, 0.33)  # was due in the spell: the same one
-    assert [(s.from_s, s.to_s) for s in watch.intervals] == [(0.02, 0.33)]
-    assert watch.is_sound(0.34, 0.5) and not watch.is_sound(0.0, 0.03) and not watch.is_sound(0.1, 0.2)
-    watch.record_steal(1.0, 2.0, 0.05)
-    watch.record_steal(2.0, 3.0, 0.5)
-    assert [s.from_s for s in watch.intervals] == [0.02, 2.0]
+        health.record_turn(beat)
+    health.record_send(0.10, 0.33)  # was due in the interval: merged with it
+    assert [(s.from_s, s.to_s) for s in health.intervals] == [(0.02, 0.33)]
+    assert health.is_sound(0.34, 0.5) and not health.is_sound(0.0, 0.03) and not health.is_sound(0.1, 0.2)
+    health.record_steal(1.0, 2.0, 0.05)
+    health.record_steal(2.0, 3.0, 0.5)
+    assert [s.from_s for s in health.intervals] == [0.02, 2.0]
     joined = merge_intervals(
-        [watch.intervals, [UnsoundInterval(0.3, 0.4, "x"), UnsoundInterval(5.0, 6.0, "y")]]
+        [health.intervals, [UnsoundInterval(0.3, 0.4, "x"), UnsoundInterval(5.0, 6.0, "y")]]
     )
     assert [(s.from_s, s.to_s) for s in joined] == [(0.02, 0.4), (2.0, 3.0), (5.0, 6.0)]
 
@@ -339,7 +353,7 @@
         assert "datetime.now" not in text and "utcnow" not in text, path
 
 
-# --- Figures -----------------------------------------------------------------------------------------
+# --- Results -----------------------------------------------------------------------------------------
 def test_merged_worker_stats_equal_the_whole() -> None:
     one = make_scenario(class_=(READ_CLASS, ONCE_CLASS), duration_s=5.0)
     times = random.Random(3)
--- a/tests/test_load_run.py
+++ b/tests/test_load_run.py
@@ -1,4 +1,6 @@
-"""The load generator as processes against real sockets: counts, a stopped worker, descriptors, the ledger."""
+"""The load generator as processes with real sockets: counts, a stopped worker, descriptor limits, the
+ledger.
+"""
 
 from __future__ import annotations
 
@@ -58,7 +60,7 @@
 
 
 def test_a_stopped_worker_reports_an_unsound_interval(tmp_path: Path) -> None:
-    """SIGSTOP for 300 ms: the run flags that spell, and loses nothing."""
+    """SIGSTOP for 300 ms: the run reports an unsound interval and loses no request."""
 
     async def test() -> None:
         server = StandInServer(ServerBehaviour(workers=1000, draw_service_s=lambda rng: 0.001))
@@ -85,7 +87,7 @@
 
 
 def test_strict_exits_with_its_own_code(tmp_path: Path) -> None:
-    """Descriptors run out: what could not be sent is missed, counted, and no verdict is given."""
+    """Descriptors run out: requests that cannot be sent count as missed, and the exit code says so."""
 
     async def test() -> None:
         server = StandInServer(ServerBehaviour(workers=1000, draw_service_s=lambda rng: 1.0))
@@ -110,7 +112,9 @@
 
 
 def test_the_ledger_and_the_server_logs_agree_through_the_limiter(tmp_path: Path) -> None:
-    """Errors, resets, a drain and a surge: every try one answer, no correction twice, never two at once."""
+    """Errors, resets, a drain and a surge: one response per attempt, no correction twice, no concurrent
+    attempts.
+    """
 
     async def test() -> None:
         servers, logs, keys = [], [], IdempotencyKeys()
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -52,7 +52,7 @@
     assert [row.path for row in rows] == [f"/series/{n}" for n in range(5)]
     assert (counts.lines, counts.kept) == (8, 5) and sum(counts.rejected.values()) == 2
     assert counts.shown == [
-        "line 3: not of this format",
+        "line 3: not in this format",
         f"line 4: longer than {traces.MAX_LINE_BYTES} bytes",
     ]
 
