--- a/basaltpoint/fronts/platform/limiter.py
+++ b/basaltpoint/fronts/platform/limiter.py
@@ -202,13 +202,14 @@
 
         `unread_s`: how long it was unread in its socket; its client has been waiting since then.
         """
-        name, cls, plan, customer, units, doors, wait_s = terms
+        name, cls, plan, customer, units, customer_limiters, wait_s = terms
         wait_ms = min(wait_s, self._settings.classes[cls].deadline_ms / 1000) * 1000
         if unread_s:
             wait_ms = max(MIN_WAIT_MS, wait_ms - unread_s * 1000)
         exchange = RequestExchange(self, client, name, cls, wait_ms)
         exchange.request_number, effects = self.table.admit(
-            self.now(), NewRequest(cls, plan, customer, units, doors, wait_ms, RESPONSE_MARGIN_MS, 0, name)
+            self.now(),
+            NewRequest(cls, plan, customer, units, customer_limiters, wait_ms, RESPONSE_MARGIN_MS, 0, name),
         )
         self._exchanges[exchange.request_number] = exchange
         if trace.enabled:
@@ -231,9 +232,9 @@
             self.apply_effects(self.table.client_disconnected(self.now(), exchange.request_number))
             self._cancel_unwritten(exchange.request_number)
 
-    def _cancel_unwritten(self, ident: int) -> None:
+    def _cancel_unwritten(self, request_number: int) -> None:
         """Cancels an attempt that is not written yet; unlike others it needs no permission to cancel."""
-        if (attempt := self._attempts.get(ident)) and not attempt.is_written:
+        if (attempt := self._attempts.get(request_number)) and not attempt.is_written:
             attempt.cancel()
 
     def shorten_deadlines(self, latest: float) -> None:
@@ -314,14 +315,17 @@
                     exchange.response_started = True
 
     def _dispatch(self, effect: StartAttempt) -> None:
-        ident, exchange = effect.request, self._exchanges[effect.request]  # the table starts no others
+        request_number, exchange = (
+            effect.request,
+            self._exchanges[effect.request],
+        )  # the table starts no others
         client = exchange.client
         # The first attempt directly follows the reading of the request; before a retry the kernel is asked.
         if client.is_client_gone() if effect.attempt else client.client_left_unnoticed:
             client.close_connection()
             self.abandon(exchange)
             self.apply_effects(
-                self.table.attempt_ended(self.now(), ident, effect.attempt, Status.CONNECT_FAILED)
+                self.table.attempt_ended(self.now(), request_number, effect.attempt, Status.CONNECT_FAILED)
             )
             return
         if trace.enabled:
@@ -332,13 +336,13 @@
             self.message(exchange),
             until,
             partial(self._attempt_ended, exchange, effect.attempt),
-            partial(self._attempt_written, exchange.cls, ident),
+            partial(self._attempt_written, exchange.cls, request_number),
             exchange,
             self.to_loop_time(effect.write_by_ms),
         )
         # Set before the start: a reused connection may write the whole body at once.
         exchange.attempt, exchange.attempt_number = attempt, effect.attempt
-        self._attempts[ident] = attempt
+        self._attempts[request_number] = attempt
         self._servers.start_attempt(effect.server, attempt)
 
     def message(self, exchange: RequestExchange) -> bytes:
@@ -356,16 +360,16 @@
             self.known_seq,
         )
 
-    def _attempt_written(self, cls: int, ident: int) -> None:
+    def _attempt_written(self, cls: int, request_number: int) -> None:
         self.figures.counts_of(cls).sends += 1
         if trace.enabled:
-            trace.event("request %d: its attempt's last byte is written", ident)
+            trace.event("request %d: its attempt's last byte is written", request_number)
 
     def _attempt_ended(self, exchange: RequestExchange, number: int, reply: AttemptResult) -> None:
-        ident = exchange.request_number
-        self._attempts.pop(ident, None)
+        request_number = exchange.request_number
+        self._attempts.pop(request_number, None)
         if trace.enabled:
-            trace.event("request %d attempt %d ended: %s", ident, number, reply.status.value)
+            trace.event("request %d attempt %d ended: %s", request_number, number, reply.status.value)
         exchange.ended()
         load = parse_load_report(self._settings.report_fields, reply.load)
         # More units than a request can have are ignored: they would count against the customer.
@@ -373,7 +377,7 @@
         self.apply_effects(
             self.table.attempt_ended(
                 self.now(),
-                ident,
+                request_number,
                 number,
                 reply.status,
                 usage=reply.usage,
--- a/tests/limiterprocs.py
+++ b/tests/limiterprocs.py
@@ -1,4 +1,4 @@
-"""The platform's limiter as a process that can be killed and started anew, for tests over processes."""
+"""The platform's limiter as a process that tests can kill and restart."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class LimiterProcess:
-    """One limiter under its name and address, over all its lives."""
+    """A limiter with a constant name and address, over several starts."""
 
     def __init__(self, path: Path, name: str = "n3", **environment: str) -> None:
         self.path = path
@@ -49,7 +49,7 @@
         await self._process.wait()
 
     async def connect(self) -> Client:
-        """A connection, as soon as somebody listens."""
+        """Connects as soon as the process listens."""
         host, port = self.address.split(":")
         while True:
             with contextlib.suppress(ConnectionError):
@@ -57,7 +57,7 @@
             await asyncio.sleep(0.005)
 
     async def up(self) -> None:
-        """Wait until it says that it is ready."""
+        """Waits until the process reports that it is ready."""
         while True:
             client = await self.connect()
             with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -22,7 +22,7 @@
 from basaltpoint.membership.discovery import Watch
 from basaltpoint.rehearsal.soak.processes import own_address
 
-TEST_TIMEOUT_S = 30.0  # only a hanging test meets it
+TEST_TIMEOUT_S = 30.0  # only reached by a test that hangs
 
 SETTINGS: dict[str, Any] = {
     "balancers": 3,
@@ -64,7 +64,7 @@
 # --- Servers --------------------------------------------------------------------------------------
 @dataclass(slots=True)
 class Request:
-    """What a server read, and the connection to answer on."""
+    """A request that a server received, and the connection for the response."""
 
     line: str
     headers: dict[str, str]
@@ -100,7 +100,7 @@
 
 @dataclass
 class Backend:
-    """A server that plays its script for each request; without one, the test answers by hand."""
+    """A server that runs its script for each request; without a script the test responds itself."""
 
     script: Script | None = None
     requests: list[Request] = field(default_factory=list)
@@ -135,9 +135,9 @@
 
 
 def unused_address() -> str:
-    """An address at which connections are refused, on a loopback host that is this process's alone.
+    """Returns an address that refuses connections, on a loopback host that only this process uses.
 
-    On 127.0.0.1 a test that runs beside this one could draw the port while nobody listens there.
+    On 127.0.0.1 a test that runs at the same time could be given the port.
     """
     return own_address(0)
 
@@ -161,7 +161,7 @@
 
 
 class Agent:
-    """Discovery's agent: `watches` holds the query of each watch, `tell` writes to the latest."""
+    """Discovery's agent: `watches` holds the query of each watch, `send` writes to the latest."""
 
     def __init__(self) -> None:
         self.watches: asyncio.Queue[str] = asyncio.Queue()
@@ -213,14 +213,14 @@
         "connect_s": 0.25,
         "idle_s": 30.0,
         "reuse_s": 0.05,
-        "rest_s": 0.0,  # most tests ask over one connection at once
+        "rest_s": 0.0,  # most tests reuse a connection immediately
         "known": listing(1, *hosts),
     }
     return Config(**{**values, **changes})
 
 
 def document(listen: str, *hosts: dict[str, Any]) -> dict[str, Any]:
-    """The configuration as a program reads it; nobody is at its discovery."""
+    """Returns the configuration file's content; its discovery refuses connections."""
     return {
         "name": "n3",
         "listen": listen,
@@ -269,14 +269,14 @@
 def message(
     cls: str = "read", ident: str = "9b1f03aa5c7e2d41", body: bytes = b"", **changes: str | None
 ) -> bytes:
-    """A request as PROTOCOL words it; `changes` name headers with _ for -, None leaves one out."""
+    """Returns a request as PROTOCOL defines it; `changes` names headers with _ for -, None omits one."""
     headers: dict[str, str | None] = {
         "Host": "backend.local",
         "Req-Id": ident,
         "Req-Kind": cls,
         "X-Tier": "basic",
         "X-Api-Key": "00000000b4d65521",
-        "Req-Deadline": "90",  # beyond the patience: what waits for it fails
+        "Req-Deadline": "90",  # longer than TEST_TIMEOUT_S: a test that waits for it fails
         "X-Call-Terms": "units=1,spread=3,first=1",
     }
     if cls == "upload":
--- a/tests/test_close_guard.py
+++ b/tests/test_close_guard.py
@@ -1,4 +1,4 @@
-"""A connection that is closed over a request is counted and logged, whichever place closed it."""
+"""Closing a connection with a pending request is counted and logged, whatever code closes it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from basaltpoint.fronts.platform.close_guard import CloseGuard, CloseViolation
 
 
-def test_a_close_over_a_request_in_hand_is_a_violation_that_names_it(
+def test_a_close_with_an_open_request_is_a_violation_that_names_it(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def test() -> None:
@@ -28,7 +28,7 @@
     assert "violation: a connection was closed (a test) over requests 9b1f03aa5c7e2d41" in caplog.text
 
 
-def test_a_close_over_bytes_that_were_not_read_is_a_violation() -> None:
+def test_a_close_with_unread_bytes_is_a_violation() -> None:
     async def test() -> None:
         async with limiter() as rig:
             client = await rig.connect()
@@ -44,7 +44,7 @@
     run(test())
 
 
-def test_a_drain_with_requests_in_hand_and_connections_that_rest_has_none() -> None:
+def test_a_drain_with_open_requests_and_idle_connections_has_no_violation() -> None:
     services = [
         {"name": name, "aimMs": 500.0, "hardLimitMs": 1000.0, "effect": effect}
         for name, effect in (("read", "idempotent"), ("fix", "at_most_once"))
@@ -55,13 +55,13 @@
             backend() as server,
             limiter(host("a", server.address), settings={"services": services}) as rig,
         ):
-            resting, busy = await rig.connect(), await rig.connect()
+            idle, busy = await rig.connect(), await rig.connect()
             busy.send(message("fix", ident="one", Req_Deadline="0.9"))
-            await server.arrived.get()  # and it hangs through the whole of the shutdown
+            await server.arrived.get()  # and gets no response during the whole drain
             drain = asyncio.create_task(rig.clients.drain())
             assert (await busy.answer()).code >= 400
             await drain
-            resting.close()
+            idle.close()
             assert not rig.clients.close_guard.violations
 
     run(test())
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Where operators call: true figures at once, whatever other callers do."""
+"""The control address: correct figures at once, whatever other connections do."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     ]
 
 
-def test_a_class_that_comes_back_counts_on() -> None:
+def test_a_class_that_returns_keeps_its_counts() -> None:
     figures = Figures(["read", "fix"])
     kept = figures.counts_of(1)
     figures.update_classes(["fix"])
@@ -64,8 +64,8 @@
     assert figures.counts_of(1).errored == 1
 
 
-class Chance:
-    """A module that answers by chance: sends, refuses, fails, repeats, or says nothing."""
+class RandomModule:
+    """A module with random actions: sends, refuses, fails, retries, or does nothing."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -81,10 +81,10 @@
 
 @given(st.integers(0, 2**32))
 @settings(max_examples=60, deadline=None)
-def test_figures_equal_a_ledger_of_what_clients_were_told(seed: int) -> None:
+def test_figures_equal_a_ledger_of_the_responses_of_clients(seed: int) -> None:
     rng = random.Random(seed)
     names = ["read", "fix"]
-    table = RequestTable(Chance(rng), 3, 5, Figures(names))
+    table = RequestTable(RandomModule(rng), 3, 5, Figures(names))
     ledger: Counter[tuple[str, str]] = Counter()
     classes: dict[int, str] = {}
     out: dict[int, int] = {}
@@ -107,7 +107,7 @@
         roll = rng.random()
         if roll < 0.4:
             cls = rng.randrange(2)
-            # Its number is told with its effects: one more than the last.
+            # The number is only returned with the effects: one more than the last.
             classes[len(classes) + 1] = names[cls]
             name = b"%d" % rng.randrange(8)
             _, effects = table.admit(now, NewRequest(cls, 0, 1, 1.0, 1, 400.0, key=name))
@@ -121,12 +121,12 @@
         else:
             see(list(table.tick(now)))
     counted = read(list(table.figures.metric_lines(Gauges(table.open_count, 0, 0))))
-    told = {key: value for key, value in counted.items() if key[0] in ("answered", "deferred", "errored")}
-    assert {key: value for key, value in told.items() if value} == dict(ledger)
+    results = {key: value for key, value in counted.items() if key[0] in ("answered", "deferred", "errored")}
+    assert {key: value for key, value in results.items() if value} == dict(ledger)
 
 
-def test_a_limiters_figures_equal_what_its_peers_saw() -> None:
-    """Served, refused by the server's errors, and a server that drains: to the unit."""
+def test_a_limiters_figures_equal_those_of_clients_and_servers() -> None:
+    """With served requests, server errors and a draining server the counts are exact."""
 
     async def serve(request: Request) -> None:
         if "bad" in request.headers["req-id"]:
@@ -191,7 +191,7 @@
         (b"broken\n", "fail the call broke down"),
     ],
 )
-def test_a_call_is_answered_in_one_line(line: bytes, begins: str) -> None:
+def test_a_command_is_answered_in_one_line(line: bytes, begins: str) -> None:
     async def test() -> None:
         made = console()
         lines = await call(made.address, line)
@@ -201,7 +201,7 @@
     run(test())
 
 
-def test_a_call_in_pieces_and_one_that_ends_without_a_line_end() -> None:
+def test_a_command_in_pieces_and_one_without_a_line_end() -> None:
     async def test() -> None:
         made = console()
         reader, writer = await asyncio.open_connection(*made.address)
@@ -219,38 +219,38 @@
     run(test())
 
 
-def test_four_hundred_half_calls_hold_a_bounded_number_of_descriptors() -> None:
+def test_four_hundred_incomplete_commands_hold_a_bounded_number_of_descriptors() -> None:
     async def test() -> None:
         made = console()
         before = len(os.listdir("/proc/self/fd"))
-        crowd = []
+        connections = []
         for n in range(400):
             reader, writer = await asyncio.open_connection(*made.address)
             writer.write(b"" if n % 2 else b"read" if n % 4 else b"x" * MAX_LINE_BYTES)
-            crowd.append((reader, writer))
+            connections.append((reader, writer))
             if n % 40 == 0:
                 assert (await call(made.address, b"readyz\n")) == ["ok"]
         assert (await call(made.address, b"telemetry\n"))[-1] == "eof"
-        # All but the latest were cut; each of them holds the descriptor of its own end here.
+        # All but the latest were closed; each still holds the descriptor of its end in this process.
         assert len(os.listdir("/proc/self/fd")) - before <= 400 + 2 * MAX_CONNECTIONS
-        for reader, _ in crowd[: 400 - MAX_CONNECTIONS]:
+        for reader, _ in connections[: 400 - MAX_CONNECTIONS]:
             assert await reader.read() == b""
         made.close()
-        for _, writer in crowd:
+        for _, writer in connections:
             writer.close()
 
     run(test())
 
 
-def test_the_programs_own_address(tmp_path: Path) -> None:
-    """The file's `control`, and `GW_CONTROL` above it; without either nobody listens."""
+def test_the_control_address(tmp_path: Path) -> None:
+    """`GW_CONTROL` takes precedence over the file's `control`; without either there is none."""
     file = tmp_path / "config.json"
     raw = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1", "settings": SETTINGS}
-    for told, variable, expected in [
+    for entry, variable, expected in [
         (None, None, None),
         ("127.0.0.1:7", None, ("127.0.0.1", 7)),
         ("127.0.0.1:7", "127.0.0.1:8", ("127.0.0.1", 8)),
     ]:
-        file.write_text(json.dumps({**raw, "control": told}))
+        file.write_text(json.dumps({**raw, "control": entry}))
         environ = {"GW_CONFIG": str(file), "GW_CONTROL": variable or ""}
         assert load(environ).control == expected
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,4 +1,4 @@
-"""A crowd that connects and never finishes keeps no true client out."""
+"""Many connections with incomplete requests must not keep other clients out."""
 
 from __future__ import annotations
 
@@ -10,14 +10,13 @@
 from test_process import program
 
 DESCRIPTORS = 512
-CROWD = 1500  # three times what the limiter has; each has begun a head
-TRUE = 100
-LONG = (
-    4_000_000  # bytes of an upload beside them; a hundredth of it in each round is far above the least rate
-)
+INCOMPLETE = 1500  # three times the descriptors of the limiter; each sends part of a head
+COMPLETE = 100
+# Bytes of a concurrent upload; a hundredth of it in each round is far above MIN_BODY_BYTES_PER_S.
+LONG = 4_000_000
 
 
-def test_true_requests_on_new_connections_are_served_in_a_crowd_of_half_ones(tmp_path: Path) -> None:
+def test_requests_on_new_connections_are_served_among_incomplete_ones(tmp_path: Path) -> None:
     def limit() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS))
 
@@ -28,27 +27,27 @@
         ):
             slow = await made.connect()
             slow.send(message("upload", "slow", Content_Length=str(LONG)) + b"x" * (LONG // 4))
-            crowd = []
+            incomplete = []
 
-            async def half() -> None:
+            async def send_part() -> None:
                 client = await made.connect()
                 client.send(message("fix")[:40])
-                crowd.append(client)
+                incomplete.append(client)
 
-            async def true(n: int) -> None:
+            async def send_complete(n: int) -> None:
                 client = await made.connect()
-                assert (await client.ask(message("fix", f"true-{n}"))).body == f"true-{n}".encode()
+                assert (await client.ask(message("fix", f"complete-{n}"))).body == f"complete-{n}".encode()
                 client.close()
 
-            for n in range(TRUE):
+            for n in range(COMPLETE):
                 async with asyncio.TaskGroup() as group:
-                    for _ in range(CROWD // TRUE):
-                        group.create_task(half())
-                await true(n)
-                slow.send(b"x" * (LONG * 3 // 4 // TRUE))
-            # The slow upload was there first and has moved on all the time.
+                    for _ in range(INCOMPLETE // COMPLETE):
+                        group.create_task(send_part())
+                await send_complete(n)
+                slow.send(b"x" * (LONG * 3 // 4 // COMPLETE))
+            # The slow upload is the oldest and has made progress all the time.
             assert (await slow.answer()).body == b"slow"
-            for client in crowd:
+            for client in incomplete:
                 client.close()
             assert "Traceback" not in (tmp_path / "log").read_text()
 
--- a/tests/test_moments_rig.py
+++ b/tests/test_moments_rig.py
@@ -1,4 +1,4 @@
-"""The rig of the two terms: its late policy, on cases worked out by hand, and its runs' sense."""
+"""The benchmark in benchmarks/moments.py: its late policy on cases computed by hand, and its runs."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     return made
 
 
-def test_a_store_by_hand() -> None:
-    """Two units at most, one a second: two pass at once, the third does not, one more a second later."""
+def test_a_quota_bucket_computed_by_hand() -> None:
+    """At most two units, one per second: two pass at once, the third does not, one more a second later."""
     store = rig().Store(1.0, 2.0)
     assert [store.take(0.0) for _ in range(3)] == [True, True, False]
     assert not store.take(900.0) and store.take(1000.0)
@@ -29,13 +29,13 @@
 def test_what_the_late_policy_sees_is_a_second_old() -> None:
     store = rig().Store(1.0, 2.0)
     assert store.take(5000.0) and store.take(5000.0)
-    assert store.seen(5500.0) == 2.0  # as it was at 4.5 s: full
+    assert store.seen(5500.0) == 2.0  # the state at 4.5 s: full
     assert store.seen(6000.0) == 0.0
-    assert store.seen(6700.0) == pytest.approx(0.7)  # as it was at 5.7 s
+    assert store.seen(6700.0) == pytest.approx(0.7)  # the state at 5.7 s
 
 
-def test_a_run_is_its_seeds() -> None:
-    """And the fleet's price is a part of the worth, not below nothing; one limiter alone sees all itself."""
+def test_a_run_is_determined_by_its_seed() -> None:
+    """The fleet's price is a fraction of the worth and not negative; a single limiter sees everything."""
     made = rig()
     first = made.quota(3, 3.0, 1)
     assert first == made.quota(3, 3.0, 1) != made.quota(3, 3.0, 2)
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -1,4 +1,4 @@
-"""How tests over several processes wait: on events, with a patience that no verdict hangs on."""
+"""Waiting in tests with several processes: on events, with a timeout that decides no result."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def run(test: Coroutine[Any, Any, None], timeout_s: float = 3 * TEST_TIMEOUT_S) -> None:
-    """Run a test on the loop that the program uses; one that hangs fails."""
+    """Runs a test on the event loop that the program uses; fails a test that hangs."""
 
     async def bounded() -> None:
         async with asyncio.timeout(timeout_s):
@@ -23,7 +23,7 @@
 
 
 async def until(condition: Callable[[], bool], poll_interval_s: float = 0.005) -> None:
-    """Wait for something to hold, with so long between two looks."""
+    """Waits until a condition holds, and checks it every `poll_interval_s`."""
     async with asyncio.timeout(TEST_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(poll_interval_s)
