--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""The clients' side on the wire: what is taken on, in which order it is answered, what is turned down."""
+"""The clients' protocol: accepted requests, the order of responses, and rejected requests."""
 
 from __future__ import annotations
 
@@ -40,15 +40,15 @@
 
 
 def test_pipelined_bytes() -> None:
-    """Answers come in the order of the requests, though a later one is ready first."""
+    """Responses are sent in the order of the requests, even if a later one is available first."""
 
     async def test() -> None:
         async with backend() as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             names = [f"id-{n}" for n in range(3)]
             client.send(b"".join(message("read", name) for name in names) + message(X_Tier="none"))
-            held = [await server.arrived.get() for _ in names]
-            for request in sorted(held, key=lambda r: r.headers["req-id"], reverse=True):
+            at_server = [await server.arrived.get() for _ in names]
+            for request in sorted(at_server, key=lambda r: r.headers["req-id"], reverse=True):
                 await echo(request)
             assert [(await client.answer()).body.decode() for _ in names] == names
             assert (await client.answer()).code == 400
@@ -57,7 +57,7 @@
 
 
 def test_many_pipelined() -> None:
-    """More than are read ahead: the rest waits in the socket and is answered all the same."""
+    """More requests than MAX_PIPELINED: the others wait in the socket and are answered, too."""
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize(("raw", "code"), BAD)
 def test_bad_request(raw: bytes, code: int) -> None:
-    """Told at once; it reaches no server, and its connection goes on."""
+    """An invalid request is rejected at once and reaches no server; its connection stays open."""
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
@@ -149,7 +149,7 @@
 
 @pytest.mark.parametrize(("raw", "code"), BROKEN)
 def test_broken_bytes(raw: bytes, code: int) -> None:
-    """What can't be read to its end is answered and cut off; what was taken before it is answered first."""
+    """A malformed request gets its error after the earlier responses, and the connection is closed."""
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
@@ -166,7 +166,7 @@
 
 
 def test_refused_sender() -> None:
-    """One that is still sending gets its answer: cut off at once, it would see a reset in its place."""
+    """A client that is still sending gets its response; an immediate close would cause a reset instead."""
 
     async def test() -> None:
         async with limiter(host("a", "127.0.0.1:1")) as rig:
@@ -189,7 +189,7 @@
 
 
 def test_hang_up() -> None:
-    """Nobody waits for what is out: its attempt is given up and nothing is sent again."""
+    """After a client disconnects its attempt is cancelled and not retried."""
 
     async def test() -> None:
         async with backend() as server, limiter(host("a", server.address)) as rig:
@@ -216,7 +216,7 @@
 
 
 def test_up() -> None:
-    """Ready means that a request could be sent on."""
+    """Ready means that a request could be sent to a server."""
 
     async def test() -> None:
         async with limiter() as rig:
@@ -241,7 +241,7 @@
 
 
 class Module:
-    """In the decision module's place: it does what the test says."""
+    """Replaces the decision module for some events, as a test requires."""
 
     def __init__(self, rig: Rig, *events: type) -> None:
         self.events, self.rest = events, rig.limiter.decision_module
@@ -257,7 +257,7 @@
 
 
 def test_silent_module() -> None:
-    """The bridge answers at the deadline where the module never does."""
+    """The limiter responds at the deadline if the module never does."""
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
@@ -271,7 +271,7 @@
 
 @pytest.mark.parametrize("event", [api.Arrival, api.Outcome])
 def test_failing_module(event: type, caplog: pytest.LogCaptureFixture) -> None:
-    """An exception costs its own request alone, and is told in the log."""
+    """An exception in the module fails only its own request, and is logged."""
 
     async def test() -> None:
         async def script(request: Request) -> None:
@@ -293,25 +293,25 @@
     assert "a fault of the module" in caplog.text
 
 
-def test_unknown_server_and_moot_sends() -> None:
-    """A send that can't be made is told as one: the module may go on with the request."""
+def test_unknown_server_and_superseded_attempts() -> None:
+    """An attempt that can't be started is reported as MOOT: the module may continue with the request."""
 
     async def test() -> None:
-        heard: list[api.Outcome] = []
+        received: list[api.Outcome] = []
 
-        class Odd(Module):
+        class SendingNowhere(Module):
             def act(self, event: Any) -> list[api.Action]:
                 if isinstance(event, api.Arrival):
                     return [api.Send(event.request, 0, 1.0), api.Send(99, 0, 0.0)]
-                heard.append(event)
+                received.append(event)
                 return [api.Refuse(1, 250.0)]
 
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
-            Odd(rig, api.Arrival, api.Outcome)
+            SendingNowhere(rig, api.Arrival, api.Outcome)
             client = await rig.connect()
             answer = await client.ask(message())
             assert (answer.code, answer.headers["retry-after"]) == (429, "0.250")
-            assert [(o.status, o.attempt, o.closed) for o in heard] == [
+            assert [(o.status, o.attempt, o.closed) for o in received] == [
                 (api.Status.MOOT, 0, False),
                 (api.Status.MOOT, 0, True),
             ]
@@ -321,26 +321,26 @@
 
 
 def test_probe_and_timer() -> None:
-    """A probe's report and a timer come back to the module as events."""
+    """A probe's report and a timer reach the module as events."""
 
     async def test() -> None:
         async def script(request: Request) -> None:
             request.reply(body=b'{"inflight": 7, "qps": 2.5}')
 
-        heard: asyncio.Queue[Any] = asyncio.Queue()
+        received: asyncio.Queue[Any] = asyncio.Queue()
 
-        class Asking(Module):
+        class Probing(Module):
             def act(self, event: Any) -> list[api.Action]:
                 if isinstance(event, api.Arrival):
                     return [api.Probe(0), api.SetTimer(20.0, 7), api.Fail(event.request)]
-                heard.put_nowait(event)
+                received.put_nowait(event)
                 return []
 
         async with backend(script) as server, limiter(host("a", server.address)) as rig:
-            Asking(rig, api.Arrival, api.ProbeResult, api.TimerFired)
+            Probing(rig, api.Arrival, api.ProbeResult, api.TimerFired)
             client = await rig.connect()
             assert (await client.ask(message())).code == 502
-            events = {type(event): event for event in [await heard.get(), await heard.get()]}
+            events = {type(event): event for event in [await received.get(), await received.get()]}
             probe, timer = events[api.ProbeResult], events[api.TimerFired]
             assert (probe.status, probe.report, timer.token) == (api.Status.OK, (7.0, 2.5), 7)
             assert server.requests[0].line == "GET /metrics/load HTTP/1.1"
@@ -348,44 +348,44 @@
     run(test())
 
 
-def test_most_in_hand() -> None:
-    """Beyond the bound a request is refused at once; it was never sent on."""
+def test_limit_of_open_requests() -> None:
+    """Beyond the limit a request is refused at once and reaches no server."""
 
     async def test() -> None:
         async with backend() as server, limiter(host("a", server.address), max_open=1) as rig:
             one, two = await rig.connect(), await rig.connect()
             one.send(message(ident="one"))
-            held = await server.arrived.get()
+            at_server = await server.arrived.get()
             assert (await two.ask(message(ident="two"))).code == 503
-            await echo(held)
+            await echo(at_server)
             assert (await one.answer()).body == b"one"
 
     run(test())
 
 
-def test_bound_on_connections() -> None:
-    """At the bound the longest idle connection gives way, and one that waits for its answer does not."""
+def test_limit_of_connections() -> None:
+    """At the limit the longest idle connection is closed, and not one that waits for a response."""
 
     async def test() -> None:
         async with backend() as server, limiter(host("a", server.address)) as rig:
             rig.clients._max_connections = 2
             busy = await rig.connect()
             busy.send(message(ident="busy"))
-            held = await server.arrived.get()
+            at_server = await server.arrived.get()
             idle = await rig.connect()
             assert (await idle.ask(b"GET /up HTTP/1.1\r\n\r\n")).code == 200
             third = await rig.connect()
             assert (await third.ask(b"GET /up HTTP/1.1\r\n\r\n")).code == 200
             with contextlib.suppress(ConnectionError):
                 await idle.closed()
-            await echo(held)
+            await echo(at_server)
             assert (await busy.answer()).body == b"busy"
 
     run(test())
 
 
-def test_new_connections_get_their_turn(monkeypatch: pytest.MonkeyPatch) -> None:
-    """At the bound a connection that has not had time for its first request does not give way."""
+def test_new_connections_are_not_closed_before_their_first_request(monkeypatch: pytest.MonkeyPatch) -> None:
+    """At the limit a connection that has not had time for its first request stays open."""
     monkeypatch.setattr(clients, "FIRST_REQUEST_GRACE_S", 60.0)
 
     async def test() -> None:
@@ -400,8 +400,8 @@
     run(test())
 
 
-def test_empty_line_behind_a_request() -> None:
-    """It is no request: the connection stays free and is never told that one did not come."""
+def test_empty_line_after_a_request() -> None:
+    """It is not a request: the connection stays idle and gets no timeout error."""
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
@@ -409,7 +409,7 @@
             assert (await client.ask(message(ident="one"))).body == b"one"
             [connection] = rig.clients._open
             client.send(b"\r\n")
-            other = await rig.connect()  # while it is served the empty line is read
+            other = await rig.connect()  # the empty line is read during its request
             assert (await other.ask(message(ident="other"))).body == b"other"
             assert connection.request_begun_at is None and connection in rig.clients.idle_connections
             assert (await client.ask(message(ident="two"))).body == b"two"
@@ -417,8 +417,8 @@
     run(test())
 
 
-def test_half_read_request_in_a_drain(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A kept connection whose next request has begun to come is not closed under it."""
+def test_partly_read_request_in_a_drain(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A drain does not close a connection that has received part of its next request."""
     monkeypatch.setattr(clients, "MIN_DRAIN_LISTEN_S", 0.05)
     monkeypatch.setattr(clients, "FIRST_REQUEST_GRACE_S", 60.0)
 
@@ -430,7 +430,7 @@
             await until(lambda: not rig.clients.idle_connections)
             drain = asyncio.create_task(rig.clients.drain())
             await until(lambda: rig.clients._acceptor._listener.fileno() < 0)
-            for _ in range(5):  # turns of the drain
+            for _ in range(5):  # iterations of the drain
                 await asyncio.sleep(0.01)
             client.send(b"\r\n")
             answer = await client.answer()
@@ -442,7 +442,7 @@
 
 @pytest.mark.parametrize("raw", [b"", message()[:20]], ids=["silent", "half a request"])
 def test_stalled_connection(raw: bytes) -> None:
-    """One that says nothing, or whose request never comes whole, gives its socket back."""
+    """A connection without data, or with an incomplete request, is closed after a timeout."""
 
     async def test() -> None:
         async with limiter(host("a", "127.0.0.1:1")) as rig:
@@ -451,7 +451,7 @@
             await until(lambda: bool(rig.clients.receiving if raw else rig.clients.idle_connections))
             rig.clients.sweep()
             [connection] = rig.clients._open
-            connection.connected_at -= clients.HEAD_TIMEOUT_S  # counted from the connecting on
+            connection.connected_at -= clients.HEAD_TIMEOUT_S  # counts from the connect
             rig.clients.sweep()
             if raw:
                 assert (await client.answer()).code == 408
@@ -460,33 +460,33 @@
     run(test())
 
 
-def test_crowd_of_half_requests(monkeypatch: pytest.MonkeyPatch) -> None:
-    """At the bound those that have been at it for longest give way to one that asks."""
+def test_many_incomplete_requests(monkeypatch: pytest.MonkeyPatch) -> None:
+    """At the limit the oldest incomplete requests are rejected for a new connection."""
     monkeypatch.setattr(clients, "FIRST_REQUEST_GRACE_S", 0.05)
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
             rig.clients._max_connections = 3
-            crowd = [await rig.connect() for _ in range(9)]
-            for client in crowd:
+            incomplete = [await rig.connect() for _ in range(9)]
+            for client in incomplete:
                 client.send(message()[:20])
             late = await rig.connect()
             assert (await late.ask(message(ident="late"))).body == b"late"
-            assert (await crowd[0].answer()).code == 408
+            assert (await incomplete[0].answer()).code == 408
 
     run(test())
 
 
 def test_id_of_an_open_request() -> None:
-    """It goes on once; the other sender is told, and the id is free again when the first has its answer."""
+    """It is sent once; the duplicate gets 409, and the id can be reused after the first response."""
 
     async def test() -> None:
         async with backend() as server, limiter(host("a", server.address)) as rig:
             one, two = await rig.connect(), await rig.connect()
             one.send(message(ident="same"))
-            held = await server.arrived.get()
+            at_server = await server.arrived.get()
             assert (await two.ask(message(ident="same"))).code == 409
-            await echo(held)
+            await echo(at_server)
             assert (await one.answer()).body == b"same"
             server.script = echo
             assert (await two.ask(message(ident="same"))).body == b"same"
@@ -496,7 +496,7 @@
 
 
 def test_hidden_request() -> None:
-    """Behind a request of two lengths nothing is read: it may be another reader's body."""
+    """After a request with two lengths nothing is read: other software could take it for the body."""
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
@@ -514,16 +514,16 @@
 
 
 def test_bodies_are_bounded_together() -> None:
-    """What comes beyond is refused; the room is there again once a request is answered or its client gone."""
+    """Bodies beyond the limit are refused; a response or a disconnect of the client releases memory."""
 
     async def test() -> None:
         async with backend() as server, limiter(host("a", server.address), body_bytes=100_000) as rig:
             one, two, three = [await rig.connect() for _ in range(3)]
             one.send(message("fix", "one", b"x" * 60_000))
-            held = await server.arrived.get()
+            at_server = await server.arrived.get()
             two.send(message("fix", "two", b"x" * 60_000)[:-1])
             assert (await two.answer()).code == 503
-            await echo(held)
+            await echo(at_server)
             assert (await one.answer()).body == b"one"
             three.send(message("fix", "three", b"x" * 60_000)[:-1])
             await until(lambda: rig.clients._body_bytes > 50_000)
@@ -536,8 +536,8 @@
     run(test())
 
 
-def test_a_timer_that_is_due_already_is_followed_by_others() -> None:
-    """A handle for what is due at once tells no time; asking it for one broke every request meanwhile."""
+def test_a_timer_that_is_already_due_is_followed_by_others() -> None:
+    """A handle that is due at once does not provide its time; using it broke all requests meanwhile."""
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
@@ -551,8 +551,8 @@
     run(test())
 
 
-def test_in_a_crowd_connections_end_behind_their_answers() -> None:
-    """Incident r86fa4a: 5,000 connections asked once each and stayed, and used their clients' bound up."""
+def test_with_many_connections_each_closes_after_its_response() -> None:
+    """Incident r86fa4a: 5,000 connections with one request each stayed open and used up the clients' limit."""
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
@@ -572,7 +572,7 @@
 
 
 def test_an_open_connection_is_served_through_most_of_a_drain() -> None:
-    """Whoever kept its connection stays; nobody else has to take its customers in meanwhile."""
+    """Clients keep their connections; no other limiter has to serve their customers meanwhile."""
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
@@ -596,16 +596,16 @@
     [
         ((1200.0, 1500.0), (5000.0, 5000.0), 0.0, 3.7 - 1.5 - 0.3),  # SIGKILL after 3.7 s at the earliest
         ((300.0, 400.0), (1000.0, 800.0), 0.0, 1.7 - 0.4 - 0.3),
-        ((300.0, 400.0), (1000.0, 800.0), 0.5, 1.7 - 1.0 - 0.3),  # a late answer is worth something
+        ((300.0, 400.0), (1000.0, 800.0), 0.5, 1.7 - 1.0 - 0.3),  # a late response has some worth
         (
             (3000.0, 9000.0),
             (10000.0, 9000.0),
             0.0,
             3.7 - 9.0 - 0.3,
-        ),  # none can be sure of its answer
+        ),  # no response is certain
     ],
 )
-def test_a_drain_lasts_as_long_as_answers_are_sure_before_sigkill(
+def test_a_drain_lasts_as_long_as_responses_are_certain_before_sigkill(
     aims: tuple[float, ...], deadlines: tuple[float, ...], late: float, stays: float
 ) -> None:
     made = config().settings
--- a/tests/test_moments_ends.py
+++ b/tests/test_moments_ends.py
@@ -1,4 +1,4 @@
-"""A limiter's end, clients that go, connections that close: each crossing forced, over real connections."""
+"""Races at a limiter's shutdown, a client's disconnect and a connection's close, forced on real sockets."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 def test_all_is_answered_before_sigkill_whatever_the_deadlines(
     monkeypatch: pytest.MonkeyPatch, cls: str
 ) -> None:
-    """A server hangs under a request of 12 s when SIGTERM comes: it can't be waited for that long."""
+    """A server hangs with a request of 12 s at SIGTERM: there is no time to wait for its response."""
     monkeypatch.setattr(clients, "MAX_SIGKILL_DEADLINE_S", 0.2)  # SIGKILL 0.9 s after SIGTERM
 
     async def test() -> None:
@@ -63,7 +63,7 @@
             await server.arrived.get()
             drain = asyncio.create_task(rig.clients.drain())
             answer = await client.answer()
-            # What may have run and must not be repeated has failed; of the rest a retry is harmless.
+            # A request that may have been executed and must not be repeated fails; the others may be retried.
             assert answer.code == (502 if cls == "fix" else 429)
             await drain
             assert rig.limiter.open_requests == 0
@@ -72,8 +72,8 @@
     run(test())
 
 
-def test_a_request_in_the_last_moment_of_a_drain_is_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It came on an old connection when no answer of a server can be had any more."""
+def test_a_request_at_the_end_of_a_drain_is_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """It arrives on an old connection when there is no time for a server's response."""
     monkeypatch.setattr(clients, "FLUSH_S", 20.0)
     monkeypatch.setattr(clients, "MIN_DRAIN_LISTEN_S", 0.01)
     monkeypatch.setattr(clients, "DRAIN_QUIET_S", 0.0)
@@ -88,7 +88,7 @@
             await until(lambda: bool(rig.clients.receiving))
             drain = asyncio.create_task(rig.clients.drain())
             await until(lambda: rig.clients.closing)
-            rig.limiter.table.final_deadline_ms = rig.limiter.now()  # the time has come
+            rig.limiter.table.final_deadline_ms = rig.limiter.now()  # the final deadline
             client.send(message("fix", "one")[30:])
             answer = await client.answer()
             assert (answer.code, answer.headers["connection"]) == (503, "close")
@@ -99,8 +99,8 @@
     run(test())
 
 
-def test_a_body_that_still_comes_ends_with_the_process(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A long one on its way to a server when the drain's time is up: failed, not waited for."""
+def test_an_unfinished_upload_ends_with_the_process(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A long upload at the end of the drain fails and does not delay it."""
     monkeypatch.setattr(clients, "MAX_SIGKILL_DEADLINE_S", 0.2)
 
     async def test() -> None:
@@ -119,7 +119,7 @@
 
 @contextlib.asynccontextmanager
 async def ending(path: Path, address: str) -> Any:
-    """A limiter as a process with deadlines of 20 s before one server that never answers."""
+    """A limiter process with deadlines of 20 s and one server that never responds."""
     listen, file = unused_address(), path / "config.json"
     raw = document(listen, host("a", address))
     raw["settings"] = {**SETTINGS, "services": LONG}
@@ -142,7 +142,7 @@
 
 
 async def ready(name: str, port: int) -> None:
-    """Wait until a limiter says that it takes clients."""
+    """Waits until a limiter reports that it is ready."""
     while True:
         with contextlib.suppress(ConnectionError):
             client = Client(*await asyncio.open_connection(name, port))
@@ -153,8 +153,8 @@
         await asyncio.sleep(0.02)
 
 
-def test_a_process_told_to_end_beside_a_server_that_hangs(tmp_path: Path) -> None:
-    """SIGTERM with requests of all kinds out: each is answered, and the process ends by itself."""
+def test_a_process_terminated_while_a_server_hangs(tmp_path: Path) -> None:
+    """SIGTERM with outstanding requests of all classes: each is answered, and the process exits."""
 
     async def test() -> None:
         async with backend() as server, ending(tmp_path, server.address) as (process, name, port):
@@ -173,8 +173,8 @@
     run(test())
 
 
-class Given:
-    """`asyncio` with a clock of its own: a wait takes what it says, whatever the machine does."""
+class VirtualTimeAsyncio:
+    """`asyncio` with a virtual clock: a sleep takes exactly its time, whatever the load of the host."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -191,8 +191,8 @@
 def test_a_drain_is_over_before_sigkill_whatever_the_deadlines(
     monkeypatch: pytest.MonkeyPatch, deadline_ms: float
 ) -> None:
-    """Half a request holds its connection to the last moment; every wait of the drain is taken in full."""
-    given = Given()
+    """An incomplete request keeps its connection open to the end; all waits of the drain take full time."""
+    virtual = VirtualTimeAsyncio()
     services = [{**row, "aimMs": deadline_ms, "hardLimitMs": deadline_ms} for row in SETTINGS["services"]]
 
     async def test() -> None:
@@ -200,17 +200,17 @@
             client = await rig.connect()
             client.send(message(ident="half")[:40])
             await until(lambda: bool(rig.clients.receiving))
-            monkeypatch.setattr(clients, "asyncio", given)
-            monkeypatch.setattr(clients, "monotonic", lambda: given.now)
+            monkeypatch.setattr(clients, "asyncio", virtual)
+            monkeypatch.setattr(clients, "monotonic", lambda: virtual.now)
             [half] = rig.clients.receiving
-            half.connected_at = half.request_begun_at = 1e9  # it goes on coming
+            half.connected_at = half.request_begun_at = 1e9  # it is still being received
             await rig.clients.drain()
-            assert given.now < 1000.0 + rig.clients._sigkill_after_s
+            assert virtual.now < 1000.0 + rig.clients._sigkill_after_s
 
     run(test())
 
 
-def test_the_time_to_sigkill_is_the_settings() -> None:
+def test_the_time_to_sigkill_follows_from_the_settings() -> None:
     made = config(**with_long_deadlines()).settings
     assert sigkill_after_s(made) == 3.7
     assert sigkill_after_s(
@@ -219,20 +219,20 @@
 
 
 # --- Connections that close ---------------------------------------------------------------------------
-def test_no_connection_is_closed_over_a_request_that_lies_in_its_socket() -> None:
-    """It fell idle, then the next request came, then it was to be closed: the request goes first."""
+def test_no_connection_is_closed_with_an_unread_request_in_its_socket() -> None:
+    """If an idle connection receives a request before it is to be closed, the request is served first."""
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             assert (await client.ask(message(ident="one"))).body == b"one"
-            [kept] = rig.clients.idle_connections
-            assert peek(kept._sock) is UnreadData.NOTHING
+            [connection] = rig.clients.idle_connections
+            assert peek(connection._sock) is UnreadData.NOTHING
             client.send(message(ident="two"))
             end = time.monotonic() + TEST_TIMEOUT_S
             while (
-                peek(kept._sock) is UnreadData.NOTHING and time.monotonic() < end
-            ):  # holds the loop: nothing is read meanwhile
+                peek(connection._sock) is UnreadData.NOTHING and time.monotonic() < end
+            ):  # blocks the loop: nothing is read meanwhile
                 pass
             rig.clients._close_idle(time.monotonic())
             assert not rig.clients._make_room()
@@ -243,23 +243,23 @@
     run(test())
 
 
-def test_an_answer_is_not_lost_to_bytes_behind_its_request() -> None:
-    """The answer says close, and more lay in the socket: closing over it would reset the connection."""
+def test_a_response_is_not_lost_by_bytes_after_its_request() -> None:
+    """The response closes the connection while data is unread: a plain close would cause a reset."""
 
     async def test() -> None:
         async with backend() as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             client.send(message(ident="one", Connection="close"))
             first = await server.arrived.get()
-            [kept] = rig.clients._open
-            assert kept._transport
-            kept._transport.pause_reading()
-            kept._is_read_paused = True
+            [connection] = rig.clients._open
+            assert connection._transport
+            connection._transport.pause_reading()
+            connection._is_read_paused = True
             client.send(message(ident="two") * 50)
-            await until(lambda: peek(kept._sock) is UnreadData.BYTES)
+            await until(lambda: peek(connection._sock) is UnreadData.BYTES)
             await echo(first)
-            await until(lambda: bool(kept.has_responded))
-            await asyncio.sleep(0.05)  # a reset would have come by now, and gone before what is unread here
+            await until(lambda: bool(connection.has_responded))
+            await asyncio.sleep(0.05)  # time for a reset, which would overtake unread data
             assert (await client.answer()).body == b"one"
             await client.closed()
             assert len(server.requests) == 1
@@ -267,11 +267,11 @@
     run(test())
 
 
-@pytest.mark.parametrize("behind", ["read before the answer", "sent while it is on its way"])
-def test_a_slow_reader_gets_its_last_answer_whole_whatever_it_sends_behind(
-    monkeypatch: pytest.MonkeyPatch, behind: str
+@pytest.mark.parametrize("extra", ["read before the response", "sent during the response"])
+def test_a_slow_reader_gets_its_last_response_complete_whatever_it_sends_after(
+    monkeypatch: pytest.MonkeyPatch, extra: str
 ) -> None:
-    """More of the answer waits here than the system holds when the connection is to end."""
+    """The response exceeds the kernel's send buffer when the connection is to be closed."""
     monkeypatch.setattr(client_connection, "LINGER_S", 0.01)
     body = bytes(range(256)) * 240
 
@@ -280,26 +280,28 @@
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             sock.connect(rig.clients.address)
-            early = behind == "read before the answer"
+            early = extra == "read before the response"
             sock.sendall(message(ident="one", Connection=None if early else "close"))
             first = await server.arrived.get()
-            [kept] = rig.clients._open
-            kept._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+            [connection] = rig.clients._open
+            connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             if early:
                 sock.sendall(b"no request\r\n\r\n")
-                await until(lambda: kept._has_rejected)
+                await until(lambda: connection._has_rejected)
             first.reply(body=body)
-            await until(lambda: not kept._requests)
-            assert kept._transport
-            assert kept._transport.get_write_buffer_size() > 0
+            await until(lambda: not connection._requests)
+            assert connection._transport
+            assert connection._transport.get_write_buffer_size() > 0
             if not early:
                 sock.sendall(message(ident="two"))
-            await asyncio.sleep(0.1)  # whoever cuts the sender off after a time has done so by now
+            await asyncio.sleep(0.1)  # longer than LINGER_S
             sock.setblocking(False)
             got, loop = b"", asyncio.get_running_loop()
-            with contextlib.suppress(ConnectionResetError):  # with what lies behind the answer
-                # The last of it is left in the system's hands until the connection is gone here.
-                while kept._transport.get_write_buffer_size() and (piece := await loop.sock_recv(sock, 512)):
+            with contextlib.suppress(ConnectionResetError):  # caused by the unread data
+                # The rest stays in the kernel until the connection is closed here.
+                while connection._transport.get_write_buffer_size() and (
+                    piece := await loop.sock_recv(sock, 512)
+                ):
                     got += piece
                 await until(lambda: not rig.clients._open)
                 while piece := await loop.sock_recv(sock, 65536):
@@ -311,15 +313,15 @@
     run(test())
 
 
-def test_the_backlog_is_taken_whole_before_nobody_listens_any_more(monkeypatch: pytest.MonkeyPatch) -> None:
-    """More connections than are accepted at a time, each with a whole request, when the listener closes."""
+def test_the_whole_backlog_is_accepted_before_the_listener_closes(monkeypatch: pytest.MonkeyPatch) -> None:
+    """More connections than one batch, each with a complete request, when the listener closes."""
     monkeypatch.setattr(accepting, "MAX_ACCEPT_BATCH", 2)
     monkeypatch.setattr(clients, "MIN_DRAIN_LISTEN_S", 0.0)
     monkeypatch.setattr(clients, "DRAIN_QUIET_S", -1.0)
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
-            rig.clients._acceptor.pause()  # nobody accepts until the drain's last turn
+            rig.clients._acceptor.pause()  # no accept until the end of the drain
             asked = [await rig.connect() for _ in range(9)]
             for n, client in enumerate(asked):
                 client.send(message(ident=f"r-{n}"))
@@ -332,20 +334,22 @@
     run(test())
 
 
-# --- Clients that go ------------------------------------------------------------------------------------
+# --- Clients that disconnect ----------------------------------------------------------------------------
 def reset(sock: socket.socket) -> None:
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     sock.close()
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half-close"])
-def test_a_request_whose_client_left_before_it_was_read_is_not_sent_on(how: str) -> None:
-    """It waited in the backlog; when it is read its client has gone."""
+def test_a_request_whose_client_left_before_it_was_read_is_not_sent(how: str) -> None:
+    """Its client disconnects while it waits in the backlog."""
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address), reuse_s=30.0) as rig:
             client = await rig.connect()
-            assert (await client.ask(message(ident="first"))).body == b"first"  # its connection is free now
+            assert (
+                await client.ask(message(ident="first"))
+            ).body == b"first"  # leaves an idle server connection
             rig.clients._acceptor.pause()
             sock = socket.create_connection(rig.clients.address)
             paused = time.monotonic()
@@ -365,8 +369,8 @@
 
 
 @pytest.mark.parametrize("cancels", [True, False])
-def test_a_request_whose_client_left_while_a_connection_came_up_is_not_sent_on(cancels: bool) -> None:
-    """Whether the module may cancel what runs or not: this has not begun anywhere."""
+def test_a_request_whose_client_left_during_the_connect_is_not_sent(cancels: bool) -> None:
+    """Also if the module may not cancel running requests: this one has not started at any server."""
 
     async def test() -> None:
         gate, held = asyncio.Event(), asyncio.Event()
@@ -409,7 +413,7 @@
 
 @contextlib.asynccontextmanager
 async def starting(path: Path, name: str, **environ: str) -> Any:
-    """A limiter that is told something before it has read its configuration."""
+    """A limiter that gets a signal before it has read its configuration."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-c",
@@ -426,8 +430,8 @@
         await process.wait()
 
 
-def test_a_new_configuration_told_during_the_start_is_taken_up(tmp_path: Path) -> None:
-    """The variable is as old as the start; what the file names since then stands above it."""
+def test_a_reload_signalled_during_the_start_is_applied(tmp_path: Path) -> None:
+    """The variable only applies at the start; a reloaded file takes precedence."""
 
     async def test() -> None:
         async with agent() as old, agent() as new:
@@ -442,7 +446,7 @@
     run(test())
 
 
-def test_a_limiter_told_to_end_during_its_start_ends_in_order(tmp_path: Path) -> None:
+def test_a_limiter_terminated_during_its_start_drains(tmp_path: Path) -> None:
     async def test() -> None:
         raw = document(unused_address(), host("a", "127.0.0.1:1"))
         (tmp_path / "config.json").write_text(json.dumps(raw))
@@ -453,17 +457,17 @@
     run(test())
 
 
-def test_a_connection_ends_at_once_behind_an_answer_that_has_gone_out() -> None:
-    """A client that would keep it costs a crowd its room: nothing is waited for where nothing can be lost."""
+def test_a_connection_closes_at_once_after_a_response_that_was_sent() -> None:
+    """No lingering close if nothing can be lost: an open connection could keep out another client."""
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
             client = await rig.connect()
             await until(lambda: bool(rig.clients._open))
-            [kept] = rig.clients._open
+            [connection] = rig.clients._open
             client.send(message(ident="one", Connection="close"))
-            await until(lambda: kept._transport is not None and kept._transport.is_closing())
-            assert not kept._is_lingering
+            await until(lambda: connection._transport is not None and connection._transport.is_closing())
+            assert not connection._is_lingering
             assert (await client.answer()).body == b"one"
 
     run(test())
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The program as it is run: configuration, signals, descriptors."""
+"""The program as a process: configuration, signals, descriptors."""
 
 from __future__ import annotations
 
@@ -82,8 +82,8 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_work_in_hand_at_the_end(tmp_path: Path, number: signal.Signals) -> None:
-    """What was taken is finished, connections still come for a while, and the exit is clean."""
+def test_open_requests_at_shutdown(tmp_path: Path, number: signal.Signals) -> None:
+    """Open requests are finished, connections are accepted for a while, and the exit status is 0."""
 
     async def test() -> None:
         async with backend() as server, program(tmp_path, host("a", server.address)) as made:
@@ -95,17 +95,17 @@
             await until(lambda: "draining" in log.read_text())
             late = await made.connect()
             late.send(b"GET /up HTTP/1.1\r\n\r\n" + message("fix", "late"))
-            came = await server.arrived.get()
-            await echo(came)
+            request = await server.arrived.get()
+            await echo(request)
             answer = await late.answer()
             assert (answer.code, answer.headers.get("connection")) == (503, None)
             answer = await late.answer()
             assert (answer.body, answer.headers.get("connection")) == (b"late", None)
             last = await made.connect()
             last.send(message("fix", "half", b"body")[:-4])
-            # One that comes between the last accept and the close is reset by the system: nothing was on it.
+            # The kernel resets a connection between the last accept and the close; it carries no request.
             with contextlib.suppress(ConnectionRefusedError, ConnectionResetError):
-                while True:  # until nobody listens any more
+                while True:  # until the listener is closed
                     (await made.connect()).close()
                     await asyncio.sleep(0.01)
             await idle.closed()
@@ -123,7 +123,7 @@
 
 
 def test_descriptors_exhausted(tmp_path: Path) -> None:
-    """Connections for which there is no descriptor wait; the limiter serves on and takes them later."""
+    """Connections without a descriptor wait; the limiter continues and accepts them later."""
 
     def limit() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (48, 48))
@@ -135,18 +135,18 @@
         ):
             first = await made.connect()
             first.send(message("fix", "in-hand"))
-            held = await server.arrived.get()
-            # Each has begun a request, so that none is idle and may give way.
-            crowd = [await made.connect() for _ in range(80)]
-            for client in crowd:
+            at_server = await server.arrived.get()
+            # Each has sent part of a request, so that none is idle and may be closed.
+            incomplete = [await made.connect() for _ in range(80)]
+            for client in incomplete:
                 client.send(message("fix")[:10])
             log = tmp_path / "log"
             await until(lambda: "no descriptor for a new connection" in log.read_text())
-            await echo(held)
+            await echo(at_server)
             assert (await first.answer()).body == b"in-hand"
             server.script = echo
-            waiting = crowd.pop()
-            for client in crowd:
+            waiting = incomplete.pop()
+            for client in incomplete:
                 client.close()
             waiting.send(message("fix", "waited")[10:])
             assert (await waiting.answer()).body == b"waited"
@@ -158,7 +158,7 @@
 
 
 def test_reload(tmp_path: Path) -> None:
-    """SIGHUP moves the watch to where the replaced file puts it; an unreadable file changes nothing."""
+    """SIGHUP moves the watch to the discovery in the new file; an invalid file changes nothing."""
 
     async def test() -> None:
         async with (
@@ -169,10 +169,10 @@
         ):
             log, good = tmp_path / "log", json.loads(made.file.read_text())
             for text in ("{", "[]", json.dumps({**good, "discovery": "nowhere"})):
-                said = log.read_text().count("the configuration stays")
+                logged = log.read_text().count("the configuration stays")
                 made.file.write_text(text)
                 made.process.send_signal(signal.SIGHUP)
-                await until(lambda said=said: log.read_text().count("the configuration stays") > said)  # type: ignore[misc]
+                await until(lambda logged=logged: log.read_text().count("the configuration stays") > logged)  # type: ignore[misc]
             for watched in (old, new):
                 made.file.write_text(json.dumps({**good, "discovery": "{}:{}".format(*watched.address)}))
                 made.process.send_signal(signal.SIGHUP)
--- a/tests/test_unread_time.py
+++ b/tests/test_unread_time.py
@@ -1,4 +1,4 @@
-"""The time that a request lay unread in its socket is its client's: no server is told that time again."""
+"""The time that a request is unread in its socket counts against its deadline, as sent to servers."""
 
 from __future__ import annotations
 
@@ -15,44 +15,44 @@
 from basaltpoint.system.accepting import Acceptor
 from basaltpoint.system.listening import open_listener
 
-LAY_S = 0.4
-SLACK_S = 0.15  # by which the time told to a server may pass what the client has left (STANDING)
+UNREAD_S = 0.4
+SLACK_S = 0.15  # by which a server's deadline may exceed the client's (STANDING)
 WAIT_S = 1.0
-LONG_BODY = 1_000_000  # bytes; a socket that is not read takes a tenth of it
+LONG_BODY = 1_000_000  # bytes; an unread socket buffers a tenth of it
 
 
-async def lies_while_accept_fails(name: str, raw: bytes) -> None:
-    """A request that lay in the backlog tells its server what its client has left, and is answered."""
+async def unread_while_accept_fails(name: str, raw: bytes) -> None:
+    """A request from the backlog is sent with the remaining time of its client, and is answered."""
     async with backend() as server, limiter(host("a", server.address)) as rig:
         listener = FailingListener(rig.clients._acceptor, name)
         client = await rig.connect()
         client.send(raw)
         await listener.called.wait()
-        await asyncio.sleep(LAY_S)
+        await asyncio.sleep(UNREAD_S)
         listener.failures_left = 0
         request = await server.arrived.get()
-        assert 0.3 < float(request.headers["req-deadline"]) <= WAIT_S - LAY_S + SLACK_S
+        assert 0.3 < float(request.headers["req-deadline"]) <= WAIT_S - UNREAD_S + SLACK_S
         request.reply()
         assert (await client.answer()).code == 200
 
 
 @pytest.mark.parametrize("name", ["ENFILE", "EMFILE", "ENOMEM", "ETIMEDOUT"])
-def test_a_request_that_lay_while_accept_failed_tells_its_server_what_is_left(name: str) -> None:
-    run(lies_while_accept_fails(name, message(Req_Deadline=str(WAIT_S))))
+def test_a_request_unread_while_accept_failed_is_sent_with_the_remaining_time(name: str) -> None:
+    run(unread_while_accept_fails(name, message(Req_Deadline=str(WAIT_S))))
 
 
 def test_a_request_sent_once_accept_works_again_has_all_of_its_time() -> None:
-    """Its connection lay as long; the request did not."""
+    """Only the connection waited in the backlog, not the request."""
 
     async def test() -> None:
         async with backend() as server, limiter(host("a", server.address)) as rig:
             listener = FailingListener(rig.clients._acceptor, "ENFILE")
             client = await rig.connect()
             await listener.called.wait()
-            await asyncio.sleep(LAY_S)
+            await asyncio.sleep(UNREAD_S)
             listener.failures_left = 0
             other = await rig.connect()
-            assert (await other.ask(message(path="/up"))).code == 200  # all that waited is accepted
+            assert (await other.ask(message(path="/up"))).code == 200  # the backlog is accepted
             client.send(message(Req_Deadline=str(WAIT_S)))
             request = await server.arrived.get()
             assert float(request.headers["req-deadline"]) > WAIT_S - SLACK_S
@@ -62,14 +62,14 @@
     run(test())
 
 
-def test_a_request_whose_time_ran_out_in_the_backlog_is_answered_and_not_sent() -> None:
+def test_a_request_that_expired_in_the_backlog_is_answered_and_not_sent() -> None:
     async def test() -> None:
         async with backend() as server, limiter(host("a", server.address)) as rig:
             listener = FailingListener(rig.clients._acceptor, "ENFILE")
             client = await rig.connect()
             client.send(message(Req_Deadline="0.2"))
             await listener.called.wait()
-            await asyncio.sleep(LAY_S)
+            await asyncio.sleep(UNREAD_S)
             listener.failures_left = 0
             assert (await client.answer()).code >= 400
             assert not server.requests
@@ -77,8 +77,8 @@
     run(test())
 
 
-def test_a_request_behind_others_that_were_slow_tells_its_server_what_is_left() -> None:
-    """The fifth on a connection lies unread while four are out."""
+def test_a_request_after_slow_ones_is_sent_with_the_remaining_time() -> None:
+    """The fifth request on a connection is unread while four are outstanding."""
 
     async def test() -> None:
         async with backend() as server, limiter(host("a", server.address)) as rig:
@@ -87,12 +87,12 @@
                 client.send(message(ident=f"early-{number}"))
             early = [await server.arrived.get() for _ in range(4)]
             client.send(message(ident="late", Req_Deadline=str(WAIT_S)))
-            await asyncio.sleep(LAY_S)
+            await asyncio.sleep(UNREAD_S)
             for request in early:
                 request.reply()
             request = await server.arrived.get()
             assert request.headers["req-id"] == "late"
-            assert float(request.headers["req-deadline"]) <= WAIT_S - LAY_S + SLACK_S
+            assert float(request.headers["req-deadline"]) <= WAIT_S - UNREAD_S + SLACK_S
             request.reply()
             for _ in range(5):
                 assert (await client.answer()).code == 200
@@ -100,7 +100,7 @@
     run(test())
 
 
-def test_a_body_that_is_read_in_pieces_lay_as_long_as_its_head(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_body_read_in_pieces_was_unread_as_long_as_its_head(monkeypatch: pytest.MonkeyPatch) -> None:
     received = ClientConnection.data_received
 
     def in_pieces(self: ClientConnection, data: bytes) -> None:
@@ -109,23 +109,23 @@
 
     monkeypatch.setattr(ClientConnection, "data_received", in_pieces)
 
-    run(lies_while_accept_fails("ENFILE", message("fix", body=b"x" * 50_000, Req_Deadline=str(WAIT_S))))
+    run(unread_while_accept_fails("ENFILE", message("fix", body=b"x" * 50_000, Req_Deadline=str(WAIT_S))))
 
 
-def test_a_body_longer_than_the_receive_buffer_lay_as_long_as_its_head() -> None:
-    """Its later bytes come in only once the first ones are read."""
+def test_a_body_longer_than_the_receive_buffer_was_unread_as_long_as_its_head() -> None:
+    """Its later bytes only arrive after the first ones are read."""
 
-    run(lies_while_accept_fails("ENFILE", message("fix", body=b"x" * LONG_BODY, Req_Deadline=str(WAIT_S))))
+    run(unread_while_accept_fails("ENFILE", message("fix", body=b"x" * LONG_BODY, Req_Deadline=str(WAIT_S))))
 
 
-def test_a_request_behind_one_that_lay_has_all_of_its_time() -> None:
+def test_a_request_after_an_unread_one_has_all_of_its_time() -> None:
     async def test() -> None:
         async with backend() as server, limiter(host("a", server.address)) as rig:
             listener = FailingListener(rig.clients._acceptor, "ENFILE")
             client = await rig.connect()
             client.send(message("fix", ident="early", body=b"x" * LONG_BODY, Req_Deadline="2"))
             await listener.called.wait()
-            await asyncio.sleep(LAY_S)
+            await asyncio.sleep(UNREAD_S)
             listener.failures_left = 0
             early = await server.arrived.get()
             client.send(message(ident="late", Req_Deadline=str(WAIT_S)))
@@ -139,30 +139,30 @@
     run(test())
 
 
-def filled(near: socket.socket, far: socket.socket, size: int) -> None:
+def fill(near: socket.socket, far: socket.socket, size: int) -> None:
     near.setblocking(False)
     near.send(bytes(size))
     while unread_bytes(far) < min(size, MIN_RECEIVE_BUFFER_BYTES):
         sleep(0.001)
 
 
-@pytest.mark.parametrize("size, lain", [(1_000_000, True), (1_000, False)])
-def test_a_short_read_of_a_full_socket_lay_there_since_it_came_up(size: int, lain: bool) -> None:
+@pytest.mark.parametrize("size, full", [(1_000_000, True), (1_000, False)])
+def test_a_short_read_of_a_full_socket_counts_from_the_connect(size: int, full: bool) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         before = monotonic()
         near = socket.create_connection(listener.getsockname())
         far, _ = listener.accept()
     with near, far:
         sleep(0.1)
-        filled(near, far, size)
+        fill(near, far, size)
         far.recv(1)
         found = time_unread_s(far, before - 5.0, 1, has_responded=False)
         assert found <= monotonic() - before + 0.01
-        assert (found >= 0.09) is lain
-        assert (time_unread_s(far, before - 5.0, 1, has_responded=True) >= 5.0) is lain
+        assert (found >= 0.09) is full
+        assert (time_unread_s(far, before - 5.0, 1, has_responded=True) >= 5.0) is full
 
 
-def test_a_connection_that_comes_to_a_socket_with_nothing_waiting_has_not_lain() -> None:
+def test_a_connection_at_an_empty_backlog_has_no_unread_data() -> None:
     async def test() -> None:
         adopted: asyncio.Queue[float | None] = asyncio.Queue()
 
