--- a/basaltpoint/fronts/http/connection.py
+++ b/basaltpoint/fronts/http/connection.py
@@ -98,9 +98,7 @@
         self.peer = ""
         self.head_started_at: float | None = None  # monotonic seconds; None while no head is incomplete
         self.last_activity_at = monotonic()  # when the client last sent or accepted data, seconds
-        self.write_blocked_at: float | None = (
-            None  # since when the client does not read its response, seconds
-        )
+        self.write_blocked_at: float | None = None  # since when the client has not read its response
 
     # --- Connection ------------------------------------------------------------------------------
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/basaltpoint/membership/discovery.py
+++ b/basaltpoint/membership/discovery.py
@@ -109,17 +109,17 @@
 
     def _deliver(self, body: bytes, now: float) -> bool:
         """Reports the objects that these bytes complete. Returns False if one of them cannot be used."""
-        lists = 0
+        list_count = 0
         try:
             for raw_list in self._object_stream.feed(body):
-                lists += 1
+                list_count += 1
                 self._cancel_list_timer()
                 if not self._handler.list_received(self, raw_list):
                     self.close()
                     return False
         finally:
             self._handler.read_finished()
-        if lists:
+        if list_count:
             # If the previous read was delayed by a pause, it counts too. A partly received list is never
             # delayed.
             if (
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -41,7 +41,7 @@
             async with limiter(a, watched=watched) as rig:
                 client, other = await rig.connect(), await rig.connect()
                 client.send(message("fix", "first"))
-                held = await one.arrived.get()
+                pending = await one.arrived.get()
                 assert await watched.watches.get() == "/discovery/hosts?follow=1&since=1"
                 watched.send(
                     listing(2, host("a", one.address, "leaving"), host("b", two.address), whole=False)
@@ -49,9 +49,9 @@
                 await until(lambda: rig.watch.seq == 2)
                 for n in range(5):
                     assert (await other.ask(message("fix", f"next-{n}"))).code == 200
-                await echo(held)
+                await echo(pending)
                 assert (await client.answer()).body == b"first"
-                await held.closed()
+                await pending.closed()
                 assert (len(one.requests), len(two.requests)) == (1, 5)
 
     run(test())
@@ -288,7 +288,7 @@
                 await watched.watches.get()
                 client = await rig.connect()
                 client.send(message("fix", "held"))
-                held = await server.arrived.get()
+                pending = await server.arrived.get()
                 for n in range(1, 200):
                     new = host(f"s-{n}", server.address)
                     if n % 2:
@@ -301,7 +301,7 @@
                     assert len(fleet.records) == 2  # the listed server and the one with a request in hand
                     numbers |= set(rig.limiter.listed_servers.numbers.values())
                 assert len(numbers) == 199
-                await echo(held)
+                await echo(pending)
                 assert (await client.answer()).body == b"held"
                 assert len(fleet.records) == 1
 
@@ -313,7 +313,7 @@
     order: list[str] = []
     watch = Watch(
         ("127.0.0.1", 1),
-        lambda told: order.append(f"list {told.seq}, {len(told.hosts)} changed"),
+        lambda changes: order.append(f"list {changes.seq}, {len(changes.hosts)} changed"),
         Backoff(random.Random(1)),
         on_lease_change=lambda: order.append("current"),
     )
@@ -340,19 +340,19 @@
 def test_changes_in_quick_succession_are_read_together() -> None:
     async def test() -> None:
         nowhere = unused_address()
-        async with agent() as told, limiter(host("a", nowhere), watched=told) as rig:
-            await told.watches.get()
+        async with agent() as watched, limiter(host("a", nowhere), watched=watched) as rig:
+            await watched.watches.get()
             applied: list[HostList] = []
-            listed = rig.watch._on_list
+            on_list = rig.watch._on_list
 
             def count(lists: HostList) -> None:
                 applied.append(lists)
-                listed(lists)
+                on_list(lists)
 
             rig.watch._on_list = count
             began = time.monotonic()
             for number in range(2, 302):
-                told.send(listing(number, host(f"d-{number}", nowhere), whole=False))
+                watched.send(listing(number, host(f"d-{number}", nowhere), whole=False))
                 await asyncio.sleep(0.001)
             await until(lambda: rig.limiter.known_seq == 301)
             assert len(applied) <= 3 + (time.monotonic() - began) / READ_BATCH_DELAY_S < 300
@@ -383,8 +383,8 @@
     """The bytes arrive in quick succession; reading may be paused only after the end of a list."""
 
     async def test() -> None:
-        told, transport = WatchFixture(), PauseCountingTransport()
-        stream = discovery._WatchConnection(told.watch)
+        watch, transport = WatchFixture(), PauseCountingTransport()
+        stream = discovery._WatchConnection(watch.watch)
         stream.connection_made(transport)  # type: ignore[arg-type]
         raw = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         for version in range(1, 4):
@@ -392,7 +392,7 @@
             raw += b"%x\r\n%s\r\n" % (len(line), line)
         for at in range(len(raw)):
             stream.data_received(raw[at : at + 1])
-        assert [each.seq for each in told.lists] == [1, 2, 3]
+        assert [each.seq for each in watch.lists] == [1, 2, 3]
         assert transport.pauses <= 2
 
     run(test())
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -198,14 +198,14 @@
         with left, right:
             connection = StreamConnection(servers, UpstreamServer(("127.0.0.1", 1)), left, 4096, 65536)
             connection.connection_made(TransportStub())  # type: ignore[arg-type]
-            heard, ends = RecordingReceiver(), list[AttemptResult]()
+            receiver, ends = RecordingReceiver(), list[AttemptResult]()
             later = asyncio.get_running_loop().time() + 3600
-            connection.start(StreamAttempt(b"", later, ends.append, heard, head_only))
+            connection.start(StreamAttempt(b"", later, ends.append, receiver, head_only))
             edges = [0, *sorted(cut % (len(raw) + 1) for cut in cuts), len(raw)]
             for start, end in pairwise(edges):
                 if end > start and not ends:
                     connection.data_received(raw[start:end])
-            return heard.events, heard.body, [end.status for end in ends]
+            return receiver.events, receiver.body, [end.status for end in ends]
 
     return asyncio.run(play())
 
--- a/tests/test_moments_lists.py
+++ b/tests/test_moments_lists.py
@@ -96,8 +96,8 @@
     assert seen <= len(raw)
 
 
-def indented(told: dict[str, Any]) -> bytes:
-    return json.dumps(told, indent=4).encode() + b"\n"
+def indented(host_list: dict[str, Any]) -> bytes:
+    return json.dumps(host_list, indent=4).encode() + b"\n"
 
 
 def send_in_pieces(watched: Agent, raw: bytes) -> None:
@@ -154,13 +154,13 @@
     async def test() -> None:
         waits: list[int] = []
 
-        class Noting(Backoff):
+        class RecordingBackoff(Backoff):
             def next_delay_s(self) -> float:
                 waits.append(self._failures)
                 return 0.0
 
         async with agent() as watched, limiter(host("a", "127.0.0.1:1"), watched=watched) as rig:
-            rig.watch._backoff = Noting(random.Random(1))
+            rig.watch._backoff = RecordingBackoff(random.Random(1))
             await watched.watches.get()
             for _ in range(4):
                 watched.send(b"\n")
--- a/tests/test_moments_servers.py
+++ b/tests/test_moments_servers.py
@@ -141,7 +141,7 @@
     """It was decided in time, but connects after the server has forgotten the first attempt."""
 
     async def test() -> None:
-        gate, held = asyncio.Event(), asyncio.Event()
+        gate, connecting = asyncio.Event(), asyncio.Event()
         async with (
             backend() as server,
             limiter(host("a", server.address), settings={"services": KEYED}, connect_s=20.0) as rig,
@@ -150,7 +150,7 @@
             connect = loop.sock_connect
 
             async def late(sock: socket.socket, dial: Any) -> None:
-                held.set()
+                connecting.set()
                 await gate.wait()
                 await connect(sock, dial)
 
@@ -159,7 +159,7 @@
             first = await server.arrived.get()
             loop.sock_connect = late  # type: ignore[method-assign]
             first.reset()
-            await held.wait()
+            await connecting.wait()
             await asyncio.sleep(WINDOW_MS / 1000 + 0.02)
             gate.set()
             if cls == "read":  # safe requests may run any number of times
@@ -217,7 +217,7 @@
 
     async def test() -> None:
         async with backend() as server, limiter(host("a", server.address)) as rig:
-            sock, held, client = await client_with_unread_requests(server, rig)
+            sock, requests, client = await client_with_unread_requests(server, rig)
             assert client._is_read_paused
             if how == "reset":
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
@@ -226,7 +226,7 @@
             else:
                 sock.close()
             await until(lambda: client.is_client_gone())
-            for request in held:
+            for request in requests:
                 request.reply("500 Internal Server Error")  # each would be retried
             await until(lambda: not rig.clients._open and not rig.limiter.open_requests)
             assert len(server.requests) == 4
@@ -240,10 +240,10 @@
 
     async def test() -> None:
         async with backend() as server, limiter(host("a", server.address)) as rig:
-            sock, held, client = await client_with_unread_requests(server, rig)
+            sock, requests, client = await client_with_unread_requests(server, rig)
             sock.shutdown(socket.SHUT_WR)
             await until(lambda: client.is_client_gone())
-            for request in held:
+            for request in requests:
                 await echo(request)
             await until(lambda: not rig.clients._open)
             assert len(server.requests) == 4
