--- a/basaltpoint/__main__.py
+++ b/basaltpoint/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m basaltpoint`: the commands; with `GW_CONFIG` and no command the platform's limiter."""
+"""`python -m basaltpoint`: runs a command, or, with `GW_CONFIG` and no arguments, the platform's limiter."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 def main() -> int:
-    """Run; the exit code."""
+    """Returns the exit code."""
     if len(sys.argv) == 1 and "GW_CONFIG" in os.environ:
         from basaltpoint.daemon import signals
 
-        signals.record_signals()  # before all that takes its time
+        signals.record_signals()  # before the imports below, which take a while
         from basaltpoint.daemon.platform import main as platform
 
         return platform()
--- a/basaltpoint/cli.py
+++ b/basaltpoint/cli.py
@@ -1,4 +1,4 @@
-"""The commands. Each imports what it needs when it runs: the platform's start shall load nothing of it."""
+"""The command line. Each command imports its modules when it runs, to keep the start of the others fast."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         raw = load_toml(args.config)
         if "store" in raw and not shared_tables(raw):
             check_local_file(args.config)
-            print(f"{args.config}: good; the store holds the rest: basaltpoint config show")
+            print(f"{args.config}: valid; the shared tables are in the store: basaltpoint config show")
             return 0
         setup = load(args.config)
     except FileError as error:
@@ -31,8 +31,8 @@
         return 2
     file = setup.file
     print(
-        f"{args.config}: good; {len(file.route)} routes, {len(file.pool)} pools, {len(file.server)} servers, "
-        f"{len(file.plan)} plans, {len(setup.accounts)} keys"
+        f"{args.config}: valid; {len(file.route)} routes, {len(file.pool)} pools, "
+        f"{len(file.server)} servers, {len(file.plan)} plans, {len(setup.accounts)} keys"
     )
     return 0
 
@@ -42,7 +42,7 @@
 
     key = sys.stdin.buffer.readline().strip()
     if len(key) < MIN_KEY_BYTES:
-        print(f"a key has {MIN_KEY_BYTES} bytes at least; this one has {len(key)}", file=sys.stderr)
+        print(f"a key must have at least {MIN_KEY_BYTES} bytes; this one has {len(key)}", file=sys.stderr)
         return 2
     print("sha256:" + key_digest(key).hex())
     return 0
@@ -73,7 +73,7 @@
     return run(args)
 
 
-def _shared(args: argparse.Namespace) -> int:
+def _document(args: argparse.Namespace) -> int:
     from basaltpoint.daemon.document_command import run
 
     return run(args)
@@ -98,16 +98,18 @@
 
 
 def parser(argv: list[str]) -> argparse.ArgumentParser:
-    """All commands and their arguments."""
+    """Builds the parser; a command's arguments are added only if `argv` starts with it."""
     top = argparse.ArgumentParser(
         prog="basaltpoint", description="A request limiter in front of a shared API."
     )
     commands = top.add_subparsers(dest="command", required=True)
-    serve = commands.add_parser("serve", help="serve as the file says, until SIGTERM; SIGHUP reads it again")
+    serve = commands.add_parser(
+        "serve", help="serve with this configuration file, until SIGTERM; SIGHUP reloads the file"
+    )
     serve.add_argument("config", type=Path)
     serve.set_defaults(run=_serve)
     check = commands.add_parser(
-        "check", help="check a file and tell every problem; exit code 2 where there is one"
+        "check", help="check a file and report every problem; exit code 2 if there is one"
     )
     check.add_argument("config", type=Path)
     check.set_defaults(run=_check)
@@ -117,23 +119,29 @@
     ref.set_defaults(run=_reference)
     load = commands.add_parser("load", help="open-loop load: run, check, import, compare, audit")
     load.set_defaults(run=_load)
-    standin = commands.add_parser("standin", help="a stand-in server of stated behaviour")
+    standin = commands.add_parser("standin", help="a stand-in server with configurable behaviour")
     standin.set_defaults(run=_standin)
     store = commands.add_parser("store", help="the replicated store: run, status, members, backup, keys")
     store.set_defaults(run=_store)
-    drain = commands.add_parser("drain", help="have all limiters of a store send nothing new to a server")
-    drain.set_defaults(run=_shared)
-    undrain = commands.add_parser("undrain", help="end that")
-    undrain.set_defaults(run=_shared)
+    drain = commands.add_parser(
+        "drain", help="stop all limiters of a store from sending new requests to a server"
+    )
+    drain.set_defaults(run=_document)
+    undrain = commands.add_parser("undrain", help="end the drain of a server")
+    undrain.set_defaults(run=_document)
     fleet = commands.add_parser("fleet", help="the limiters that share quotas: status, watch, remove")
     fleet.set_defaults(run=_fleet)
-    rehearse = commands.add_parser("rehearse", help="play faults on a fleet of limiters, and say what held")
+    rehearse = commands.add_parser(
+        "rehearse", help="inject faults into a fleet of limiters, and report which checks pass"
+    )
     rehearse.set_defaults(run=_rehearse)
-    soak = commands.add_parser("soak", help="random faults on many of the platform's limiters, judged")
+    soak = commands.add_parser(
+        "soak", help="inject random faults into many of the platform's limiters, and check the results"
+    )
     soak.set_defaults(run=_soak)
     document = commands.add_parser("config", help="the configuration that all limiters of a store share")
-    document.set_defaults(run=_shared)
-    # Their arguments are theirs to add, and their libraries are loaded only where they run.
+    document.set_defaults(run=_document)
+    # Each command adds its own arguments; its modules are imported only if it runs.
     if argv[:1] == ["load"]:
         from basaltpoint.load.command import add_arguments as add_load
 
@@ -170,7 +178,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run a command; the exit code."""
+    """Runs a command and returns its exit code."""
     argv = sys.argv[1:] if argv is None else argv
     args = parser(argv).parse_args(argv)
     code: int = args.run(args)
--- a/basaltpoint/daemon/__init__.py
+++ b/basaltpoint/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Putting parts together: start, reload, drain."""
+"""Processes that are built from the other packages: start, reload, drain."""
--- a/basaltpoint/daemon/balances.py
+++ b/basaltpoint/daemon/balances.py
@@ -1,8 +1,9 @@
-"""What accounts have left, for the next life of this limiter. Free of I/O.
+"""The balances of accounts that a limiter saves for its next process. No I/O.
 
-A ceiling must not be passed, so it starts from what is sure: after an orderly end from what was left, after a
-kill as empty at the last sign of life; in both cases with what has filled since. A quota starts from what was
-written last: what was drawn in the moments before a kill is forgiven; without the store the whole burst was.
+A ceiling must never be exceeded, so the next process restores only units that are certain: after an orderly
+end those that were left, after a kill none; in both cases plus what refilled while the limiter did not run.
+A quota is restored from the balance that was written last: draws between that write and a kill are not
+counted. Without the store, a restart gives every account a full burst.
 """
 
 from __future__ import annotations
@@ -14,24 +15,23 @@
 from basaltpoint import interface as api
 from basaltpoint.system.timestamps import Timestamp
 
-MIN_CHANGE_FRACTION = 0.1  # of a burst; smaller changes are not written
-MAX_BALANCES_PER_WRITE = 200  # balances in one write: one transaction, at a bounded rate
-MAX_ALIVE_INTERVAL_S = (
-    1.0  # between two signs of life lies less, unless the process stood still and drew nothing
-)
+MIN_CHANGE_FRACTION = 0.1  # of the burst; smaller changes of a balance are not written
+MAX_BALANCES_PER_WRITE = 200  # balances in one transaction, which also bounds the rate of writes
+# Upper bound for the time between two alive records. A process that is paused for longer draws nothing
+# meanwhile.
+MAX_ALIVE_INTERVAL_S = 1.0
 
 
 class Balance(msgspec.Struct, frozen=True, array_like=True):
-    """What one account had left, and when."""
+    """The units that one account had left at a point in time."""
 
-    units_left: float
+    units_left: float  # of the quota
     ceiling_units_left: float
     saved_ms: float  # Unix time
-    final: bool  # nothing was drawn afterwards
-    boot_id: str = (
-        ""  # of the host that wrote it, and seconds since then: steps of the wall clock don't count
-    )
-    boot_s: float = 0.0
+    final: bool  # the limiter drew nothing afterwards
+    # Time since the host's boot, beside the wall clock, so that steps of the wall clock don't count.
+    boot_id: str = ""  # of the host that wrote the balance
+    boot_s: float = 0.0  # seconds since that boot
 
     @property
     def saved_at(self) -> Timestamp:
@@ -39,61 +39,73 @@
 
 
 class BalanceWriteQueue:
-    """Which balances are to be written."""
+    """Selects the balances to write."""
 
     def __init__(self) -> None:
-        self._written: dict[int, float] = {}
-        self.pending: dict[int, None] = {}  # asked since they were looked at, the longest ago first
+        self._written: dict[int, float] = {}  # units by account, as written last
+        self.pending: dict[int, None] = {}  # accounts with requests since their last check
 
     def take_due(
-        self, asked: Iterable[int], standing_of: Callable[[int], api.QuotaStatus | None]
+        self, active: Iterable[int], quota_status: Callable[[int], api.QuotaStatus | None]
     ) -> dict[int, api.QuotaStatus]:
-        """Of accounts that have asked, and those left over, as many as may be written now."""
-        for account in asked:
+        """Returns the balances to write now, MAX_BALANCES_PER_WRITE at most.
+
+        `active`: accounts with requests since the last call. They are checked after those still pending.
+        """
+        for account in active:
             self.pending[account] = None
-        found: dict[int, api.QuotaStatus] = {}
-        while self.pending and len(found) < MAX_BALANCES_PER_WRITE:
+        due: dict[int, api.QuotaStatus] = {}
+        while self.pending and len(due) < MAX_BALANCES_PER_WRITE:
             account = next(iter(self.pending))
             del self.pending[account]
-            standing = standing_of(account)
+            status = quota_status(account)
             if (
-                standing
-                and abs(self._written.get(account, standing.burst) - standing.units_left)
-                >= MIN_CHANGE_FRACTION * standing.burst
+                status
+                and abs(self._written.get(account, status.burst) - status.units_left)
+                >= MIN_CHANGE_FRACTION * status.burst
             ):
-                self._written[account] = standing.units_left
-                found[account] = standing
-        return found
+                self._written[account] = status.units_left
+                due[account] = status
+        return due
 
     def forget_written(self) -> None:
-        """What was written may be gone: the lease has ended."""
+        """Treats all balances as unwritten: the lease has ended, and the store may have removed them."""
         self._written.clear()
 
 
 def restore_balance(
-    customer: int, plan: api.Plan, held: Balance, now: Timestamp, down_s: float
+    customer: int, plan: api.Plan, balance: Balance, now: Timestamp, downtime_s: float
 ) -> api.RestoredBalance:
-    """Where an account goes on. `down_s`: for how long nothing was drawn, at least."""
-    passed = now.seconds_since(held.saved_at)
-    left = min(plan.burst, held.units_left + plan.rate * passed)
-    ceiling = (
-        held.ceiling_units_left + plan.ceiling_rate * min(passed, down_s)
-        if held.final
-        else plan.ceiling_rate * down_s
+    """Returns the balance with which an account continues.
+
+    `downtime_s`: how long nothing was drawn, at least.
+    """
+    passed_s = now.seconds_since(balance.saved_at)
+    units_left = min(plan.burst, balance.units_left + plan.rate * passed_s)
+    ceiling_units_left = (
+        balance.ceiling_units_left + plan.ceiling_rate * min(passed_s, downtime_s)
+        if balance.final
+        else plan.ceiling_rate * downtime_s
     )
-    return api.RestoredBalance(customer, left, min(plan.ceiling_depth, ceiling))
+    return api.RestoredBalance(customer, units_left, min(plan.ceiling_depth, ceiling_units_left))
 
 
 class AliveRecord(msgspec.Struct, frozen=True):
-    """Kept in a file of the host: by its clock since the boot, which no setting of the time moves."""
+    """Written to a file regularly while the limiter runs.
+
+    It uses the host's time since boot, which is not affected when the wall clock is set.
+    """
+
+    boot: str  # id of the host's boot
+    at_s: float  # seconds since that boot
 
-    boot: str
-    at_s: float
 
+def min_downtime_s(record: AliveRecord | None, boot_id: str, now_s: float) -> float:
+    """Returns for how many seconds, at least, the previous process has not run; 0 if unknown.
 
-def min_downtime_s(sign: AliveRecord | None, boot: str, now_s: float) -> float:
-    """For how many seconds the last life has been over, at least; 0 where nothing is known."""
-    if sign is None:
+    `now_s`: seconds since the host's boot.
+    """
+    if record is None:
         return 0.0
-    since = now_s - sign.at_s if sign.boot == boot else now_s  # it ended before this boot
-    return max(0.0, since - MAX_ALIVE_INTERVAL_S)
+    since_s = now_s - record.at_s if record.boot == boot_id else now_s  # it ended before this boot
+    return max(0.0, since_s - MAX_ALIVE_INTERVAL_S)
--- a/basaltpoint/daemon/fleet_query.py
+++ b/basaltpoint/daemon/fleet_query.py
@@ -1,4 +1,4 @@
-"""One question to a member over a connection of its own: what operators ask, and what one asks a namesake."""
+"""Single requests to a member over a connection of their own: operators' commands, and checks of a name."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 T = TypeVar("T")
 
 
-class _Question:
-    """One frame sent, one answer."""
+class _Query:
+    """Sends one request and waits for one response of the expected type."""
 
-    def __init__(self, part: Frame, kind: type[Any]) -> None:
-        self._part, self._kind = part, kind
-        self.answer: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
+    def __init__(self, request: Frame, response_type: type[Any]) -> None:
+        self._request, self._response_type = request, response_type
+        self.response: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
 
     def greeting_received(self, link: Link) -> bool:
-        return link.send(self._part)
+        return link.send(self._request)
 
     def frame_received(self, link: Link, frame: Any) -> None:
-        if isinstance(frame, self._kind) and not self.answer.done():
-            self.answer.set_result(frame)
+        if isinstance(frame, self._response_type) and not self.response.done():
+            self.response.set_result(frame)
 
     def link_closed(self, link: Link) -> None:
-        if not self.answer.done():
-            self.answer.set_exception(ConnectionResetError(link.close_reason or "it ended the connection"))
-            self.answer.exception()  # read by whoever waits, or by nobody
+        if not self.response.done():
+            self.response.set_exception(ConnectionResetError(link.close_reason or "it closed the connection"))
+            self.response.exception()  # marks it as retrieved: after a timeout nobody awaits it
 
 
 async def query_member(
@@ -40,33 +40,38 @@
     greeting: Greeting,
     name: str,
     address: str,
-    part: Frame,
-    kind: type[T],
+    request: Frame,
+    response_type: type[T],
     within_s: float = RESPONSE_TIMEOUT_S,
 ) -> T:
-    """Ask the member `name`; OSError, TimeoutError where no answer of the kind comes."""
-    asked = _Question(part, kind)
+    """Sends a request to the member `name` and returns its response; OSError, TimeoutError."""
+    query = _Query(request, response_type)
     link = await connect(
-        lambda: Link(asked, greeting, False, m.PEER_PROTOCOL, tls is None), address, name, tls
+        lambda: Link(query, greeting, False, m.PEER_PROTOCOL, tls is None), address, name, tls
     )
     try:
         async with asyncio.timeout(within_s):
-            answer: T = await asked.answer
-            return answer
+            response: T = await query.response
+            return response
     finally:
         link.close()
 
 
 async def query_view(setting: FleetSettings, name: str, address: str) -> m.ViewResponse:
-    """A member's view; OSError, TimeoutError where it does not answer."""
+    """Returns a member's view of the fleet; OSError, TimeoutError if it does not respond."""
     greeting = Greeting(PROTOCOL_VERSION, setting.cluster)
     return await query_member(
         Tls.from_files(setting.tls_files), greeting, name, address, m.ViewRequest((), 1), m.ViewResponse
     )
 
 
-async def request_removal(setting: FleetSettings, gone: str, force: bool) -> str:
-    """Have this file's member declare another gone for good; the reason why not, or nothing."""
-    greeting, part = Greeting(PROTOCOL_VERSION, setting.cluster), m.RemoveRequest((), 1, gone, force)
+async def request_removal(setting: FleetSettings, name: str, force: bool) -> str:
+    """Has the member of this file declare `name` permanently removed.
+
+    Returns why it refuses, or "". OSError, TimeoutError if it does not respond.
+    """
+    greeting, request = Greeting(PROTOCOL_VERSION, setting.cluster), m.RemoveRequest((), 1, name, force)
     tls = Tls.from_files(setting.tls_files)
-    return (await query_member(tls, greeting, setting.name, setting.address, part, m.RemoveResponse)).problem
+    return (
+        await query_member(tls, greeting, setting.name, setting.address, request, m.RemoveResponse)
+    ).problem
--- a/basaltpoint/daemon/platform.py
+++ b/basaltpoint/daemon/platform.py
@@ -1,4 +1,4 @@
-"""The platform's limiter: put together from `GW_CONFIG`, served until SIGTERM."""
+"""The platform's limiter: built from `GW_CONFIG`, serves until SIGTERM."""
 
 from __future__ import annotations
 
@@ -30,23 +30,24 @@
 
 log = logging.getLogger("basaltpoint")
 
-SWEEP_S = 0.25
+SWEEP_INTERVAL_S = 0.25
 CONTROL_BACKLOG = 128
-SEED = 0x5BD1E995  # sets the watch's chance apart from the module's
+BACKOFF_SEED_MASK = 0x5BD1E995  # separates the backoff's random numbers from the decision module's
 
 
 async def _sweep(limiter: Limiter, clients: Clients) -> None:
     while True:
-        await asyncio.sleep(SWEEP_S)
+        await asyncio.sleep(SWEEP_INTERVAL_S)
         try:
             limiter.sweep()
             clients.sweep()
         except Exception:
-            log.exception("a sweep failed; the next one goes on")  # without any, what stands still stays
+            # Without sweeps, stalled requests and connections would never be closed.
+            log.exception("a sweep failed; the next one runs as scheduled")
 
 
 def _reload(watch: Watch) -> None:
-    """Take up the replaced file; one that can't be read leaves all as it is."""
+    """Reads the replaced configuration file; if it is invalid, nothing changes."""
     try:
         address = configuration.reload_discovery(os.environ)
     except ConfigError as error:
@@ -56,8 +57,8 @@
     watch.set_address(address)
 
 
-async def _answer_operators(address: Address, limiter: Limiter, clients: Clients) -> None:
-    """Answer operators' calls until cancelled; where the address can't be had, serve without."""
+async def _serve_control(address: Address, limiter: Limiter, clients: Clients) -> None:
+    """Answers operators' calls until cancelled. The limiter serves without them if it can't listen."""
 
     def readyz() -> Iterable[str]:
         if clients.ready:
@@ -81,7 +82,7 @@
     try:
         listening = await open_listener_when_free(address, CONTROL_BACKLOG)
     except OSError as error:
-        log.error("nobody can call at %s:%d: %s", *address, error)
+        log.error("the control address %s:%d can't be opened: %s", *address, error)
         return
     console = Console(listening, {"readyz": readyz, "telemetry": telemetry, "rules": rules})
     console.listen()
@@ -92,28 +93,42 @@
 
 
 async def _listen(limiter: Limiter, clients: Clients, wait: bool) -> None:
-    """Take clients; with `wait` only once the list of servers may be acted on: the older process serves."""
+    """Starts accepting clients.
+
+    `wait`: first wait until the server list is confirmed; until then the predecessor serves.
+    """
     if wait:
         await limiter.started.wait()
     clients.listen()
 
 
-async def serve(config: configuration.Config, held: socket.socket | None = None) -> None:
-    """Serve until told to end, then finish what was taken. `held`: the platform's listening socket."""
+async def serve(config: configuration.Config, inherited_listener: socket.socket | None = None) -> None:
+    """Serves until SIGTERM or SIGINT, then completes the accepted requests.
+
+    `inherited_listener`: the listening socket that the platform passed to this process.
+    """
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    own = None if held else await open_listener_when_free(config.listen, BACKLOG)
-    path = socket_path(os.environ.get("TMPDIR"), config.name) if held else None
-    found = connect_to_predecessor(path) if path else None
+    own_listener = None if inherited_listener else await open_listener_when_free(config.listen, BACKLOG)
+    path = socket_path(os.environ.get("TMPDIR"), config.name) if inherited_listener else None
+    claimed = connect_to_predecessor(path) if path else None
     grace_s = config.settings.drain_grace_ms / 1000
-    ask_within_s = config.settings.discovery_confirm_ms / 1000 if config.settings.must_subscribe else None
-    lease = MembershipLease(time.monotonic(), grace_s, ask_within_s)
-    log.info("lists of servers are %s", "pushed" if ask_within_s is None else "asked for")
-    limiter = Limiter(config, read_predecessor_state(found[1]) if found else None, lease)
-    most = int((config.sockets - MARGIN) * (1 - SERVER_PART))
-    clients = Clients(limiter, config.settings, config.listen, most, config.body_bytes, held, own)
-    rng = random.Random(config.seed ^ SEED)
+    confirm_within_s = config.settings.discovery_confirm_ms / 1000 if config.settings.must_subscribe else None
+    lease = MembershipLease(time.monotonic(), grace_s, confirm_within_s)
+    log.info("server lists are %s", "pushed" if confirm_within_s is None else "requested")
+    limiter = Limiter(config, read_predecessor_state(claimed[1]) if claimed else None, lease)
+    max_connections = int((config.sockets - MARGIN) * (1 - SERVER_PART))
+    clients = Clients(
+        limiter,
+        config.settings,
+        config.listen,
+        max_connections,
+        config.body_bytes,
+        inherited_listener,
+        own_listener,
+    )
+    rng = random.Random(config.seed ^ BACKOFF_SEED_MASK)
     backoff = Backoff(rng, grace_s)
     watch = Watch(config.discovery, limiter.listed, backoff, lease, limiter.lease_changed)
     watch.seq = limiter.known_seq
@@ -123,10 +138,10 @@
     if signals.was_received(signal.SIGTERM, signal.SIGINT):
         stop.set()
     tasks = [loop.create_task(watch.run()), loop.create_task(_sweep(limiter, clients))]
-    upgrade = PlatformUpgrade(limiter, clients, path, found[0] if found else None) if path else None
-    listening = loop.create_task(_listen(limiter, clients, wait=found is not None))
+    upgrade = PlatformUpgrade(limiter, clients, path, claimed[0] if claimed else None) if path else None
+    listening = loop.create_task(_listen(limiter, clients, wait=claimed is not None))
     if config.control:
-        tasks.append(loop.create_task(_answer_operators(config.control, limiter, clients)))
+        tasks.append(loop.create_task(_serve_control(config.control, limiter, clients)))
     log.info("%s listens at %s:%d", config.name, *clients.address)
     await stop.wait()
     log.info("draining")
@@ -141,17 +156,21 @@
 
 
 def main() -> int:
+    """Returns the exit code: 0, or 2 if the configuration is invalid."""
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     if os.environ.get("GW_TRACE"):
         trace.enable()
     try:
         config = configuration.load(os.environ)
-        held = inherited_listening_socket(config.socket_fd) if config.socket_fd is not None else None
+        inherited_listener = (
+            inherited_listening_socket(config.socket_fd) if config.socket_fd is not None else None
+        )
     except ConfigError as error:
         log.error("%s", error)
         return 2
-    # The start's objects stay for good; searching them again and again would stall requests.
+    # The objects created so far live as long as the process; without this, each full garbage collection
+    # would traverse them and stall requests.
     gc.freeze()
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(serve(config, held))
+        runner.run(serve(config, inherited_listener))
     return 0
--- a/basaltpoint/daemon/platform_upgrade.py
+++ b/basaltpoint/daemon/platform_upgrade.py
@@ -1,4 +1,4 @@
-"""Two processes of one limiter during an upgrade: what each hands to the other, and when."""
+"""Two processes of one limiter during an upgrade on the platform: what is handed over, and when."""
 
 from __future__ import annotations
 
@@ -14,30 +14,37 @@
 
 log = logging.getLogger(__name__)
 
-FLUSH_TIMEOUT_S = 0.3  # for what is queued to go over when nothing else is left to do
+FLUSH_TIMEOUT_S = 0.3  # for queued data to reach the successor once everything else is done
 
 
 def read_predecessor_state(text: bytes) -> platform_state.PlatformState | None:
-    """What an older process has left; None, and told, where it can't be taken over."""
+    """Decodes the predecessor's state; logs the reason and returns None if it can't be taken over."""
     try:
         return platform_state.decode(text, time.monotonic())
     except platform_state.PlatformStateError as error:
-        log.warning("the older process's state is not taken over: %s", error)
+        log.warning("the predecessor's state is not taken over: %s", error)
         return None
 
 
 class PlatformUpgrade:
-    """This process between the one before it and the one after it."""
+    """The handover of one process: from its predecessor, then to its successor.
 
-    def __init__(self, limiter: Limiter, clients: Clients, path: str, older: socket.socket | None) -> None:
+    While both processes serve, each has half of the ceilings, quotas and server allowances of the limiter.
+    """
+
+    def __init__(
+        self, limiter: Limiter, clients: Clients, path: str, predecessor_socket: socket.socket | None
+    ) -> None:
         self._limiter = limiter
         self._clients = clients
-        self.started_s = time.monotonic()  # no connection lay longer on its way from the older process
-        self._since = limiter.now()  # from here on own draws are not in what the older one told
-        self._older = HandoverLink(older, _Older(self)) if older else None
-        clients.part = state.SHARED_FRACTION if older else 1.0
+        self.started_s = time.monotonic()  # connections from the predecessor are sent after this
+        self._started_ms = limiter.now()  # this process's draws since then are not in the predecessor's state
+        self._predecessor = (
+            HandoverLink(predecessor_socket, _PredecessorHandler(self)) if predecessor_socket else None
+        )
+        clients.part = state.SHARED_FRACTION if predecessor_socket else 1.0
         self._successor: HandoverLink | None = None
-        self._joined = False
+        self._has_final_state = False
         self._path = path
         self._listener: SuccessorListener | None = None
         self._listen_for_successor()
@@ -46,38 +53,39 @@
         if self._listener:
             self._listener.close()
         try:
-            self._listener = SuccessorListener(self._path, self._successor_came)
+            self._listener = SuccessorListener(self._path, self._successor_connected)
         except OSError as error:
             self._listener = None
-            log.warning("the next process will find nothing to take over: %s", error)
+            log.warning("a successor will not be able to take over: %s", error)
 
-    # --- As the newer of two --------------------------------------------------------------------
+    # --- As the successor -----------------------------------------------------------------------
     def predecessor_state_received(self, text: bytes) -> None:
-        """The older one's last word: it takes nothing new any more."""
-        gateway, now = self._limiter.decision_module, self._limiter.now()
-        state.restore_full_limits(gateway, now)
-        self._joined = True
+        """Takes over the predecessor's final state; the predecessor accepts no more requests."""
+        decision_module, now = self._limiter.decision_module, self._limiter.now()
+        state.restore_full_limits(decision_module, now)
+        self._has_final_state = True
         if (inherited := read_predecessor_state(text)) is None:
             return
-        if bad := state.merge_customers(gateway, inherited.module.get("customers"), now, self._since):
-            log.warning("%d customers of the older process could not be read", bad)
+        if unreadable := state.merge_customers(
+            decision_module, inherited.module.get("customers"), now, self._started_ms
+        ):
+            log.warning("%d customers in the predecessor's state could not be read", unreadable)
         self._limiter.reserve(inherited.open_req_ids)
-        log.info(
-            "took over from the older process, which has %d requests in hand", len(inherited.open_req_ids)
-        )
+        log.info("took over from the predecessor, which has %d open requests", len(inherited.open_req_ids))
 
     def predecessor_disconnected(self) -> None:
-        """The older one has gone."""
-        self._older = None
+        """Handles the end of the predecessor: this process serves alone."""
+        self._predecessor = None
         self._limiter.unreserve()
         self._clients.part = 1.0 if self._successor is None else state.SHARED_FRACTION
-        self._clients.listen()  # nobody else takes what comes, whether the list is confirmed by now or not
-        if not self._joined:
-            log.info("the older process ended without a last word")
+        # No other process accepts connections now, so this one does even if the server list is unconfirmed.
+        self._clients.listen()
+        if not self._has_final_state:
+            log.info("the predecessor ended without sending its final state")
             state.restore_full_limits(self._limiter.decision_module, self._limiter.now())
 
-    # --- As the older of two --------------------------------------------------------------------
-    def _successor_came(self, sock: socket.socket) -> None:
+    # --- As the predecessor ---------------------------------------------------------------------
+    def _successor_connected(self, sock: socket.socket) -> None:
         if self._successor:
             self._successor.close()
         self._successor = HandoverLink(sock, SuccessorHandler(self.successor_disconnected))
@@ -85,16 +93,16 @@
         self._successor.send_document(platform_state.encode(self._limiter.state_for_successor(halved=True)))
 
     def successor_disconnected(self) -> None:
-        """The newer one has ended before this one was told to: all goes on as it was."""
+        """Handles the end of the successor; unless this process drains, it serves alone again."""
         self._successor = None
         if not self._clients.draining:
-            log.warning("the newer process ended; this one goes on alone")
-            self._listen_for_successor()  # the name was the newer one's
+            log.warning("the successor ended; this process continues alone")
+            self._listen_for_successor()  # the successor had taken the socket's path over
             self._clients.part = 1.0
             state.restore_full_limits(self._limiter.decision_module, self._limiter.now())
 
     async def hand_over(self) -> None:
-        """After SIGTERM: pass state and connections to the newer one, where there is one."""
+        """After SIGTERM, passes state and connections to the successor, if there is one."""
         if (successor := self._successor) is None:
             return
         self._clients.stop_listening()
@@ -106,15 +114,16 @@
             await asyncio.sleep(0.005)
 
     def close(self) -> None:
+        """Closes the listener and both links."""
         if self._listener:
             self._listener.close()
-        for link in (self._older, self._successor):
+        for link in (self._predecessor, self._successor):
             if link:
                 link.close()
 
 
-class _Older:
-    """What comes from the process before this one."""
+class _PredecessorHandler:
+    """Handles what the predecessor sends."""
 
     def __init__(self, upgrade: PlatformUpgrade) -> None:
         self._upgrade = upgrade
--- a/basaltpoint/daemon/shared_state.py
+++ b/basaltpoint/daemon/shared_state.py
@@ -1,7 +1,8 @@
-"""What the store holds for limiters, and what it means to this one. Free of I/O.
+"""The configuration that limiters share through the store, and the setup that a limiter builds from it.
 
-Keys: `shared/document` is the file's tables that all limiters share, `shared/server/NAME` a server entry laid
-over them, `shared/drain/NAME` a server that drains.
+No I/O but for reading configuration files. Keys: `shared/document` holds the tables that all limiters share,
+`shared/server/NAME` a server entry that adds to or replaces one of the document, `shared/drain/NAME` marks a
+server as draining.
 """
 
 from __future__ import annotations
@@ -26,10 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What is to be done for what came."""
+    """What a change of the shared state requires."""
 
-    build: bool  # document or server entries: all is built anew
-    drains: bool
+    build: bool  # the document or server entries changed: the whole setup is built again
+    drains: bool  # the set of draining servers changed
 
     def __or__(self, other: Change) -> Change:
         return Change(self.build or other.build, self.drains or other.drains)
@@ -39,31 +40,34 @@
 
 
 class SharedState:
-    """The keys, each with the revision that set it: what comes late or twice changes nothing."""
+    """The shared keys and values.
+
+    Each key has the revision that set it, so that an old or repeated event changes nothing.
+    """
 
     def __init__(self) -> None:
         self.values: dict[str, bytes] = {}
-        self._changed: dict[str, int] = {}
+        self._revisions: dict[str, int] = {}
 
     def load(self, values: Mapping[str, bytes], revision: int) -> Change:
-        """All of it, as read anew."""
+        """Replaces all keys with a complete read of the store at `revision`."""
         change = NO_CHANGE
         for key in self.values.keys() | values.keys():
             if self.values.get(key) != values.get(key):
-                change |= _kind(key)
+                change |= _change_of(key)
         self.values = dict(values)
-        self._changed = dict.fromkeys(values, revision)
+        self._revisions = dict.fromkeys(values, revision)
         return change
 
     def apply_events(self, events: Iterable[tuple[int, str, bytes | None]]) -> Change:
-        """Changes: revision, key, value or None for a removal."""
+        """Applies events of the store: revision, key, and value or None for a removal."""
         change = NO_CHANGE
         for revision, key, value in events:
-            if revision <= self._changed.get(key, 0):
+            if revision <= self._revisions.get(key, 0):
                 continue
-            self._changed[key] = revision
+            self._revisions[key] = revision
             if value != self.values.get(key):
-                change |= _kind(key)
+                change |= _change_of(key)
             if value is None:
                 self.values.pop(key, None)
             else:
@@ -81,7 +85,7 @@
         return self.values.get(DOCUMENT_KEY)
 
     def build_setup(self, path: Path, numbers: NumberRegistry | None) -> Setup:
-        """What a limiter with this file runs on; FileError with every problem found."""
+        """Builds the setup of a limiter with this file; FileError with every problem found."""
         out = ProblemCollector(f"{path} with {DOCUMENT_KEY} of the store")
         raw = read_toml(path, out)
         tables = parse_document(self.document, out) if self.document is not None else {}
@@ -96,25 +100,25 @@
         )
 
 
-def _kind(key: str) -> Change:
+def _change_of(key: str) -> Change:
     drains = key.startswith(DRAIN_PREFIX)
     return Change(not drains and key.startswith(SHARED_PREFIX), drains)
 
 
 def limiter_name(raw: dict[str, Any]) -> str:
-    """The limiter's name by its file's tables, under which the store holds what is its own."""
+    """Returns the limiter's name in its file's tables; the store holds its state under this name."""
     name = raw.get("name", "basaltpoint")
-    # It names files, too, before the whole file is checked.
+    # File names are built from it before the whole file is checked, so an invalid one is not used.
     return name if isinstance(name, str) and re.fullmatch(NAME_PATTERN, name) else "basaltpoint"
 
 
 def first_document(path: Path) -> bytes | None:
-    """The file's own text where it has shared tables: a new store begins with it. FileError."""
+    """Returns the file's text, to initialise a new store, or None if it has no shared tables; FileError."""
     return path.read_bytes() if shared_tables(load_toml(path)) else None
 
 
 def check_local_file(path: Path) -> None:
-    """Check a file whose shared tables the store holds; FileError with every problem found."""
+    """Checks a file whose shared tables are in the store; FileError with every problem found."""
     out, raw = ProblemCollector(str(path)), load_toml(path)
     for key, kind in (
         ("limits", LimitsTable),
@@ -123,13 +127,13 @@
         ("fleet", FleetTable),
     ):
         if key == "fleet" and key not in raw:
-            continue  # its address has no default
+            continue  # `fleet.listen` has no default
         if isinstance(table := raw.get(key, {}), dict):
-            made = decode(kind, table, out, key)
-            if isinstance(made, StoreTable):
-                storage.check(made, path.parent, out)
-            elif isinstance(made, FleetTable):
-                fleets.check(made, limiter_name(raw), path.parent, out)
+            decoded = decode(kind, table, out, key)
+            if isinstance(decoded, StoreTable):
+                storage.check(decoded, path.parent, out)
+            elif isinstance(decoded, FleetTable):
+                fleets.check(decoded, limiter_name(raw), path.parent, out)
         else:
             out.add(key, f"found {format_value(table)}", "a table")
     if not isinstance(raw.get("listen"), str):
@@ -138,7 +142,7 @@
 
 
 def check_document(path: Path) -> bytes:
-    """A file's text, once all of it is right as a limiter's; FileError with every problem found."""
+    """Checks a file as a limiter's and returns its text; FileError with every problem found."""
     raw = {"listen": "127.0.0.1:0"} | load_toml(path)
     build_setup(raw, path, ProblemCollector(str(path)))
     return path.read_bytes()
--- a/basaltpoint/daemon/signals.py
+++ b/basaltpoint/daemon/signals.py
@@ -1,7 +1,7 @@
-"""Signals that come while the program still starts: kept until its loop can hear them.
+"""Records signals that arrive during the start, until the event loop handles them.
 
-Without this a SIGHUP in the first tenths of a second ends the process, as it does any program that has not
-asked for it. What comes before the interpreter itself is up (some 20 ms) can't be kept here.
+Without a handler, a SIGHUP in the first tenths of a second would end the process, as is the default. Signals
+that arrive before the interpreter is initialised (about 20 ms) can't be recorded.
 """
 
 from __future__ import annotations
@@ -9,19 +9,19 @@
 import signal
 from types import FrameType
 
-_came: set[int] = set()
+_received: set[int] = set()
 
 
-def _keep(number: int, frame: FrameType | None) -> None:
-    _came.add(number)
+def _record(number: int, frame: FrameType | None) -> None:
+    _received.add(number)
 
 
 def record_signals() -> None:
-    """From here on no signal of operators is lost or deadly."""
+    """Installs handlers that record SIGHUP, SIGTERM and SIGINT instead of ending the process."""
     for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, _keep)
+        signal.signal(number, _record)
 
 
 def was_received(*numbers: int) -> bool:
-    """Whether one of these came before whoever asks took them over."""
-    return not _came.isdisjoint(numbers)
+    """Whether any of the signals arrived before the event loop's handlers replaced the recording ones."""
+    return not _received.isdisjoint(numbers)
--- a/basaltpoint/daemon/standalone.py
+++ b/basaltpoint/daemon/standalone.py
@@ -1,4 +1,4 @@
-"""`basaltpoint serve`: the standalone limiter from its file; reload on SIGHUP, drain on SIGTERM."""
+"""`basaltpoint serve`: the standalone limiter; it reloads its file on SIGHUP and drains on SIGTERM."""
 
 from __future__ import annotations
 
@@ -36,49 +36,56 @@
 
 log = logging.getLogger("basaltpoint")
 
-SWEEP_S = 0.25
+SWEEP_INTERVAL_S = 0.25
 BACKLOG = 1024
-CLIENTS, FLEET = "clients", "fleet"  # what a listening socket is for
+CLIENT_LISTENER, FLEET_LISTENER = "clients", "fleet"  # kinds of listening sockets in a handover
 
 
 class Standalone:
-    """One limiter from one file."""
+    """One limiter, configured by one file and, with a [store] table, by what the store holds."""
 
     def __init__(self, path: Path, seed: int | None = None) -> None:
-        """FileError with every problem of the file; with [store] the rest is known at the start only."""
+        """Raises FileError with every problem of the file.
+
+        With a [store] table, the shared tables are checked in `start` only.
+        """
         self.path = path
         self._numbers = NumberRegistry()
         self.setup: Setup
         self.store_follower: StoreFollower | None = None
         raw = load_toml(path)
         if "store" in raw:
-            self.store_follower, self._kept = (
+            self.store_follower, self._store_adapter = (
                 StoreFollower(storage.parse(raw, path), path, limiter_name(raw)),
                 StoreAdapter(self),
             )
         else:
             self.setup = build.build_setup(raw, path, ProblemCollector(str(path)), self._numbers)
         self.name = limiter_name(raw)
-        told = raw.get("handover")
-        self._handover = str(path.parent / told) if isinstance(told, str) and told else ""
+        handover = raw.get("handover")
+        self._handover_dir = str(path.parent / handover) if isinstance(handover, str) and handover else ""
         self.upgrade: Upgrade | None = None
-        self._sock: socket.socket
-        self.end_reason = ""  # why this process can't go on
-        self.stop = asyncio.Event()  # it is to drain and end
-        self.fleet = Fleet(fleets.parse(raw, path), self._members, self._end) if "fleet" in raw else None
+        self._listener: socket.socket
+        self.end_reason = ""  # why this process has to end; empty if it can continue
+        self.stop = asyncio.Event()  # set when the limiter is to drain and end
+        self.fleet = (
+            Fleet(fleets.parse(raw, path), self._member_count_changed, self._end_with)
+            if "fleet" in raw
+            else None
+        )
         self._seed = secrets.randbits(64) if seed is None else seed
         self.relay: Relay
         self.address = ("", 0)
-        self._acceptor: Acceptor | None = None  # since this process serves
+        self._acceptor: Acceptor | None = None  # None until this process serves
         self._sweeper: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Listen and serve; StartError where the address or the store can't be had, FileError."""
+        """Listens and serves; StartError if an address or the store is not available, FileError."""
         if self.store_follower:
             await self.store_follower.start()
             self.setup = self.setup_from_store()
-        left = await self._inherit()
-        held = self._held(left)
+        left = await self._wait_for_predecessor()
+        listeners = self._inherited_listeners(left)
         if (
             left
             and left.shared
@@ -87,29 +94,36 @@
         ):
             self.setup = self.setup_from_store()
         if self.fleet:
-            await self._join(
-                self.fleet, left.place if left and FLEET in held else None, held.pop(FLEET, None)
+            await self._join_fleet(
+                self.fleet,
+                left.place if left and FLEET_LISTENER in listeners else None,
+                listeners.pop(FLEET_LISTENER, None),
             )
-        down_ms = self.store_follower.downtime_s * 1000 if self.store_follower else 0.0
+        downtime_ms = self.store_follower.downtime_s * 1000 if self.store_follower else 0.0
         if left:
-            # One that the older process did not know may have drawn all of its ceiling a moment ago.
-            self.relay = Relay(self._own(self.setup), self._seed, 0.0, left.origin_s, left.started_ms)
+            # The ceilings start empty (downtime 0): a customer that is missing in the predecessor's state
+            # may have drawn all of its ceiling just before.
+            self.relay = Relay(
+                self._with_local_share(self.setup), self._seed, 0.0, left.origin_s, left.started_ms
+            )
             for problem in upgrade_state.import_module_state(
-                self.relay.decision_module, left, self._names(), self.relay.now()
+                self.relay.decision_module, left, self._numbers_by_name(), self.relay.now()
             ):
                 log.warning("not taken over: %s", problem)
-            log.info("took over from the older process")
+            log.info("took over from the predecessor")
         else:
-            self.relay = Relay(self._own(self.setup), self._seed, down_ms)
+            self.relay = Relay(self._with_local_share(self.setup), self._seed, downtime_ms)
         if self.store_follower:
-            self._kept.start(self.store_follower, recalls=left is None)
+            self._store_adapter.start(self.store_follower, restores=left is None)
         try:
-            sock = held.pop(CLIENTS, None) or await open_listener_when_free(self.setup.listen, BACKLOG)
+            sock = listeners.pop(CLIENT_LISTENER, None) or await open_listener_when_free(
+                self.setup.listen, BACKLOG
+            )
         except OSError as error:
             raise StartError(f"{self.setup.file.listen}: {error}") from None
-        for passed in held.values():
-            passed.close()
-        self._sock = sock
+        for unused in listeners.values():
+            unused.close()
+        self._listener = sock
         bound = sock.getsockname()
         self.address = bound[0], bound[1]
         relay = self.relay
@@ -120,8 +134,8 @@
             self.upgrade.start_serving(self.relay.adopt)
         log.info("%s listens at %s:%d", self.setup.file.name, *self.address)
 
-    async def _join(self, fleet: Fleet, place: FleetPlace | None, sock: socket.socket | None) -> None:
-        """Take a place among the members; those that the store tells of are asked as well as the seeds."""
+    async def _join_fleet(self, fleet: Fleet, place: FleetPlace | None, sock: socket.socket | None) -> None:
+        """Joins the fleet through the seeds of the file and the members that the store lists."""
         setting, seeds = fleet.setting, []
         if self.store_follower:
             self.store_follower.own_member = setting.cluster, setting.name, ""
@@ -135,62 +149,67 @@
             raise StartError(f"fleet: {self.end_reason}")
         if self.store_follower:
             self.store_follower.own_member = setting.cluster, setting.name, fleet.address
-            self.store_follower.members_found = lambda found: fleet.set_store_members(
-                [(name, at) for _, name, at in found]
+            self.store_follower.members_found = lambda members: fleet.set_store_members(
+                [(name, address) for _, name, address in members]
             )
 
     # --- Two processes during an upgrade ------------------------------------------------------------------
-    async def _inherit(self) -> UpgradeState | None:
-        """What an older process leaves, once it is told to end; None where there is none."""
-        path = socket_path(self._handover, self.name) if self._handover else None
+    async def _wait_for_predecessor(self) -> UpgradeState | None:
+        """Returns the predecessor's state once it drains; None if there is no predecessor."""
+        path = socket_path(self._handover_dir, self.name) if self._handover_dir else None
         if path is None:
             return None
         self.upgrade = Upgrade(path, self.name)
         try:
-            if not self.upgrade.claim():
+            if not self.upgrade.find_predecessor():
                 return None
         except HandoverError as error:
-            raise StartError(f"an older process serves, and {error}; end it first") from None
-        log.info("ready: this process serves once the older one is told to end (SIGTERM)")
+            raise StartError(f"a predecessor serves that can't hand over: {error}; end it first") from None
+        log.info("ready: this process serves once its predecessor receives SIGTERM")
         return await self.upgrade.wait_for_state()
 
-    def _held(self, left: UpgradeState | None) -> dict[str, socket.socket]:
-        """The listening sockets that came, but those of addresses that the file no longer names."""
+    def _inherited_listeners(self, left: UpgradeState | None) -> dict[str, socket.socket]:
+        """The predecessor's listening sockets by kind.
+
+        Closes those whose address is no longer in the file.
+        """
         if not left or not self.upgrade:
             return {}
-        wanted = {CLIENTS: self.setup.listen}
+        wanted = {CLIENT_LISTENER: self.setup.listen}
         if self.fleet:
-            wanted[FLEET] = parse_address(self.fleet.setting.table.listen)
+            wanted[FLEET_LISTENER] = parse_address(self.fleet.setting.table.listen)
         found = {}
-        for what, sock in zip(left.listeners, self.upgrade.listeners, strict=False):
+        for kind, sock in zip(left.listeners, self.upgrade.listeners, strict=False):
             host, port = sock.getsockname()[:2]
-            if what in wanted and wanted[what] in ((host, port), (host, 0)):
+            if kind in wanted and wanted[kind] in ((host, port), (host, 0)):
                 sock.setblocking(False)
-                found[what] = sock
+                found[kind] = sock
             else:
-                log.warning("the older process's address for %s, %s:%d, is not this one's", what, host, port)
+                log.warning(
+                    "the predecessor's address for %s, %s:%d, is not the configured one", kind, host, port
+                )
                 sock.close()
         self.upgrade.listeners = []
         return found
 
-    def _names(self) -> dict[str, dict[str, int]]:
-        """Numbers by name, of whatever the module's state goes by."""
+    def _numbers_by_name(self) -> dict[str, dict[str, int]]:
+        """This process's numbers of accounts, servers and pools, by kind and name."""
         return {
             "account": {account.name: account.number for account in self.setup.accounts.all()},
             "server": {spec.name: spec.number for spec in self.setup.servers},
-            "pool": {"": 0, **self.setup.pools},  # the first is for lists that name none
+            "pool": {"": 0, **self.setup.pools},  # "" is the pool of server lists that name none
         }
 
     def hand_state_over(self, send: Callable[[int], bool]) -> UpgradeState:
-        """Pass the listening sockets, take nothing new from now on, and tell all that is left."""
+        """Passes the listening sockets with `send`, stops accepting requests and returns the state."""
         assert self._acceptor
-        relay, names, listeners = self.relay, self._names(), []
-        if send(self._sock.fileno()):
-            listeners.append(CLIENTS)
+        relay, names, listeners = self.relay, self._numbers_by_name(), []
+        if send(self._listener.fileno()):
+            listeners.append(CLIENT_LISTENER)
         self._acceptor.stop()
-        member = self.fleet.hand_over(send) if self.fleet else None
-        if member:
-            listeners.append(FLEET)
+        place = self.fleet.hand_over(send) if self.fleet else None
+        if place:
+            listeners.append(FLEET_LISTENER)
         now = relay.now()
         module = state.export_state(relay.decision_module, now)
         state.exhaust_ceilings(relay.decision_module, now, self.setup.file.clients.drain_s * 1000)
@@ -203,25 +222,28 @@
             names,
             relay.first_seen_ms(),
             tuple(listeners),
-            member,
+            place,
             shared,
         )
 
     async def _sweep(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             self.relay.close_stalled()
             if self.store_follower:
                 self.store_follower.record_alive()
 
     def reload(self) -> bool:
-        """Take up the file as it is now; one with any problem changes nothing, and each is told."""
+        """Applies the file as it is now; returns whether it did.
+
+        A file with problems changes nothing; each problem is logged.
+        """
         if self._acceptor is None:
-            log.error("nothing is served yet; the file is read when the start goes on")
+            log.error("this process does not serve yet; the start reads the file")
             return False
         try:
             setup = self.setup_from_store() if self.store_follower else build.load(self.path, self._numbers)
-            self._same(setup)
+            self._check_fixed_settings(setup)
             if self.fleet:
                 self.fleet.update_setting(fleets.load(self.path))
         except FileError as error:
@@ -234,46 +256,46 @@
         return True
 
     def setup_from_store(self) -> Setup:
-        """What the store holds, with this limiter's own file; FileError."""
+        """Builds the setup from the store's tables and this limiter's own file; FileError."""
         assert self.store_follower
         return self.store_follower.shared_state.build_setup(self.path, self._numbers)
 
     def apply_setup(self, setup: Setup) -> None:
-        """Go over to another configuration at once."""
+        """Replaces the configuration of the running limiter."""
         self.setup = setup
-        self.relay.apply_settings(self._own(setup))
+        self.relay.apply_settings(self._with_local_share(setup))
 
-    def _own(self, setup: Setup) -> Setup:
-        """This limiter's part of it."""
+    def _with_local_share(self, setup: Setup) -> Setup:
+        """The setup with this limiter's share of the fleet's quotas and ceilings."""
         return setup.for_fleet(self.fleet.live_count, self.fleet.setting.table.most) if self.fleet else setup
 
-    def _members(self, count: int) -> None:
+    def _member_count_changed(self, count: int) -> None:
         log.info("fleet: %d members share the quotas", count)
         if self._acceptor:
             self.apply_setup(self.setup)
 
-    def _end(self, reason: str) -> None:
+    def _end_with(self, reason: str) -> None:
         self.end_reason = reason
         self.stop.set()
 
-    def _same(self, setup: Setup) -> None:
-        """What can't change under a running process is an error, not silently old."""
+    def _check_fixed_settings(self, setup: Setup) -> None:
+        """Raises FileError if a setting has changed that takes effect at a restart only."""
         old, new = self.setup.file, setup.file
         allowed = "as at the start, or a restart"
-        wrong = [
+        problems = [
             Problem(str(self.path), key, f"found {format_value(str(getattr(new, key)))}", allowed)
             for key in ("listen", "limits", "name", "store", "handover")
             if getattr(old, key) != getattr(new, key)
         ]
-        if _but_seeds(old.fleet) != _but_seeds(new.fleet):
-            wrong.append(
+        if _without_seeds(old.fleet) != _without_seeds(new.fleet):
+            problems.append(
                 Problem(str(self.path), "fleet", "changed", f"its seeds alone may change, else {allowed}")
             )
-        if wrong:
-            raise FileError(wrong)
+        if problems:
+            raise FileError(problems)
 
     async def drain(self) -> None:
-        """Finish what was taken, and end; what a newer process can go on with is passed to it."""
+        """Completes open requests and ends; passes state and idle connections to a successor, if any."""
         send = await self.upgrade.hand_over(self) if self.upgrade else None
         if self.fleet:
             if send:
@@ -297,7 +319,7 @@
         await self.close()
 
     async def close(self) -> None:
-        """End at once."""
+        """Ends at once, without a drain."""
         if self._acceptor:
             self._acceptor.stop()
         if self.fleet:
@@ -312,7 +334,7 @@
         await asyncio.sleep(0)
 
 
-def _but_seeds(table: FleetTable | None) -> FleetTable | None:
+def _without_seeds(table: FleetTable | None) -> FleetTable | None:
     return msgspec.structs.replace(table, seeds=()) if table else None
 
 
@@ -323,14 +345,14 @@
     loop.add_signal_handler(signal.SIGHUP, limiter.reload)
     starting = loop.create_task(limiter.start())
     stopping = loop.create_task(stop.wait())
-    # A start that waits for the store can be ended, too.
+    # A signal also ends a start that still waits for the store.
     await asyncio.wait([starting, stopping], return_when=asyncio.FIRST_COMPLETED)
     if not starting.done() or starting.exception():
-        failed = starting.exception() if starting.done() else None
+        failure = starting.exception() if starting.done() else None
         starting.cancel()
         await limiter.close()
-        if failed:
-            raise failed
+        if failure:
+            raise failure
         return
     await stopping
     log.info("draining")
@@ -338,7 +360,10 @@
 
 
 def run(path: Path) -> int:
-    """Serve until told to end; the exit code."""
+    """Serves until SIGTERM or SIGINT.
+
+    Returns the exit code: 0, 1 if the limiter can't start or has to end, 2 if the configuration is invalid.
+    """
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     try:
         limiter = Standalone(path)
@@ -349,7 +374,8 @@
     except OSError as error:
         log.error("%s: %s", path, error)
         return 1
-    # The start's objects stay for good; searching them again and again would stall requests.
+    # The objects created so far live as long as the process; without this, each full garbage collection
+    # would traverse them and stall requests.
     gc.freeze()
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/basaltpoint/daemon/store_adapter.py
+++ b/basaltpoint/daemon/store_adapter.py
@@ -1,4 +1,4 @@
-"""Between the store and a running limiter: what is held is taken up, what is to be kept is told."""
+"""Connects a running limiter with the store: applies the shared state, and provides what is to be saved."""
 
 from __future__ import annotations
 
@@ -19,63 +19,67 @@
 
 
 class ConfiguredLimiter(Protocol):
-    """What follows the store: its configuration, and how to go over to another."""
+    """A limiter whose configuration can be replaced while it runs."""
 
     setup: Setup
     relay: Relay
 
     def setup_from_store(self) -> Setup:
-        """What the store holds, with this limiter's own file; FileError."""
+        """Builds the setup from the store's tables and this limiter's own file; FileError."""
 
-    def apply_setup(self, setup: Setup) -> None: ...
+    def apply_setup(self, setup: Setup) -> None:
+        """Replaces the configuration of the running limiter."""
 
 
 class StoreAdapter(StateToSave):
-    """One limiter's."""
+    """The adapter of one limiter."""
 
     def __init__(self, limiter: ConfiguredLimiter) -> None:
         self._limiter = limiter
         self.balances = BalanceWriteQueue()
-        self._looked = -math.inf  # when accounts were looked through last, of the module's clock
-        self._numbers: dict[int, str] = {}
-        self._problem = ""  # of the document that could not be used
+        self._balances_checked_ms = -math.inf  # of the decision module's clock
+        self._account_names: dict[int, str] = {}  # by number
+        self._problem = ""  # of the document; empty if it is in use
 
-    def start(self, keeper: StoreFollower, recalls: bool = True) -> None:
-        """Give back what an earlier life left, and follow the store from now on.
+    def start(self, store_follower: StoreFollower, restores: bool = True) -> None:
+        """Restores the saved state of the previous process, and follows the store from now on.
 
-        `recalls`: False where more is known than that life could write, as its process told it directly.
+        `restores`: False if the predecessor has handed its state over, which is more recent than the saved.
         """
-        self._keeper = keeper
-        self._name_accounts()
+        self._store_follower = store_follower
+        self._index_account_names()
         setup, relay = self._limiter.setup, self._limiter.relay
         accounts = {account.name: account for account in setup.accounts.all()}
-        moment = timestamps.now()
-        for name, balance in keeper.balances.items() if recalls else ():
+        now = timestamps.now()
+        for name, balance in store_follower.balances.items() if restores else ():
             if account := accounts.get(name):
                 plan = setup.settings.plans[account.plan]
-                event = restore_balance(account.number, plan, balance, moment, keeper.downtime_s)
+                event = restore_balance(account.number, plan, balance, now, store_follower.downtime_s)
                 relay.do(relay.table.handle_event(relay.now(), event))
-        for name, (light, mean_ms) in keeper.learned_latencies.items() if recalls else ():
+        for name, (light_ms, mean_ms) in store_follower.learned_latencies.items() if restores else ():
             if name in setup.pools:
-                learned = api.RestoredLatencies(setup.pools[name], light, mean_ms)
-                relay.do(relay.table.handle_event(relay.now(), learned))
-        if keeper.balances and recalls:
+                latencies = api.RestoredLatencies(setup.pools[name], light_ms, mean_ms)
+                relay.do(relay.table.handle_event(relay.now(), latencies))
+        if store_follower.balances and restores:
             log.info(
-                "store: %d accounts go on, %.1f s after the last life",
-                len(keeper.balances),
-                keeper.downtime_s,
+                "store: restored %d accounts, %.1f s after the previous process ended",
+                len(store_follower.balances),
+                store_follower.downtime_s,
             )
-        keeper.follow(self._changed, self)
+        store_follower.follow(self._changed, self)
 
-    def _name_accounts(self) -> None:
-        self._numbers = {account.number: account.name for account in self._limiter.setup.accounts.all()}
+    def _index_account_names(self) -> None:
+        self._account_names = {account.number: account.name for account in self._limiter.setup.accounts.all()}
 
     def _changed(self, change: Change) -> str:
-        """Take up what came. A document that can't be used changes nothing, but its drains hold."""
-        limiter, held = self._limiter, self._keeper.shared_state
+        """Applies a change of the shared state; returns the document's problem, or "".
+
+        An invalid document changes nothing; drains are applied in any case.
+        """
+        limiter, shared_state = self._limiter, self._store_follower.shared_state
         if not change.build:
-            limiter.apply_setup(limiter.setup.with_drains(held.drains))
-            log.info("store: draining: %s", ", ".join(sorted(held.drains)) or "none")
+            limiter.apply_setup(limiter.setup.with_drains(shared_state.drains))
+            log.info("store: draining: %s", ", ".join(sorted(shared_state.drains)) or "none")
             return self._problem
         try:
             limiter.apply_setup(limiter.setup_from_store())
@@ -83,35 +87,48 @@
             for problem in error.problems:
                 log.error("%s", problem)
             log.error("store: the configuration stays as it was")
-            limiter.apply_setup(limiter.setup.with_drains(held.drains))
+            limiter.apply_setup(limiter.setup.with_drains(shared_state.drains))
             self._problem = str(error.problems[0])
             return self._problem
         self._problem = ""
-        self._name_accounts()
-        log.info("store: the configuration was taken up, revision %d", self._keeper.revision)
+        self._index_account_names()
+        log.info("store: applied the configuration of revision %d", self._store_follower.revision)
         return ""
 
-    # --- What the next life needs ------------------------------------------------------------------------
+    # --- State to save -----------------------------------------------------------------------------------
     def due_balances(self, final: bool) -> dict[str, Balance]:
         relay = self._limiter.relay
-        gateway, now, at = relay.decision_module, relay.now(), timestamps.now()
+        decision_module, now, timestamp = relay.decision_module, relay.now(), timestamps.now()
         if final:
-            told = {n: standing for n in gateway.customers if (standing := gateway.quota_status(now, n))}
+            due = {
+                n: status
+                for n in decision_module.customers
+                if (status := decision_module.quota_status(now, n))
+            }
         else:
-            told = self.balances.take_due(
-                gateway.customers_since(self._looked), lambda number: gateway.quota_status(now, number)
+            due = self.balances.take_due(
+                decision_module.customers_since(self._balances_checked_ms),
+                lambda number: decision_module.quota_status(now, number),
             )
-            self._looked = now
+            self._balances_checked_ms = now
         return {
-            self._numbers[number]: Balance(
-                standing.units_left, standing.ceiling_units_left, at.unix_ms, final, at.boot_id, at.boot_s
+            self._account_names[number]: Balance(
+                status.units_left,
+                status.ceiling_units_left,
+                timestamp.unix_ms,
+                final,
+                timestamp.boot_id,
+                timestamp.boot_s,
             )
-            for number, standing in told.items()
-            if number in self._numbers
+            for number, status in due.items()
+            if number in self._account_names
         }
 
     def learned_latencies(self) -> dict[str, tuple[tuple[float, ...], float]]:
-        """Light-load latencies of each pool: in a jam at the start they can't be measured."""
+        """Returns the light-load latencies and the mean latency (ms) of each pool, by its name.
+
+        A process that starts under overload can't measure them.
+        """
         names = {number: name for name, number in self._limiter.setup.pools.items()}
         return {
             names[number]: (tuple(pool.light_latencies_ms), pool.servers.mean_latency_ms)
--- a/basaltpoint/daemon/upgrade.py
+++ b/basaltpoint/daemon/upgrade.py
@@ -1,8 +1,8 @@
-"""Two processes of one standalone limiter during an upgrade: who serves, and what the one passes on.
+"""Two processes of one standalone limiter during an upgrade: which one serves, and what is handed over.
 
-The newer one reads its configuration and waits. On SIGTERM the older one passes its listening sockets, its
-state and its place among the members, then client connections as they fall idle. So one process at a time
-takes requests and draws on quotas, and the other members see no change.
+The successor reads its configuration and waits. On SIGTERM the predecessor passes its listening sockets, its
+state and its membership of the fleet, then client connections as they become idle. So only one process at a
+time accepts requests and draws on quotas, and the other members of the fleet see no change.
 """
 
 from __future__ import annotations
@@ -25,122 +25,128 @@
 
 log = logging.getLogger("basaltpoint")
 
-FLUSH_TIMEOUT_S = (
-    3.0  # for the document to be read by a process that is starting; then its connections go as ever
-)
+# For the successor, which may still be starting, to read the state. Connections that can't be passed to it
+# after this time end with the drain.
+FLUSH_TIMEOUT_S = 3.0
 POLL_INTERVAL_S = 0.005
 
 
 class Predecessor(Protocol):
-    """What a process is asked by the one after it."""
+    """The limiter that hands its state to a successor."""
 
     def hand_state_over(self, send: Callable[[int], bool]) -> UpgradeState:
-        """Pass the listening sockets, take nothing new from now on, and tell all that is left."""
+        """Passes the listening sockets with `send`, stops accepting requests and returns the state."""
 
 
 class Upgrade:
-    """One process between the one before it and the one after it."""
+    """The handover of one process: from its predecessor, then to its successor."""
 
     def __init__(self, path: str, name: str) -> None:
         self._path, self._name = path, name
-        self._older: HandoverLink | None = None
+        self._predecessor: HandoverLink | None = None
         self._successor: HandoverLink | None = None
         self._listener: SuccessorListener | None = None
-        self._told: asyncio.Future[UpgradeState | None]
+        self._state: asyncio.Future[UpgradeState | None]
         self.listeners: list[socket.socket] = []
-        self._early: list[socket.socket] = []  # connections that came before they could be served
-        self.adopt: Callable[[socket.socket], None] = self._early.append
-
-    # --- As the newer of two ----------------------------------------------------------------------------
-    def claim(self) -> bool:
-        """Whether an older process is there; HandoverError where it can't be followed."""
-        found = connect_to_predecessor(self._path)
-        if found is None:
+        self._early_connections: list[socket.socket] = []  # received before this process serves
+        self.adopt: Callable[[socket.socket], None] = self._early_connections.append
+
+    # --- As the successor -------------------------------------------------------------------------------
+    def find_predecessor(self) -> bool:
+        """Whether there is a predecessor; HandoverError if its handover version is not supported."""
+        claimed = connect_to_predecessor(self._path)
+        if claimed is None:
             return False
-        sock, text = found
+        sock, text = claimed
         try:
             upgrade_state.decode_hello(text)
         except HandoverError:
             sock.close()
             raise
-        self._told = asyncio.get_running_loop().create_future()
-        self._older = HandoverLink(sock, _Older(self))
+        self._state = asyncio.get_running_loop().create_future()
+        self._predecessor = HandoverLink(sock, _PredecessorHandler(self))
         return True
 
     async def wait_for_state(self) -> UpgradeState | None:
-        """What the older one leaves once it is told to end; None where it ended without a word."""
-        return await self._told
+        """Returns the predecessor's state once it drains; None if it ended without sending a usable one."""
+        return await self._state
 
     def state_received(self, text: bytes) -> None:
-        """The older one's last word."""
-        if self._told.done():
+        """Handles the predecessor's state document."""
+        if self._state.done():
             return
         try:
-            self._told.set_result(upgrade_state.decode(text, time.monotonic()))
+            self._state.set_result(upgrade_state.decode(text, time.monotonic()))
         except HandoverError as error:
-            log.warning("the older process's state is not taken over: %s", error)
-            self._told.set_result(None)
+            log.warning("the predecessor's state is not taken over: %s", error)
+            self._state.set_result(None)
 
     def socket_received(self, sock: socket.socket) -> None:
+        """Handles a listening socket or a client connection from the predecessor."""
         if sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
             self.listeners.append(sock)
         else:
             self.adopt(sock)
 
     def predecessor_disconnected(self) -> None:
-        """The older one has gone."""
-        if self._older and not self._told.done():
-            log.warning("the older process ended without a last word; its place is taken as after a kill")
-            self._told.set_result(None)
+        """Handles the end of the predecessor."""
+        if self._predecessor and not self._state.done():
+            log.warning("the predecessor ended without sending its state; starting as after a kill")
+            self._state.set_result(None)
 
     def start_serving(self, adopt: Callable[[socket.socket], None]) -> None:
-        """From now on this process serves: the next one may knock."""
+        """Passes connections to `adopt` from now on, and listens for a successor."""
         self.adopt = adopt
-        while self._early:
-            adopt(self._early.pop())
+        while self._early_connections:
+            adopt(self._early_connections.pop())
         try:
-            self._listener = SuccessorListener(self._path, self._successor_came)
+            self._listener = SuccessorListener(self._path, self._successor_connected)
         except OSError as error:
-            log.warning("the next process will find nothing to take over: %s", error)
+            log.warning("a successor will not be able to take over: %s", error)
 
-    # --- As the older of two ----------------------------------------------------------------------------
-    def _successor_came(self, sock: socket.socket) -> None:
+    # --- As the predecessor -----------------------------------------------------------------------------
+    def _successor_connected(self, sock: socket.socket) -> None:
         if self._successor:
             self._successor.close()
         self._successor = HandoverLink(sock, SuccessorHandler(self.successor_disconnected))
         self._successor.send_document(upgrade_state.encode(Hello(upgrade_state.VERSION, self._name)))
-        log.info("a newer process is there; it takes over when this one is told to end")
+        log.info("a successor has connected; it takes over when this process receives SIGTERM")
 
     def successor_disconnected(self) -> None:
+        """Handles the end of the successor."""
         self._successor = None
         if self._listener:
-            log.warning("the newer process ended")
+            log.warning("the successor ended")
 
     async def hand_over(self, predecessor: Predecessor) -> Callable[[int], bool] | None:
-        """Pass all on to the newer one; how to pass connections on, None where nobody is there."""
+        """Hands the limiter's state to the successor.
+
+        Returns the function that passes a connection on by its descriptor; None if there is no successor.
+        """
         if (successor := self._successor) is None:
             return None
-        told = predecessor.hand_state_over(successor.send_connection)
-        successor.send_document(upgrade_state.encode(told))
+        state = predecessor.hand_state_over(successor.send_connection)
+        successor.send_document(upgrade_state.encode(state))
         end = time.monotonic() + FLUSH_TIMEOUT_S
         while not successor.is_flushed and time.monotonic() < end:
             await asyncio.sleep(POLL_INTERVAL_S)
         return successor.send_connection
 
     def close(self) -> None:
+        """Closes both links, the listener and all sockets that were received and not used."""
         if self._listener:
             self._listener.close()
             self._listener = None
-        older, self._older = self._older, None
-        for link in (older, self._successor):
+        predecessor, self._predecessor = self._predecessor, None
+        for link in (predecessor, self._successor):
             if link:
                 link.close()
-        for sock in [*self.listeners, *self._early]:
+        for sock in [*self.listeners, *self._early_connections]:
             sock.close()
 
 
-class _Older:
-    """What comes from the process before this one."""
+class _PredecessorHandler:
+    """Handles what the predecessor sends."""
 
     def __init__(self, upgrade: Upgrade) -> None:
         self._upgrade = upgrade
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -13,7 +13,7 @@
 import pytest
 from sockets import Client, Rig, host, limiter, message, run, until
 
-from basaltpoint.daemon.platform import SWEEP_S
+from basaltpoint.daemon.platform import SWEEP_INTERVAL_S
 from basaltpoint.fronts.platform import client_connection, clients
 from basaltpoint.fronts.platform import limiter as limiting
 from basaltpoint.upstream import buffered
@@ -294,7 +294,7 @@
             answer = asyncio.create_task(read_response(client))
             while not answer.done():
                 rig.clients.sweep()
-                await asyncio.sleep(SWEEP_S)
+                await asyncio.sleep(SWEEP_INTERVAL_S)
             assert (await answer)[0] == 408
             assert time.monotonic() - sent < 3.0
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -55,7 +55,7 @@
             await wait_until_agreed(made, "l1", "l2", "l3")
             saws, _ = made.journal()
             assert not [saw for saw in saws if saw.by == "l2" and saw.state == "dead"]
-            assert "stood still" in made.log("l2")
+            assert "was paused for" in made.log("l2")
             assert_no_resurrection(made)
 
     run(test())
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -31,7 +31,7 @@
                 running.append(name)
                 await wait_until_agreed(made, *running)
             for name in paused:
-                assert "stood still" in made.log(name)
+                assert "was paused for" in made.log(name)
                 # It may declare dead only members that were still paused when it resumed.
                 paused_longer = set(paused[paused.index(name) + 1 :])
                 dead = {saw.name for saw in made.journal()[0] if saw.by == name and saw.state == "dead"}
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -470,7 +470,7 @@
                     answer = await client.ask(message("fix", f"b-{turn}-{n}"))
                     assert answer.body == f"b-{turn}-{n}".encode()
                 assert await new.sends() == 20
-                assert "took over from the older process" in new.log.read_text()
+                assert "took over from the predecessor" in new.log.read_text()
                 old = new
 
     run(test())
@@ -485,7 +485,7 @@
             held = await server.arrived.get()
             new = await run_on.start()
             ending = asyncio.create_task(old.end())
-            await until(lambda: "took over from the older process, which has 1" in new.log.read_text())
+            await until(lambda: "took over from the predecessor, which has 1" in new.log.read_text())
             other = await run_on.connect()
             assert (await other.ask(message("fix", "held"))).code == 409  # the other process has it out
             await echo(held)
@@ -506,7 +506,7 @@
             assert (await client.ask(message("fix", "one"))).code == 200
             new = await run_on.start()
             await new.end(signal.SIGKILL)
-            await until(lambda: "this one goes on alone" in old.log.read_text())
+            await until(lambda: "this process continues alone" in old.log.read_text())
             assert (await client.ask(message("fix", "two"))).code == 200
             third = await run_on.start()
             assert await old.end() == 0
@@ -522,7 +522,7 @@
             old = await run_on.start()
             new = await run_on.start()
             await old.end(signal.SIGKILL)
-            await until(lambda: "ended without a last word" in new.log.read_text())
+            await until(lambda: "predecessor ended without sending its final state" in new.log.read_text())
             client = await run_on.connect()
             assert (await client.ask(message("fix", "on"))).body == b"on"
 
--- a/tests/test_serve.py
+++ b/tests/test_serve.py
@@ -1,4 +1,4 @@
-"""`basaltpoint serve` as a process: start, reload, drain, a kill."""
+"""`basaltpoint serve` as a process: start, reload, drain, and a start that fails."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 COMMAND = (sys.executable, "-m", "basaltpoint", "serve")
 
 
-async def echo(came: Request) -> None:
-    came.reply(body=b"echo")
+async def echo(request: Request) -> None:
+    request.reply(body=b"echo")
 
 
 class Program:
@@ -29,7 +29,7 @@
         host, port = self.address.split(":")
         return Client(*await asyncio.open_connection(host, int(port)))
 
-    async def up(self) -> None:
+    async def wait_until_listening(self) -> None:
         while True:
             with contextlib.suppress(ConnectionError):
                 (await self.connect()).close()
@@ -44,44 +44,44 @@
     process = await asyncio.create_subprocess_exec(
         *COMMAND, str(path), cwd=ROOT, env={**os.environ}, stderr=log.open("wb")
     )
-    made = Program(process, address, path, log)
+    running = Program(process, address, path, log)
     try:
-        await made.up()
-        yield made
+        await running.wait_until_listening()
+        yield running
     finally:
         with contextlib.suppress(ProcessLookupError):
             process.kill()
         await process.wait()
 
 
-def test_a_life(tmp_path: Path) -> None:
-    """Serve, take a good reload, turn a bad one down, finish what is in hand and end with 0."""
+def test_start_reload_and_drain(tmp_path: Path) -> None:
+    """Refuses an invalid reload, applies a valid one, completes the open request in a drain, exits with 0."""
 
     async def test() -> None:
         async with backend(echo) as first, backend() as second:
-            async with program(tmp_path, config(first.address)) as made:
-                client = await made.connect()
+            async with program(tmp_path, config(first.address)) as running:
+                client = await running.connect()
                 assert (await client.ask(request())).body == b"echo"
-                good = made.path.read_text()
-                made.path.write_text(good.replace("rate = 1000", "rate = 0"))
-                made.process.send_signal(signal.SIGHUP)
-                await until(lambda: "the configuration stays as it was" in made.log.read_text())
+                good = running.path.read_text()
+                running.path.write_text(good.replace("rate = 1000", "rate = 0"))
+                running.process.send_signal(signal.SIGHUP)
+                await until(lambda: "the configuration stays as it was" in running.log.read_text())
                 assert (await client.ask(request())).body == b"echo"
-                made.path.write_text(good.replace(first.address, second.address))
-                made.process.send_signal(signal.SIGHUP)
-                await until(lambda: "was taken up again" in made.log.read_text())
+                running.path.write_text(good.replace(first.address, second.address))
+                running.process.send_signal(signal.SIGHUP)
+                await until(lambda: "was taken up again" in running.log.read_text())
                 client.send(request("POST"))
-                came = await second.arrived.get()
-                made.process.send_signal(signal.SIGTERM)
-                await until(lambda: "draining" in made.log.read_text())
-                came.reply(body=b"last")
+                received = await second.arrived.get()
+                running.process.send_signal(signal.SIGTERM)
+                await until(lambda: "draining" in running.log.read_text())
+                received.reply(body=b"last")
                 assert (await client.answer()).body == b"last"
-                assert await made.process.wait() == 0
+                assert await running.process.wait() == 0
 
     run(test())
 
 
-def test_an_address_that_is_taken(tmp_path: Path) -> None:
+def test_an_address_in_use_ends_the_start_with_an_error(tmp_path: Path) -> None:
     async def test() -> None:
         async with backend(echo) as server:
             text = config(unused_address()).replace("127.0.0.1:0", server.address, 1)
@@ -90,7 +90,7 @@
             process = await asyncio.create_subprocess_exec(
                 *COMMAND, str(path), cwd=ROOT, stderr=asyncio.subprocess.PIPE
             )
-            _, said = await process.communicate()
-            assert process.returncode == 1 and server.address in said.decode()
+            _, stderr = await process.communicate()
+            assert process.returncode == 1 and server.address in stderr.decode()
 
     run(test())
--- a/tests/test_store_replicas.py
+++ b/tests/test_store_replicas.py
@@ -352,15 +352,15 @@
         assert code == 0 and "leader    r0" in text
         assert (await tell("s1", top=("drain",)))[0] == 0
         assert "shared/drain/s1" in (await tell("get", "shared/drain/", "--prefix"))[1]
-        assert await tell("s1", top=("undrain",)) == (0, "s1 drains no more\n")
-        assert await tell("s1", top=("undrain",)) == (1, "s1 does not drain\n")
+        assert await tell("s1", top=("undrain",)) == (0, "s1 is no longer drained\n")
+        assert await tell("s1", top=("undrain",)) == (1, "s1 is not draining\n")
         new = tmp_path / "new.toml"
         new.write_text(config("127.0.0.1:1", routes="").replace('pool = "main"', 'pool = "mian"', 1))
         code, text = await tell("push", str(new), top=("config",))
         assert code == 2 and 'found "mian", which is no pool' in text
         new.write_text(config("127.0.0.1:1"))
         assert (await tell("push", str(new), top=("config",)))[0] == 0
-        assert await tell("s9", top=("drain",)) == (1, "found the server 's9'; known are s0\n")
+        assert await tell("s9", top=("drain",)) == (1, "unknown server 's9'; known servers: s0\n")
         assert (await tell("s9", "--force", top=("drain",)))[0] == 0
         await client.put("shared/server/s8", b"{}")
         assert (await tell("s8", top=("drain",)))[0] == 0
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -47,7 +47,7 @@
                 older = made.members["l2"].process
                 await made.upgrade("l2")
                 assert made.members["l2"].process is not older and older and older.returncode == 0
-                await until(lambda times=times: said(made, "l2", "took over from the older") == times)  # type: ignore[misc]
+                await until(lambda times=times: said(made, "l2", "took over from the predecessor") == times)  # type: ignore[misc]
                 assert await ask(reader, writer) == 401
             await wait_until_agreed(made, "l1", "l2", "l3")
             # Nobody saw anything: no doubt, no death, no other incarnation.
@@ -90,7 +90,7 @@
             await made.end("l2")
             made.members["l2"].process, made.members["l2"].began_s = newer, 0.0
             await until(lambda: made.journal()[1]["l2"][-1][1] > first)
-            assert "ended without a last word" in made.log("l2")
+            assert "the predecessor ended without sending its state" in made.log("l2")
             await wait_until_agreed(made, "l1", "l2", "l3")
 
     run(test())
@@ -103,7 +103,7 @@
                 newer = await waits(made, "l2")
                 newer.send_signal(number)
                 await asyncio.to_thread(newer.wait, PATIENCE_S)
-                await until(lambda times=times: said(made, "l2", "the newer process ended") == times)  # type: ignore[misc]
+                await until(lambda times=times: said(made, "l2", "the successor ended") == times)  # type: ignore[misc]
                 reader, writer = await asyncio.open_connection(*parse_address(made.members["l2"].listen))
                 assert await ask(reader, writer) == 401
                 writer.close()
