--- a/basaltpoint/daemon/document_command.py
+++ b/basaltpoint/daemon/document_command.py
@@ -19,7 +19,7 @@
     check_document,
 )
 from basaltpoint.store.client import Client
-from basaltpoint.store.command import add_common, ask
+from basaltpoint.store.command import add_client_arguments, run_with_client
 from basaltpoint.store.state_machine import Check, Put
 
 
@@ -37,7 +37,7 @@
     show = commands.add_parser("show", help="print the document")
     show.set_defaults(act=_show)
     for command in (push, show):
-        add_common(command)
+        add_client_arguments(command)
 
 
 def add_drain_arguments(parser: argparse.ArgumentParser, drain: bool) -> None:
@@ -48,7 +48,7 @@
             "--force", action="store_true", help="even if no limiter knows a server of this name"
         )
     parser.set_defaults(act=_drain if drain else _undrain)
-    add_common(parser)
+    add_client_arguments(parser)
 
 
 def run(args: argparse.Namespace) -> int:
@@ -60,7 +60,7 @@
     except FileError as error:
         print(error, file=sys.stderr)
         return 2
-    return ask(storage, args)
+    return run_with_client(storage, args)
 
 
 async def _push(client: Client, args: argparse.Namespace) -> int:
@@ -68,7 +68,9 @@
     if revision is None:
         document = await client.get(DOCUMENT_KEY, within_s=args.within)
         revision = document.modified_revision if document else 0
-    result = await client.txn([Put(DOCUMENT_KEY, args.text)], [Check(DOCUMENT_KEY, revision)], args.within)
+    result = await client.transaction(
+        [Put(DOCUMENT_KEY, args.text)], [Check(DOCUMENT_KEY, revision)], args.within
+    )
     print(f"{args.file}: revision {result.revision}")
     print("`basaltpoint store get --prefix limiter/` shows which limiters use it")
     return 0
@@ -98,7 +100,7 @@
 
 async def _servers(client: Client, within_s: float) -> set[str] | None:
     """Returns the names of all servers in the store; None if its document is missing or invalid."""
-    found, _ = await client.range(SHARED_PREFIX, within_s=within_s)
+    found, _ = await client.get_range(SHARED_PREFIX, within_s=within_s)
     if (document := found.get(DOCUMENT_KEY)) is None:
         return None
     out = ProblemCollector(DOCUMENT_KEY)
--- a/basaltpoint/daemon/platform.py
+++ b/basaltpoint/daemon/platform.py
@@ -19,8 +19,8 @@
 from basaltpoint.daemon.platform_upgrade import PlatformUpgrade, read_predecessor_state
 from basaltpoint.fronts.control.console import Console
 from basaltpoint.fronts.platform import config as configuration
-from basaltpoint.fronts.platform.clients import BACKLOG, Clients
-from basaltpoint.fronts.platform.limiter import MARGIN, SERVER_PART, Limiter
+from basaltpoint.fronts.platform.clients import BACKLOG, ClientConnections
+from basaltpoint.fronts.platform.limiter import RESERVED_DESCRIPTORS, SERVER_SOCKET_FRACTION, Limiter
 from basaltpoint.handover.link import connect_to_predecessor, socket_path
 from basaltpoint.membership.backoff import Backoff
 from basaltpoint.membership.discovery import Watch
@@ -35,7 +35,7 @@
 BACKOFF_SEED_MASK = 0x5BD1E995  # separates the backoff's random numbers from the decision module's
 
 
-async def _sweep(limiter: Limiter, clients: Clients) -> None:
+async def _sweep(limiter: Limiter, clients: ClientConnections) -> None:
     while True:
         await asyncio.sleep(SWEEP_INTERVAL_S)
         try:
@@ -57,7 +57,7 @@
     watch.set_address(address)
 
 
-async def _serve_control(address: Address, limiter: Limiter, clients: Clients) -> None:
+async def _serve_control(address: Address, limiter: Limiter, clients: ClientConnections) -> None:
     """Answers operators' calls until cancelled. The limiter serves without them if it can't listen."""
 
     def readyz() -> Iterable[str]:
@@ -66,7 +66,11 @@
         elif clients.draining:
             yield "fail draining"
         else:
-            yield "fail no server is known" if limiter.started.is_set() else "fail servers are not confirmed"
+            yield (
+                "fail no server is known"
+                if limiter.list_confirmed.is_set()
+                else "fail servers are not confirmed"
+            )
 
     def telemetry() -> Iterable[str]:
         yield "ok"
@@ -76,7 +80,7 @@
     def rules() -> Iterable[str]:
         yield "ok"
         yield from limiter.guard.metric_lines()
-        yield from clients.close_guard.lines()
+        yield from clients.close_guard.metric_lines()
         yield "eof"
 
     try:
@@ -92,13 +96,13 @@
         console.close()
 
 
-async def _listen(limiter: Limiter, clients: Clients, wait: bool) -> None:
+async def _listen(limiter: Limiter, clients: ClientConnections, wait: bool) -> None:
     """Starts accepting clients.
 
     `wait`: first wait until the server list is confirmed; until then the predecessor serves.
     """
     if wait:
-        await limiter.started.wait()
+        await limiter.list_confirmed.wait()
     clients.listen()
 
 
@@ -118,8 +122,8 @@
     lease = MembershipLease(time.monotonic(), grace_s, confirm_within_s)
     log.info("server lists are %s", "pushed" if confirm_within_s is None else "requested")
     limiter = Limiter(config, read_predecessor_state(claimed[1]) if claimed else None, lease)
-    max_connections = int((config.sockets - MARGIN) * (1 - SERVER_PART))
-    clients = Clients(
+    max_connections = int((config.sockets - RESERVED_DESCRIPTORS) * (1 - SERVER_SOCKET_FRACTION))
+    clients = ClientConnections(
         limiter,
         config.settings,
         config.listen,
@@ -130,7 +134,7 @@
     )
     rng = random.Random(config.seed ^ BACKOFF_SEED_MASK)
     backoff = Backoff(rng, grace_s)
-    watch = Watch(config.discovery, limiter.listed, backoff, lease, limiter.lease_changed)
+    watch = Watch(config.discovery, limiter.update_servers, backoff, lease, limiter.lease_changed)
     watch.seq = limiter.known_seq
     loop.add_signal_handler(signal.SIGHUP, _reload, watch)
     if signals.was_received(signal.SIGHUP):
--- a/basaltpoint/daemon/platform_upgrade.py
+++ b/basaltpoint/daemon/platform_upgrade.py
@@ -7,7 +7,7 @@
 import socket
 import time
 
-from basaltpoint.fronts.platform.clients import Clients
+from basaltpoint.fronts.platform.clients import ClientConnections
 from basaltpoint.fronts.platform.limiter import Limiter
 from basaltpoint.handover import platform_state, state
 from basaltpoint.handover.link import HandoverLink, SuccessorHandler, SuccessorListener
@@ -33,7 +33,11 @@
     """
 
     def __init__(
-        self, limiter: Limiter, clients: Clients, path: str, predecessor_socket: socket.socket | None
+        self,
+        limiter: Limiter,
+        clients: ClientConnections,
+        path: str,
+        predecessor_socket: socket.socket | None,
     ) -> None:
         self._limiter = limiter
         self._clients = clients
@@ -42,7 +46,7 @@
         self._predecessor = (
             HandoverLink(predecessor_socket, _PredecessorHandler(self)) if predecessor_socket else None
         )
-        clients.part = state.SHARED_FRACTION if predecessor_socket else 1.0
+        clients.connection_share = state.SHARED_FRACTION if predecessor_socket else 1.0
         self._successor: HandoverLink | None = None
         self._has_final_state = False
         self._path = path
@@ -70,14 +74,14 @@
             decision_module, inherited.module.get("customers"), now, self._started_ms
         ):
             log.warning("%d customers in the predecessor's state could not be read", unreadable)
-        self._limiter.reserve(inherited.open_req_ids)
+        self._limiter.reserve_ids(inherited.open_req_ids)
         log.info("took over from the predecessor, which has %d open requests", len(inherited.open_req_ids))
 
     def predecessor_disconnected(self) -> None:
         """Handles the end of the predecessor: this process serves alone."""
         self._predecessor = None
-        self._limiter.unreserve()
-        self._clients.part = 1.0 if self._successor is None else state.SHARED_FRACTION
+        self._limiter.release_all_ids()
+        self._clients.connection_share = 1.0 if self._successor is None else state.SHARED_FRACTION
         # No other process accepts connections now, so this one does even if the server list is unconfirmed.
         self._clients.listen()
         if not self._has_final_state:
@@ -89,7 +93,7 @@
         if self._successor:
             self._successor.close()
         self._successor = HandoverLink(sock, SuccessorHandler(self.successor_disconnected))
-        self._clients.part = state.SHARED_FRACTION
+        self._clients.connection_share = state.SHARED_FRACTION
         self._successor.send_document(platform_state.encode(self._limiter.state_for_successor(halved=True)))
 
     def successor_disconnected(self) -> None:
@@ -98,7 +102,7 @@
         if not self._clients.draining:
             log.warning("the successor ended; this process continues alone")
             self._listen_for_successor()  # the successor had taken the socket's path over
-            self._clients.part = 1.0
+            self._clients.connection_share = 1.0
             state.restore_full_limits(self._limiter.decision_module, self._limiter.now())
 
     async def hand_over(self) -> None:
@@ -107,7 +111,7 @@
             return
         self._clients.stop_listening()
         successor.send_document(platform_state.encode(self._limiter.state_for_successor(halved=False)))
-        self._limiter.on_ended = successor.send_request_completed
+        self._limiter.on_request_ended = successor.send_request_completed
         await self._clients.hand_over(successor.send_connection)
         end = time.monotonic() + FLUSH_TIMEOUT_S
         while not successor.is_flushed and time.monotonic() < end:
@@ -135,7 +139,7 @@
         self._upgrade._clients.adopt(sock, self._upgrade.started_s)
 
     def request_completed(self, name: bytes) -> None:
-        self._upgrade._limiter.release_name(name)
+        self._upgrade._limiter.release_id(name)
 
     def link_closed(self) -> None:
         self._upgrade.predecessor_disconnected()
--- a/basaltpoint/daemon/store_adapter.py
+++ b/basaltpoint/daemon/store_adapter.py
@@ -55,11 +55,11 @@
             if account := accounts.get(name):
                 plan = setup.settings.plans[account.plan]
                 event = restore_balance(account.number, plan, balance, now, store_follower.downtime_s)
-                relay.do(relay.table.handle_event(relay.now(), event))
+                relay.apply_effects(relay.table.handle_event(relay.now(), event))
         for name, (light_ms, mean_ms) in store_follower.learned_latencies.items() if restores else ():
             if name in setup.pools:
                 latencies = api.RestoredLatencies(setup.pools[name], light_ms, mean_ms)
-                relay.do(relay.table.handle_event(relay.now(), latencies))
+                relay.apply_effects(relay.table.handle_event(relay.now(), latencies))
         if store_follower.balances and restores:
             log.info(
                 "store: restored %d accounts, %.1f s after the previous process ended",
--- a/basaltpoint/daemon/store_follower.py
+++ b/basaltpoint/daemon/store_follower.py
@@ -90,7 +90,7 @@
     def __init__(self, storage: StoreSettings, path: Path, name: str) -> None:
         self.storage, self.path, self.name = storage, path, name
         self.shared_state = SharedState()
-        self.client = setting.client(storage)
+        self.client = setting.create_client(storage)
         self.revision = 0
         self.downtime_s = 0.0  # how long the limiter did not run before this start, at least
         self.balances: dict[str, Balance] = {}  # by account; written by an earlier process of this limiter
@@ -131,7 +131,7 @@
                 self._warn(f"store: {error}; the start waits for it")
 
     async def _read(self, within_s: float) -> Change:
-        values, revision = await self.client.range(SHARED_PREFIX, within_s=within_s)
+        values, revision = await self.client.get_range(SHARED_PREFIX, within_s=within_s)
         change = self.shared_state.load({key: value.value for key, value in values.items()}, revision)
         self.revision = revision
         self._mark_current()
@@ -148,7 +148,9 @@
                 f"{self.path}: the store holds no configuration; put it there: basaltpoint config push FILE"
             )
         try:
-            await self.client.txn([Put(DOCUMENT_KEY, text)], [Check(DOCUMENT_KEY, 0)], REQUEST_TIMEOUT_S)
+            await self.client.transaction(
+                [Put(DOCUMENT_KEY, text)], [Check(DOCUMENT_KEY, 0)], REQUEST_TIMEOUT_S
+            )
         except UnavailableError:
             raise
         except StoreError as error:
@@ -159,7 +161,7 @@
     async def _read_saved_state(self) -> None:
         """Reads the balances and latencies that an earlier process of this limiter saved."""
         prefix = f"balance/{self.name}/"
-        found, _ = await self.client.range(prefix, within_s=REQUEST_TIMEOUT_S)
+        found, _ = await self.client.get_range(prefix, within_s=REQUEST_TIMEOUT_S)
         for key, value in found.items():
             with contextlib.suppress(msgspec.DecodeError):
                 balance = msgspec.msgpack.decode(value.value, type=Balance)
@@ -296,13 +298,13 @@
 
     async def _renew(self) -> None:
         if self._balance_lease:
-            await self.client.renew(self._balance_lease, WARNING_INTERVAL_S / 2)
+            await self.client.renew_lease(self._balance_lease, WARNING_INTERVAL_S / 2)
         else:
-            self._balance_lease = await self.client.grant(BALANCE_LEASE_MS, WARNING_INTERVAL_S / 2)
+            self._balance_lease = await self.client.grant_lease(BALANCE_LEASE_MS, WARNING_INTERVAL_S / 2)
         if self._presence_lease:
-            await self.client.renew(self._presence_lease, WARNING_INTERVAL_S / 2)
+            await self.client.renew_lease(self._presence_lease, WARNING_INTERVAL_S / 2)
         else:
-            self._presence_lease = await self.client.grant(PRESENCE_LEASE_MS, WARNING_INTERVAL_S / 2)
+            self._presence_lease = await self.client.grant_lease(PRESENCE_LEASE_MS, WARNING_INTERVAL_S / 2)
         status = self.revision, self._problem
         if status != self._published:
             presence: dict[str, Any] = {
@@ -318,7 +320,7 @@
 
     async def members(self, within_s: float = REQUEST_TIMEOUT_S) -> list[Member]:
         """Returns the other members of this limiter's fleet, as one replica knows them; UnavailableError."""
-        values, _ = await self.client.range(LIMITER_PREFIX, local=True, within_s=within_s)
+        values, _ = await self.client.get_range(LIMITER_PREFIX, local=True, within_s=within_s)
         members = []
         for value in values.values():
             with contextlib.suppress(msgspec.DecodeError):
@@ -359,7 +361,7 @@
             for account, balance in due.items()
         ]
         for at in range(0, len(ops), MAX_BALANCES_PER_WRITE):
-            await self.client.txn(ops[at : at + MAX_BALANCES_PER_WRITE], within_s=STOP_TIMEOUT_S)
+            await self.client.transaction(ops[at : at + MAX_BALANCES_PER_WRITE], within_s=STOP_TIMEOUT_S)
 
     async def _put_latencies(self) -> None:
         if pools := self._source.learned_latencies():
@@ -432,7 +434,7 @@
             with contextlib.suppress(StoreError, TimeoutError):
                 async with asyncio.timeout(STOP_TIMEOUT_S):
                     if not self._balance_lease:
-                        self._balance_lease = await self.client.grant(BALANCE_LEASE_MS, STOP_TIMEOUT_S)
+                        self._balance_lease = await self.client.grant_lease(BALANCE_LEASE_MS, STOP_TIMEOUT_S)
                     await self._put_balances(self._source.due_balances(final=True))
                     await self._put_latencies()
         if self._copy_timer:
--- a/basaltpoint/fronts/platform/close_guard.py
+++ b/basaltpoint/fronts/platform/close_guard.py
@@ -1,8 +1,8 @@
-"""The check right before this process closes a client's connection, and the count of what it found.
+"""Checks each close of a client's connection, and counts the violations found.
 
-Whatever was taken gets one final answer, and a request whose bytes lie in a closed socket gets none
-(STANDING). Each place that closes sees to that; here it is checked once for all of them, and a case is a
-violation: counted, and logged with the reason of the close and the requests that it cost.
+Every accepted request gets one final answer, and a request whose bytes are unread in a closed socket gets
+none (STANDING). Each place that closes a connection has to ensure this; the check here covers all of them. A
+violation is counted, and logged with the reason of the close and the requests that were lost.
 """
 
 from __future__ import annotations
@@ -15,31 +15,34 @@
 log = logging.getLogger(__name__)
 
 
-class Dropped(Enum):
-    """What a close cost."""
+class CloseViolation(Enum):
+    """What was lost by closing a connection."""
 
     UNANSWERED = "requests in hand have no answer"
     UNREAD = "bytes lie in it unread"
 
 
 class CloseGuard:
-    """What one process closed over."""
+    """Counts the violations of one process."""
 
     def __init__(self) -> None:
-        self.violations: Counter[Dropped] = Counter()
+        self.violations: Counter[CloseViolation] = Counter()
 
-    def closing(self, reason: str, unanswered: Sequence[str], unread: bool) -> None:
-        """A connection is closed for this reason; `unanswered`: the ids of its requests with no answer."""
+    def check_close(self, reason: str, unanswered: Sequence[str], unread: bool) -> None:
+        """Checks a connection that is about to be closed.
+
+        `unanswered`: the ids of its requests without a response; `unread`: whether its socket holds data.
+        """
         if unanswered:
-            self.violations[Dropped.UNANSWERED] += 1
+            self.violations[CloseViolation.UNANSWERED] += 1
             log.error(
                 "violation: a connection was closed (%s) over requests %s", reason, ", ".join(unanswered)
             )
         if unread:
-            self.violations[Dropped.UNREAD] += 1
+            self.violations[CloseViolation.UNREAD] += 1
             log.error("violation: a connection was closed (%s) over bytes that were not read", reason)
 
-    def lines(self) -> Iterator[str]:
-        """The counts, one a line, for the control address."""
-        for dropped in Dropped:
-            yield f'gw_violations{{rule="{dropped.name.lower()}"}} {self.violations[dropped]}'
+    def metric_lines(self) -> Iterator[str]:
+        """Yields the counts as lines for the control address."""
+        for violation in CloseViolation:
+            yield f'gw_violations{{rule="{violation.name.lower()}"}} {self.violations[violation]}'
--- /dev/null
+++ b/basaltpoint/fronts/platform/request_exchange.py
@@ -0,0 +1,208 @@
+"""The exchange of one request in the platform's front: its body, its attempts and its response."""
+
+from __future__ import annotations
+
+from time import monotonic
+from typing import Protocol
+
+from basaltpoint.core.table import Reply, RequestResult
+from basaltpoint.upstream.buffered import MAX_BUFFERED_BODY_BYTES, BufferedAttempt
+from basaltpoint.upstream.servers import AttemptResult
+from basaltpoint.upstream.streams import StreamConnection
+
+CLIENT_CHECK_AFTER_S = 0.05  # an attempt that starts 0.1 s after its client left counts as a lost request
+MAX_READ_AHEAD_BYTES = 4 * MAX_BUFFERED_BODY_BYTES  # of a streamed body, before a server accepts any
+
+STATUS_CODES = {
+    RequestResult.REFUSED: 429,
+    RequestResult.FAILED: 502,
+    RequestResult.OVERDUE: 504,
+    RequestResult.FAULT: 500,
+    RequestResult.BUSY: 503,
+    RequestResult.DUPLICATE: 409,
+}
+
+
+class ClientSide(Protocol):
+    """A client's request, and how its response is sent."""
+
+    @property
+    def forward(self) -> bytes: ...  # request line and headers for the server, without the deadline
+    @property
+    def body(self) -> bytes: ...  # empty if the body is streamed
+    @property
+    def streamed(self) -> bool: ...  # the body is forwarded as it is received
+    @property
+    def chunked(self) -> bool: ...  # the length of the streamed body is unknown
+    @property
+    def client_left_unnoticed(self) -> bool: ...  # the client left while reading was paused
+    def is_client_gone(self) -> bool: ...  # according to the kernel
+    def close_connection(self) -> None: ...  # closes it at once; the client has left
+    def send_response(
+        self, code: int, body: bytes = b"", content_type: bytes = b"", retry_s: float = 0.0
+    ) -> None: ...
+    def start_response(
+        self, content_type: bytes, length: int | None
+    ) -> None: ...  # of a response that is sent in pieces
+    def send_piece(self, data: bytes) -> None: ...
+    def finish_response(self) -> None: ...
+    def abort_response(self) -> None: ...  # must not look complete to the client
+    def pause_upload(self, paused: bool) -> None: ...
+    def release_body(self, size: int) -> None: ...  # bytes of the body are no longer buffered
+
+
+class RequestHandler(Protocol):
+    """What an exchange needs of the limiter."""
+
+    def response_started(self, exchange: RequestExchange) -> None: ...
+    def upload_started(self, exchange: RequestExchange) -> None: ...
+    def upload_finished(self, exchange: RequestExchange) -> None: ...
+    def message(self, exchange: RequestExchange) -> bytes: ...  # with the time that is left now
+
+
+class RequestExchange:
+    """One request; receives responses that are too long to be buffered."""
+
+    __slots__ = (
+        "_handler",
+        "_held_bytes",
+        "_is_body_complete",
+        "_is_server_full",
+        "_pieces",
+        "attempt",
+        "attempt_deadline_ms",
+        "attempt_number",
+        "body_complete_at",
+        "client",
+        "cls",
+        "is_over",
+        "request_id",
+        "request_number",
+        "response_started",
+        "stream",
+        "wait_ms",
+        "write_paused_since",
+    )
+
+    def __init__(
+        self, handler: RequestHandler, client: ClientSide, request_id: bytes, cls: int, wait_ms: float
+    ) -> None:
+        self._handler = handler
+        self.client = client
+        self.request_id = request_id
+        self.cls = cls
+        self.wait_ms = wait_ms  # for the response, from the last byte of the body
+        self.request_number = 0
+        self.attempt_number = 0  # of the outstanding attempt
+        self.attempt_deadline_ms = 0.0  # of the outstanding attempt, by the module's clock
+        self.attempt: BufferedAttempt | None = None
+        self.stream: StreamConnection | None = (
+            None  # the server connection, if the body or response is streamed
+        )
+        self.response_started = False  # the response is being forwarded
+        self.is_over = False
+        self.write_paused_since: float | None = None  # the server accepts no more of the body
+        self._pieces: list[bytes] = []  # of a streamed body, not yet sent to the server
+        self._held_bytes = 0
+        self._is_body_complete = not client.streamed
+        self.body_complete_at = monotonic()
+        self._is_server_full = False
+
+    # --- A streamed body, called by the client's connection --------------------------------------
+    def add_body(self, piece: bytes) -> None:
+        """Adds a piece of the body; it is discarded if the request has ended."""
+        if self.is_over:
+            self.client.release_body(len(piece))
+            return
+        self._pieces.append(piece)
+        self._held_bytes += len(piece)
+        self._send_body()
+
+    def finish_body(self, unread_s: float) -> None:
+        """Marks the body as complete; its last bytes were unread for `unread_s` seconds."""
+        self._is_body_complete, self.body_complete_at = True, monotonic() - unread_s
+        self._send_body()
+
+    def _send_body(self) -> None:
+        """Forwards the buffered body as far as the server accepts it."""
+        stream = self.stream
+        if stream is not None and stream.is_sending_body and not self._is_server_full:
+            pieces, self._pieces = self._pieces, []
+            size, self._held_bytes = self._held_bytes, 0
+            stream.send_body(b"".join(pieces))
+            self.client.release_body(size)
+            if self._is_body_complete:
+                self._handler.upload_finished(self)
+                stream.finish_body()
+        # Some of it is read ahead while no server accepts it: the end of the stream follows the bytes.
+        max_bytes = MAX_READ_AHEAD_BYTES if stream is None else 0
+        self.client.pause_upload(not self.is_over and (self._is_server_full or self._held_bytes > max_bytes))
+
+    # --- The attempt, called by the server connection ----------------------------------------------
+    def connected(self, stream: StreamConnection) -> None:
+        self.stream = stream
+        if self.client.streamed:
+            stream.start_body(self.client.chunked)
+            self._handler.upload_started(self)
+            self._send_body()
+
+    def writable(self, ready: bool) -> None:
+        self._is_server_full = not ready
+        self.write_paused_since = None if ready else self.write_paused_since or monotonic()
+        if self.client.streamed:
+            self._send_body()
+
+    def is_wanted(self, waited_s: float) -> bool:
+        """Returns whether the client is still connected; asks the kernel if the attempt waited."""
+        return waited_s <= CLIENT_CHECK_AFTER_S or not self.client.is_client_gone()
+
+    def current_message(self) -> bytes:
+        return self._handler.message(self)
+
+    def start_response(self, content_type: bytes, length: int | None) -> bool:
+        self._handler.response_started(self)
+        if self.response_started:
+            self.client.start_response(content_type, length)
+        return self.response_started
+
+    def response_data(self, data: bytes) -> None:
+        if self.response_started and not self.is_over:
+            self.client.send_piece(data)
+
+    def ended(self) -> None:
+        """Clears the state of the ended attempt."""
+        self.attempt = self.stream = None
+        self._is_server_full, self.write_paused_since = False, None
+
+    # --- The client, called by its connection -------------------------------------------------------
+    def client_writable(self, ready: bool) -> None:
+        """Pauses or resumes the response by whether the client accepts more of it."""
+        if self.stream and self.response_started:
+            self.stream.set_paused(not ready)
+
+    def client_disconnected(self) -> None:
+        """Ends the exchange without a response."""
+        self._end()
+
+    # --- The response ----------------------------------------------------------------------------
+    def finish(self, effect: Reply) -> None:
+        """Sends the result of the request table to the client."""
+        if self.is_over:
+            return
+        self._end()
+        if self.response_started:
+            if effect.result is RequestResult.SERVED:
+                self.client.finish_response()
+            else:
+                self.client.abort_response()
+        elif isinstance(effect.payload, AttemptResult):
+            self.client.send_response(200, effect.payload.body, effect.payload.content_type)
+        else:
+            self.client.send_response(STATUS_CODES[effect.result], retry_s=effect.retry_in_ms / 1000)
+
+    def _end(self) -> None:
+        self.is_over = True
+        if self.client.streamed:
+            self.client.release_body(self._held_bytes)
+            self._held_bytes, self._pieces = 0, []
+            self.client.pause_upload(False)
--- a/basaltpoint/fronts/shell.py
+++ b/basaltpoint/fronts/shell.py
@@ -1,4 +1,4 @@
-"""What every front puts round the request table: clock, one timer, effects carried out in their order."""
+"""What every front adds to the request table: a clock, one timer and the ordered execution of effects."""
 
 from __future__ import annotations
 
@@ -15,117 +15,124 @@
 
 log = logging.getLogger(__name__)
 
-EPOCH_MS = 1e9  # the module's clock starts here, so that no start of a server falls to 0 ('long ago')
+# The decision module's clock starts here, so that no server's start time becomes 0, which means "long ago".
+CLOCK_START_MS = 1e9
+MIN_WAIT_MS = 1.0  # of a request that expired before it was read: it gets a response and no attempt
+# The module's deadline lies this long before the client's: the response has to be transmitted, too.
+RESPONSE_MARGIN_MS = 10.0
+# Means no limit while a body is uploaded; timeouts for stalled connections end an upload without progress.
+UPLOAD_TIMEOUT_S = 86400.0
 
 
-LEAST_WAIT_MS = 1.0  # of a request whose time ran out before it was read: it is answered, and not sent on
-EARLY_MS = 10.0  # the module's deadline lies so much before the client's: the answer is on its way, too
-DAY_S = 86400.0  # stands for no limit while a body is on its way; the bounds on what stands still end it
-
-
-class Passing(Protocol):
-    """One request on its way, as the table is told of it."""
+class ExchangeState(Protocol):
+    """What the request table needs to know of one request and its response."""
 
     @property
-    def ident(self) -> int: ...
+    def request_number(self) -> int: ...
     @property
-    def number(self) -> int: ...  # of the attempt that is out
+    def attempt_number(self) -> int: ...  # of the outstanding attempt
     @property
     def attempt(self) -> Attempt | None: ...
     @property
-    def passing(self) -> bool: ...  # its answer has begun to be passed on
+    def response_started(self) -> bool: ...  # the response is being forwarded to the client
     @property
-    def wait_ms(self) -> float: ...
+    def wait_ms(self) -> float: ...  # for the response, from the last byte of the body
     @property
-    def whole_at(self) -> float: ...  # when its client had sent the last byte of its body, monotonic seconds
+    def body_complete_at(
+        self,
+    ) -> float: ...  # when the client had sent the last byte of the body, monotonic seconds
 
 
-class Shell:
-    """A front's side of the table; a subclass says how an effect is carried out."""
+class RequestTableDriver:
+    """Drives the request table of a front; subclasses implement `apply_effect`."""
 
     def __init__(self, table: RequestTable) -> None:
         self.table = table
-        self._origin = time.monotonic()
+        self._clock_origin_s = time.monotonic()
         self._effects: deque[Effect] = deque()
-        self._busy = False
+        self._is_applying = False
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_at = 0.0  # of the loop: a handle that is due at once tells no time
+        self._timer_due_at = 0.0  # loop time; a handle that is due at once does not provide it
 
     def now(self) -> float:
-        """The module's clock, ms."""
-        return (time.monotonic() - self._origin) * 1000 + EPOCH_MS
+        """Returns the time of the decision module's clock in ms."""
+        return (time.monotonic() - self._clock_origin_s) * 1000 + CLOCK_START_MS
 
-    def loop_time(self, ms: float) -> float:
-        """A time of the module's clock on that of the loop."""
-        return (ms - EPOCH_MS) / 1000 + self._origin
+    def to_loop_time(self, ms: float) -> float:
+        """Converts a time of the module's clock (ms) to the event loop's clock (seconds)."""
+        return (ms - CLOCK_START_MS) / 1000 + self._clock_origin_s
 
-    def do(self, effects: list[Effect]) -> None:
-        """Carry effects out; what they cause themselves waits until they are done."""
+    def apply_effects(self, effects: list[Effect]) -> None:
+        """Applies effects in order; effects that they cause are applied after them."""
         self._effects += effects
-        if self._busy:
+        if self._is_applying:
             return
-        self._busy = True
+        self._is_applying = True
         try:
             while self._effects:
                 effect = self._effects.popleft()
                 try:
-                    self.carry_out(effect)
+                    self.apply_effect(effect)
                 except Exception:
-                    # A fault in one must not leave those behind it waiting for whatever happens next.
-                    log.exception("an effect could not be carried out: %r", effect)
-                    if isinstance(effect, StartAttempt):  # its end is owed, and it may have been written
+                    # An exception in one effect must not delay the following ones until the next event.
+                    log.exception("an effect could not be applied: %r", effect)
+                    if isinstance(
+                        effect, StartAttempt
+                    ):  # the table expects its end; it may have been written
                         self._effects += self.table.attempt_ended(
                             self.now(), effect.request, effect.attempt, Status.RESET
                         )
         finally:
-            self._busy = False
-        self.arm()
+            self._is_applying = False
+        self.schedule_tick()
 
-    def carry_out(self, effect: Effect) -> None:
+    def apply_effect(self, effect: Effect) -> None:
         raise NotImplementedError
 
     # --- One request -----------------------------------------------------------------------------
-    def begun(self, passage: Passing) -> None:
-        """Its answer's head has come and is to be passed on."""
-        self.do(self.table.response_started(self.now(), passage.ident, passage.number))
-
-    def uploading(self, passage: Passing) -> None:
-        """Its body is on its way to the server: no deadline counts until it is whole."""
-        if passage.attempt:
-            # Until its connection was up the request's own time held; a body that streams is ended where it
-            # stands still, and with this process.
-            day = asyncio.get_running_loop().time() + DAY_S
-            passage.attempt.set_end_by(min(day, self.loop_time(self.table.final_deadline_ms)))
-        self.do(self.table.upload_started(self.now(), passage.ident))
-
-    def uploaded(self, passage: Passing) -> None:
-        """Its streamed body is whole at the server: the deadline counts from its client's last byte on."""
+    def response_started(self, exchange: ExchangeState) -> None:
+        """Notifies the table that the response head was received and is to be forwarded."""
+        self.apply_effects(
+            self.table.response_started(self.now(), exchange.request_number, exchange.attempt_number)
+        )
+
+    def upload_started(self, exchange: ExchangeState) -> None:
+        """Notifies the table that the body is being uploaded: no deadline applies until it is complete."""
+        if exchange.attempt:
+            # The request's own deadline applied until the connection was established. An upload ends when it
+            # makes no progress, or when this process ends.
+            latest = asyncio.get_running_loop().time() + UPLOAD_TIMEOUT_S
+            exchange.attempt.set_end_by(min(latest, self.to_loop_time(self.table.final_deadline_ms)))
+        self.apply_effects(self.table.upload_started(self.now(), exchange.request_number))
+
+    def upload_finished(self, exchange: ExchangeState) -> None:
+        """Notifies the table that the upload is complete; the deadline counts from the client's last byte."""
         now = self.now()
-        waited = (monotonic() - passage.whole_at) * 1000
-        wait = max(LEAST_WAIT_MS, passage.wait_ms - waited)
-        self.table.upload_finished(now, passage.ident, wait)
-        if passage.attempt and not passage.passing:
-            until = min(now + max(wait - EARLY_MS, wait / 2), self.table.final_deadline_ms)
-            passage.attempt.set_end_by(self.loop_time(until))
-        self.arm()
+        waited_ms = (monotonic() - exchange.body_complete_at) * 1000
+        wait = max(MIN_WAIT_MS, exchange.wait_ms - waited_ms)
+        self.table.upload_finished(now, exchange.request_number, wait)
+        if exchange.attempt and not exchange.response_started:
+            until = min(now + max(wait - RESPONSE_MARGIN_MS, wait / 2), self.table.final_deadline_ms)
+            exchange.attempt.set_end_by(self.to_loop_time(until))
+        self.schedule_tick()
 
     # --- Time ------------------------------------------------------------------------------------
-    def arm(self) -> None:
-        """Have the table called when it is next due. Most requests end long before: the timer stays."""
+    def schedule_tick(self) -> None:
+        """Schedules the table's next tick. A timer that is due earlier stays: most requests end before it."""
         if (due := self.table.next_tick_ms) is None:
             return
-        when = self.loop_time(due)
-        if self._timer is None or when < self._timer_at:
+        when = self.to_loop_time(due)
+        if self._timer is None or when < self._timer_due_at:
             if self._timer:
                 self._timer.cancel()
-            self._timer_at = when
+            self._timer_due_at = when
             self._timer = asyncio.get_running_loop().call_at(when + TIMER_RESOLUTION_S, self._tick)
 
     def _tick(self) -> None:
         self._timer = None
-        self.do(self.table.tick(self.now()))
+        self.apply_effects(self.table.tick(self.now()))
 
-    def disarm(self) -> None:
-        """The table is not called any more."""
+    def cancel_tick(self) -> None:
+        """Cancels the scheduled tick."""
         if self._timer:
             self._timer.cancel()
--- a/tests/test_store_daemon.py
+++ b/tests/test_store_daemon.py
@@ -15,7 +15,7 @@
 import pytest
 from sockets import Backend, Request, backend
 from standalone import KEY, StandaloneFixture, config, request
-from storeprocs import PATIENCE_S, Cluster, cluster
+from storeprocs import TEST_TIMEOUT_S, Cluster, cluster
 from waiting import run, until
 
 from basaltpoint.config.decode import FileError, load_toml
@@ -41,9 +41,9 @@
 from basaltpoint.daemon.store_follower import StartError
 from basaltpoint.interface import Plan, QuotaStatus
 from basaltpoint.load import coordinator, scenario
-from basaltpoint.load.command import read_asked, read_attempts
+from basaltpoint.load.command import read_ledger, read_server_log
 from basaltpoint.load.ledger import audit
-from basaltpoint.standins.server import Behaviour, SharedKeys, StandIn
+from basaltpoint.standins.server import ServerBehaviour, SharedIdempotencyKeys, StandInServer
 from basaltpoint.store import setting
 from basaltpoint.store.client import Client, UnavailableError
 from basaltpoint.system.timestamps import Timestamp
@@ -99,7 +99,7 @@
 
 def store_client(fixture: StandaloneFixture) -> Client:
     assert fixture.limiter.store_follower
-    return setting.client(fixture.limiter.store_follower.storage)
+    return setting.create_client(fixture.limiter.store_follower.storage)
 
 
 # --- One replica ------------------------------------------------------------------------------------------
@@ -172,7 +172,7 @@
                 assert await response_codes(fixture, 5) == [200] * 5
                 await until(lambda: follower._replica_process is not before)
                 store = store_client(fixture)
-                await store.put(DRAIN_PREFIX + "s0", b"{}", within_s=PATIENCE_S)
+                await store.put(DRAIN_PREFIX + "s0", b"{}", within_s=TEST_TIMEOUT_S)
                 await until(lambda: fixture.limiter.setup.servers[0].drain)
                 store.close()
 
@@ -196,12 +196,12 @@
                     value = await store.get("limiter/basaltpoint")
                     return str(json.loads(value.value)["problem"]) if value else ""
 
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(TEST_TIMEOUT_S):
                     while not await problem():
                         await asyncio.sleep(0.05)
                 assert 'found "mian", which is no pool' in await problem()
                 await store.put(DOCUMENT_KEY, text.encode())
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(TEST_TIMEOUT_S):
                     while await problem():
                         await asyncio.sleep(0.05)
                 store.close()
@@ -267,7 +267,7 @@
             client = replicas.client(*(name for name in replicas.names if name != killed))
             starting = limiter(tmp_path / "b.toml", text)
             entered = asyncio.create_task(starting.__aenter__())
-            await client.put(DRAIN_PREFIX + "s0", b"{}", within_s=PATIENCE_S)
+            await client.put(DRAIN_PREFIX + "s0", b"{}", within_s=TEST_TIMEOUT_S)
             replicas.start(killed)
             fixture = await entered
             await until(lambda: any(spec.drain for spec in fixture.limiter.setup.servers))
@@ -308,7 +308,7 @@
                 replicas.start(*replicas.names[:-1])
                 await until(lambda: "it is available again" in caplog.text)
                 client = replicas.client()
-                await client.put(DRAIN_PREFIX + "s0", b"{}", within_s=PATIENCE_S)
+                await client.put(DRAIN_PREFIX + "s0", b"{}", within_s=TEST_TIMEOUT_S)
                 await until(lambda: any(spec.drain for spec in fixture.limiter.setup.servers))
                 client.close()
 
@@ -357,7 +357,7 @@
             assert not entered.done()
             replicas.start()
             client = replicas.client()
-            await client.put(DRAIN_PREFIX + "s0", b"{}", within_s=PATIENCE_S)
+            await client.put(DRAIN_PREFIX + "s0", b"{}", within_s=TEST_TIMEOUT_S)
             fixture = await entered
             await until(lambda: any(spec.drain for spec in fixture.limiter.setup.servers))
             assert await response_codes(fixture) == [200]
@@ -374,8 +374,10 @@
         keys.mkdir()
         for number in range(3):
             logs.append((tmp_path / f"s{number}.log").open("wb"))
-            behaviour = Behaviour(workers=64, service_s=lambda rng: rng.expovariate(1 / 0.01))
-            server = StandIn(behaviour, name=f"s{number}", keys=SharedKeys(keys), log=logs[-1])
+            behaviour = ServerBehaviour(workers=64, draw_service_s=lambda rng: rng.expovariate(1 / 0.01))
+            server = StandInServer(
+                behaviour, name=f"s{number}", keys=SharedIdempotencyKeys(keys), log=logs[-1]
+            )
             await server.start()
             servers.append(server)
         addresses = [server.address for server in servers]
@@ -394,28 +396,28 @@
             )
             client, acknowledged = replicas.client(), dict[str, bytes]()
             drained_at_s: dict[str, float] = {}
-            await until(lambda: min(len(server.seen) for server in servers) > 10)
+            await until(lambda: min(len(server.requests) for server in servers) > 10)
             for turn, name in enumerate(replicas.names):
                 replicas.kill(name)
                 for at in range(5):
-                    await client.put(f"own/{turn}.{at}", b"x", within_s=PATIENCE_S)
+                    await client.put(f"own/{turn}.{at}", b"x", within_s=TEST_TIMEOUT_S)
                     acknowledged[f"own/{turn}.{at}"] = b"x"
                 if not drained_at_s:
-                    await client.put(DRAIN_PREFIX + "s0", b"{}", within_s=PATIENCE_S)
+                    await client.put(DRAIN_PREFIX + "s0", b"{}", within_s=TEST_TIMEOUT_S)
                     await until(lambda: any(spec.drain for spec in fixture.limiter.setup.servers))
                     drained_at_s["s0"] = time.monotonic()
                 replicas.start(name)
                 await asyncio.sleep(0.5)
             stats = await task
-            found, _ = await client.range("own/", within_s=PATIENCE_S)
+            found, _ = await client.get_range("own/", within_s=TEST_TIMEOUT_S)
             assert found.keys() == acknowledged.keys()
             await until(lambda: fixture.is_idle)
             client.close()
         for server, log in zip(servers, logs, strict=True):
             server.stop()
             log.close()
-        requests = read_asked(tmp_path / "ledger")
-        attempts = [row for number in range(3) for row in read_attempts(tmp_path / f"s{number}.log")]
+        requests = read_ledger(tmp_path / "ledger")
+        attempts = [row for number in range(3) for row in read_server_log(tmp_path / f"s{number}.log")]
         assert len(requests) > 300 and stats is not None
         assert audit(requests, attempts, drained_at_s) == []
         assert any(row.server == "s0" for row in attempts)
@@ -454,8 +456,8 @@
             ) as fixture:
                 assert await response_codes(fixture, 6) == [200] * 6
                 store = store_client(fixture)
-                async with asyncio.timeout(PATIENCE_S):
-                    while not (await store.range("balance/basaltpoint/one"))[0]:
+                async with asyncio.timeout(TEST_TIMEOUT_S):
+                    while not (await store.get_range("balance/basaltpoint/one"))[0]:
                         await asyncio.sleep(0.02)
                 await asyncio.sleep(0.3)
                 store.close()
