--- a/basaltpoint/fronts/platform/limiter.py
+++ b/basaltpoint/fronts/platform/limiter.py
@@ -267,14 +267,14 @@
         self._servers.close_expired()
         now = monotonic()
         for exchange in list(self._exchanges.values()):
-            stream, stuck = exchange.stream, exchange.write_paused_since
+            stream, paused_since = exchange.stream, exchange.write_paused_since
             silent = (
                 exchange.response_started
                 and stream
                 and not stream.is_paused
                 and now - stream.last_received_at > SERVER_TIMEOUT_S
             )
-            if stream and (silent or (stuck is not None and now - stuck > SERVER_TIMEOUT_S)):
+            if stream and (silent or (paused_since is not None and now - paused_since > SERVER_TIMEOUT_S)):
                 log.warning("a server has stopped in the middle of %s", "a response" if silent else "a body")
                 stream.reset()
 
--- a/basaltpoint/fronts/platform/request_check.py
+++ b/basaltpoint/fronts/platform/request_check.py
@@ -22,8 +22,8 @@
 class BadRequestError(Exception):
     """Why a request is rejected; `code`: the status of the response."""
 
-    def __init__(self, code: int, what: str) -> None:
-        super().__init__(what)
+    def __init__(self, code: int, message: str) -> None:
+        super().__init__(message)
         self.code = code
 
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -552,7 +552,7 @@
 
 
 def test_with_many_connections_each_closes_after_its_response() -> None:
-    """Incident r86fa4a: 5,000 connections with one request each stayed open and used up the clients' limit."""
+    """Incident r86fa4a: 5,000 connections with one request each remained and used up a client's limit."""
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
