--- a/basaltpoint/fronts/platform/limiter.py
+++ b/basaltpoint/fronts/platform/limiter.py
@@ -45,7 +45,7 @@
 
 PROBE_TIMEOUT_S = 0.25
 SERVER_TIMEOUT_S = 5.0  # for a server that stops during a response or does not accept a body
-MAX_LOAD_VALUE = 10_000.0  # of any value in a load report; no server has more requests
+MAX_LOAD_VALUE = 10_000.0  # of any value in a load report; no server has or serves more requests
 SERVER_SOCKET_FRACTION = 0.4  # of the sockets; the rest are for clients
 RESERVED_DESCRIPTORS = 32  # descriptors for the listener, discovery, the loop and the log
 
