--- a/basaltpoint/config/address.py
+++ b/basaltpoint/config/address.py
@@ -1,4 +1,4 @@
-"""Addresses as settings write them."""
+"""Addresses in settings."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class ConfigError(ValueError):
-    """A variable or file that does not describe a limiter; says what is wrong."""
+    """An environment variable or file with an invalid value; the message says what is wrong."""
 
 
 def parse_address(text: object) -> Address:
-    """`host:port` with a literal address; an IPv6 one stands in brackets."""
+    """Parses `host:port`, with an IPv6 address in brackets; raises ConfigError if it is invalid."""
     if not isinstance(text, str):
         raise ConfigError(f"not an address: {text!r}")
     host, colon, port = text.rpartition(":")
@@ -23,21 +23,21 @@
 
 
 def is_loopback(text: str) -> bool:
-    """Whether a `host:port` is of this host alone; ConfigError where it is no address."""
+    """Returns whether a `host:port` is a loopback address; raises ConfigError if it is invalid."""
     host = parse_address(text)[0]
     try:
         return ipaddress.ip_address(host).is_loopback
     except ValueError:
-        return False  # a name: it may be anybody's
+        return False  # a host name, which may resolve to any address
 
 
 def inherited_listening_socket(descriptor: int) -> socket.socket:
-    """The listening socket that this process was started with; ConfigError where there is none."""
+    """Returns the listening socket inherited at this descriptor; raises ConfigError if there is none."""
     try:
-        made = socket.socket(fileno=descriptor)
-        if not made.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+        sock = socket.socket(fileno=descriptor)
+        if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
             raise OSError("it does not listen")
     except OSError as error:
-        raise ConfigError(f"descriptor {descriptor} is no listening socket: {error}") from None
-    made.setblocking(False)
-    return made
+        raise ConfigError(f"descriptor {descriptor} is not a listening socket: {error}") from None
+    sock.setblocking(False)
+    return sock
--- a/basaltpoint/config/build.py
+++ b/basaltpoint/config/build.py
@@ -1,6 +1,6 @@
-"""From a checked file to what the limiter runs on: settings, routes, accounts and servers.
+"""Builds the limiter's settings, routes, accounts and servers from a decoded configuration file.
 
-What one table says of another is checked here; all problems are told at once.
+References and dependencies between tables are checked here; all problems are reported together.
 """
 
 from __future__ import annotations
@@ -32,19 +32,19 @@
 from basaltpoint.routing.path import PathError, normal_path
 from basaltpoint.routing.routes import ClassRules, PathForm, Rewrite, Route, Routes
 
-DIGEST = re.compile(r"sha256:([0-9a-f]{64})")
+KEY_DIGEST = re.compile(r"sha256:([0-9a-f]{64})")
 TOKEN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")  # RFC 9110, 5.6.2
-HOST = re.compile(r"(\*\.)?[a-z0-9_-]+(\.[a-z0-9_-]+)*|\[[0-9a-f:.]+\]")
-VALUE = re.compile(r"[\t\x20-\x7e]*")
-# Set by the limiter itself; a route that set them could break the framing or hide who asked.
-FRAMING = frozenset(
+HOST_PATTERN = re.compile(r"(\*\.)?[a-z0-9_-]+(\.[a-z0-9_-]+)*|\[[0-9a-f:.]+\]")
+HEADER_VALUE = re.compile(r"[\t\x20-\x7e]*")
+# Set by the limiter itself: a route that set them could break the framing or hide the client's address.
+RESERVED_HEADERS = frozenset(
     ["connection", "content-length", "keep-alive", "te", "trailer", "transfer-encoding", "upgrade", "via"]
 )
 
 
 @dataclass(frozen=True, slots=True)
 class ServerSpec:
-    """A server as the file tells of it; `number` is its for as long as name and address stay."""
+    """A server from the file. Its `number` stays the same as long as its name and address do."""
 
     number: int
     name: str
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Setup:
-    """All that a file says, ready for use. It never changes; a reload makes another."""
+    """The contents of a configuration file, ready for use. Immutable; a reload builds a new one."""
 
     file: ConfigFile
     listen: Address
@@ -71,28 +71,29 @@
     trusted_networks: Networks
 
     def with_drains(self, names: Collection[str]) -> Setup:
-        """The same with other drains: those of the file, and of these servers."""
-        rows = {row.name: row.drain for row in self.file.server}
-        servers = (replace(spec, drain=rows[spec.name] or spec.name in names) for spec in self.servers)
+        """Returns a copy in which the servers of these names are drained, besides those of the file."""
+        file_drains = {row.name: row.drain for row in self.file.server}
+        servers = (replace(spec, drain=file_drains[spec.name] or spec.name in names) for spec in self.servers)
         return replace(self, servers=tuple(servers))
 
-    def for_fleet(self, limiters: int, most: int) -> Setup:
-        """The same for one of several limiters before the same quotas.
+    def for_fleet(self, limiter_count: int, max_limiters: int) -> Setup:
+        """Returns a copy for one of several limiters that share the quotas.
 
-        Each quota is dealt out evenly among those that are there, each ceiling among the most that may be:
-        a quota may be passed for as long as two sides of a split count without each other, a ceiling never.
-        A limiter's burst holds one request at least, so that small quotas stay usable: the sum of all bursts
-        is then at most that much larger, the rate never.
+        Each quota is divided evenly by the number of live limiters, each ceiling by the maximum number of
+        limiters. So a quota may be exceeded while the fleet is partitioned and each side counts only its own
+        members; a ceiling is never exceeded. A limiter's burst holds at least one request of the most units,
+        so that small quotas stay usable. The sum of all bursts may then exceed the plan's burst by at most
+        that much per limiter; the sum of the rates never exceeds the plan's rate.
         """
-        one = max((route.units for route in self.file.route), default=1.0)
+        max_request_units = max((route.units for route in self.file.route), default=1.0)
         plans = tuple(
             replace(
                 plan,
-                rate=plan.rate / limiters,
-                burst=min(plan.burst, max(plan.burst / limiters, one)),
-                max_parallel=-(-plan.max_parallel // limiters),
-                ceiling_rate=plan.ceiling_rate / most,
-                ceiling_depth=plan.ceiling_depth / most,
+                rate=plan.rate / limiter_count,
+                burst=min(plan.burst, max(plan.burst / limiter_count, max_request_units)),
+                max_parallel=-(-plan.max_parallel // limiter_count),
+                ceiling_rate=plan.ceiling_rate / max_limiters,
+                ceiling_depth=plan.ceiling_depth / max_limiters,
             )
             for plan in self.settings.plans
         )
@@ -101,25 +102,25 @@
 
 @dataclass(slots=True)
 class NumberRegistry:
-    """Numbers of named things, the same over reloads: requests that are out go by them."""
+    """Assigns numbers to named things; they stay the same over reloads, as open requests refer to them."""
 
-    given: dict[tuple[str, str], int] = field(default_factory=dict)
+    assigned: dict[tuple[str, str], int] = field(default_factory=dict)
     counts: dict[str, int] = field(default_factory=dict)
 
     def number_for(self, kind: str, name: str) -> int:
         key = kind, name
-        if key not in self.given:
-            self.given[key] = self.counts[kind] = self.counts.get(kind, 0) + 1
-        return self.given[key]
+        if key not in self.assigned:
+            self.assigned[key] = self.counts[kind] = self.counts.get(kind, 0) + 1
+        return self.assigned[key]
 
     def copy(self) -> NumberRegistry:
-        return NumberRegistry(dict(self.given), dict(self.counts))
+        return NumberRegistry(dict(self.assigned), dict(self.counts))
 
 
 def load(path: Path, numbers: NumberRegistry | None = None) -> Setup:
-    """Read, check and build; FileError with every problem found.
+    """Reads, checks and builds a configuration; raises FileError with all problems found.
 
-    `numbers` is changed only where all is right.
+    `numbers` is changed only if the file is valid.
     """
     return build_setup(load_toml(path), path, ProblemCollector(str(path)), numbers)
 
@@ -127,36 +128,36 @@
 def build_setup(
     raw: dict[str, Any], path: Path, out: ProblemCollector, numbers: NumberRegistry | None = None
 ) -> Setup:
-    """Check and build what was read; FileError with every problem found."""
+    """Checks and builds the tables of a file; raises FileError with all problems found."""
     file = decode(ConfigFile, raw, out)
     if file is None:
         raise FileError(out.problems)
-    trial = numbers.copy() if numbers else NumberRegistry()
-    setup = SetupBuilder(file, path, out, trial).build()
+    new_numbers = numbers.copy() if numbers else NumberRegistry()
+    setup = SetupBuilder(file, path, out, new_numbers).build()
     out.raise_problems()
     if numbers:
-        numbers.given, numbers.counts = trial.given, trial.counts
+        numbers.assigned, numbers.counts = new_numbers.assigned, new_numbers.counts
     return setup
 
 
 class SetupBuilder:
-    """One file's way to a Setup."""
+    """Builds the Setup of one file and collects the problems in it."""
 
     def __init__(self, file: ConfigFile, path: Path, out: ProblemCollector, numbers: NumberRegistry) -> None:
         self.file, self.path, self.out, self.numbers = file, path, out, numbers
-        self.plans = self._names("plan", file.plan)
-        self.classes = self._names("class", file.class_)
-        self.servers = self._names("server", file.server)
-        self.pools = self._names("pool", file.pool)
-        self._names("route", file.route)
+        self.plans = self._index_names("plan", file.plan)
+        self.classes = self._index_names("class", file.class_)
+        self.servers = self._index_names("server", file.server)
+        self.pools = self._index_names("pool", file.pool)
+        self._index_names("route", file.route)
 
     def build(self) -> Setup:
         listen = self._address("listen", self.file.listen)
-        self._plans()
-        classes, handlings = self._classes()
+        self._check_plans()
+        classes, class_rules = self._classes()
         servers = self._servers()
-        routes, pools = self._routes(handlings)
-        accounts, trusted = self._accounts(), self._trusted()
+        routes, pools = self._routes(class_rules)
+        accounts, trusted = self._accounts(), self._trusted_networks()
         if self.file.store:
             storage.check(self.file.store, self.path.parent, self.out)
         if self.file.fleet:
@@ -175,7 +176,7 @@
         )
 
     # --- Names ---------------------------------------------------------------------------------
-    def _names(self, table: str, rows: Sequence[Any]) -> dict[str, int]:
+    def _index_names(self, table: str, rows: Sequence[Any]) -> dict[str, int]:
         found: dict[str, int] = {}
         for at, row in enumerate(rows):
             if row.name in found:
@@ -183,21 +184,21 @@
                 self.out.add(
                     f"{table}[{at}].name",
                     f"found {format_value(row.name)} again",
-                    f"a name that {first} has not",
+                    f"a name that {first} does not have",
                 )
             found.setdefault(row.name, at)
         if not rows:
-            self.out.add(table, "none", f"one [[{table}]] at least")
+            self.out.add(table, "none", f"at least one [[{table}]]")
         return found
 
-    def _known(self, path: str, name: str, table: str, known: Iterable[str]) -> bool:
+    def _check_known(self, path: str, name: str, table: str, known: Iterable[str]) -> bool:
         if name in known:
             return True
         names = sorted(known)
-        near = difflib.get_close_matches(name, names, 1, 0.5)
+        close = difflib.get_close_matches(name, names, 1, 0.5)
         hint = (
-            f"did you mean {format_value(near[0])}?"
-            if near
+            f"did you mean {format_value(close[0])}?"
+            if close
             else "one of " + ", ".join(map(format_value, names[:10]))
         )
         self.out.add(path, f"found {format_value(name)}, which is no {table}", hint)
@@ -213,7 +214,7 @@
         return address
 
     # --- Plans, classes --------------------------------------------------------------------------
-    def _plans(self) -> None:
+    def _check_plans(self) -> None:
         for at, plan in enumerate(self.file.plan):
             if (plan.ceiling_rate > 0) != (plan.ceiling_burst > 0):
                 missing = "ceiling_burst" if plan.ceiling_rate > 0 else "ceiling_rate"
@@ -236,19 +237,21 @@
                     f"{path}.aim_ms", f"found {row.aim_ms:g}", f"up to the deadline, {row.deadline_ms:g}"
                 )
             if (row.effect is Effect.KEYED) != (row.window_ms > 0):
-                wanted = (
+                allowed = (
                     "above 0 for a keyed class" if row.effect is Effect.KEYED else "only for a keyed class"
                 )
-                self.out.add(f"{path}.window_ms", f"found {row.window_ms:g}", wanted)
+                self.out.add(f"{path}.window_ms", f"found {row.window_ms:g}", allowed)
             classes.append(self._class(row, row.effect))
-        # Twins come behind, so that a class keeps its place in the file as its number.
+        # Unkeyed classes follow after all others, so that the number of a class is its position in the file.
         for at, row in enumerate(self.file.class_):
-            twin = None
+            unkeyed = None
             if row.effect is Effect.KEYED and row.key_missing is KeyMissing.UNSAFE:
-                twin = len(classes)
+                unkeyed = len(classes)
                 classes.append(self._class(row, Effect.UNSAFE, row.name + " without a key"))
             key = row.key_header.lower() if row.effect is Effect.KEYED else ""
-            made.append(ClassRules(at, row.effect, row.deadline_ms, key, twin, row.deadline_header.lower()))
+            made.append(
+                ClassRules(at, row.effect, row.deadline_ms, key, unkeyed, row.deadline_header.lower())
+            )
         return classes, made
 
     def _class(self, row: ClassTable, effect: Effect, name: str = "") -> api.RequestClass:
@@ -296,17 +299,17 @@
 
     # --- Servers, pools --------------------------------------------------------------------------
     def _servers(self) -> tuple[ServerSpec, ...]:
-        homes: dict[str, list[int]] = {}
+        pools_by_server: dict[str, list[int]] = {}
         for at, pool in enumerate(self.file.pool):
             number = self.numbers.number_for("pool", pool.name)
             if not pool.servers:
-                self.out.add(f"pool[{at}].servers", "none", "one server at least")
+                self.out.add(f"pool[{at}].servers", "none", "at least one server")
             for index, name in enumerate(pool.servers):
                 path = f"pool[{at}].servers[{index}]"
                 if name in pool.servers[:index]:
                     self.out.add(path, f"found {format_value(name)} again", "each server once")
-                elif self._known(path, name, "server", self.servers):
-                    homes.setdefault(name, []).append(number)
+                elif self._check_known(path, name, "server", self.servers):
+                    pools_by_server.setdefault(name, []).append(number)
         made, addresses = [], dict[Address, int]()
         for at, row in enumerate(self.file.server):
             address = self._address(f"server[{at}].address", row.address)
@@ -315,9 +318,9 @@
                 self.out.add(
                     path,
                     f"found {format_value(row.address)} again",
-                    f"an address that server[{addresses[address]}] has not",
+                    f"an address that server[{addresses[address]}] does not have",
                 )
-            made.append(self._server(row, address, tuple(homes.get(row.name, ()))))
+            made.append(self._server(row, address, tuple(pools_by_server.get(row.name, ()))))
         return tuple(made)
 
     def _server(self, row: ServerTable, address: Address, pools: tuple[int, ...]) -> ServerSpec:
@@ -330,8 +333,8 @@
         )
 
     # --- Routes ----------------------------------------------------------------------------------
-    def _routes(self, handlings: list[ClassRules]) -> tuple[list[Route], dict[int, tuple[int, ...]]]:
-        most = max((plan.burst for plan in self.file.plan), default=0.0)
+    def _routes(self, class_rules: list[ClassRules]) -> tuple[list[Route], dict[int, tuple[int, ...]]]:
+        max_burst = max((plan.burst for plan in self.file.plan), default=0.0)
         routes: list[Route] = []
         members: dict[int, set[int]] = {
             self.numbers.number_for("pool", pool.name): set() for pool in self.file.pool
@@ -339,13 +342,15 @@
         seen: dict[tuple[Any, ...], int] = {}
         for at, row in enumerate(self.file.route):
             path = f"route[{at}]"
-            known = self._known(f"{path}.pool", row.pool, "pool", self.pools)
-            known &= self._known(f"{path}.class", row.class_, "class", self.classes)
-            if row.units > most > 0:
+            known = self._check_known(f"{path}.pool", row.pool, "pool", self.pools)
+            known &= self._check_known(f"{path}.class", row.class_, "class", self.classes)
+            if row.units > max_burst > 0:
                 self.out.add(
-                    f"{path}.units", f"found {row.units:g}", f"up to the largest burst of a plan, {most:g}"
+                    f"{path}.units",
+                    f"found {row.units:g}",
+                    f"up to the largest burst of a plan, {max_burst:g}",
                 )
-            made = self._route(row, path, handlings, known)
+            made = self._route(row, path, class_rules, known)
             if made is None:
                 continue
             routes.append(made)
@@ -357,21 +362,21 @@
                 self.out.add(
                     path,
                     f"the same conditions as route[{seen[key]}]",
-                    "conditions under which it can be reached",
+                    "conditions that differ from those of other routes",
                 )
         return routes, {number: tuple(sorted(found)) for number, found in members.items()}
 
-    def _route(self, row: RouteTable, path: str, handlings: list[ClassRules], known: bool) -> Route | None:
-        before = len(self.out.problems)
-        form, text = self._form(row, path)
-        self._patterns(row, path)
-        if not known or len(self.out.problems) > before:
+    def _route(self, row: RouteTable, path: str, class_rules: list[ClassRules], known: bool) -> Route | None:
+        problems_before = len(self.out.problems)
+        form, text = self._path_form(row, path)
+        self._check_patterns(row, path)
+        if not known or len(self.out.problems) > problems_before:
             return None
         rewrite = Rewrite(row.prefix, row.rewrite) if row.rewrite else None
         return Route(
             name=row.name,
             pool=self.numbers.number_for("pool", row.pool),
-            class_rules=handlings[self.classes[row.class_]],
+            class_rules=class_rules[self.classes[row.class_]],
             path_form=form,
             path=text,
             hosts=row.hosts,
@@ -387,14 +392,14 @@
             max_body_bytes=row.body_max_kb * 1024,
         )
 
-    def _form(self, row: RouteTable, path: str) -> tuple[PathForm, str]:
+    def _path_form(self, row: RouteTable, path: str) -> tuple[PathForm, str]:
         given = [key for key in ("path", "prefix", "regex") if getattr(row, key)]
         if len(given) > 1:
             self.out.add(path, "found " + " and ".join(given), "one of path, prefix and regex")
         if row.rewrite and not row.prefix:
             self.out.add(f"{path}.rewrite", f"found {format_value(row.rewrite)}", "only together with prefix")
         for key in ("path", "prefix", "rewrite"):
-            self._normal(getattr(row, key), f"{path}.{key}")
+            self._check_normal_path(getattr(row, key), f"{path}.{key}")
         if row.regex:
             try:
                 regex.check_expression(row.regex)
@@ -407,7 +412,7 @@
             return PathForm.EXACT, row.path
         return (PathForm.PREFIX, row.prefix) if row.prefix else (PathForm.ANY, "")
 
-    def _normal(self, text: str, path: str) -> None:
+    def _check_normal_path(self, text: str, path: str) -> None:
         if not text:
             return
         try:
@@ -422,31 +427,35 @@
                 f"the normal form, {format_value(normal.partition('?')[0])}",
             )
 
-    def _patterns(self, row: RouteTable, path: str) -> None:
-        def each(key: str, values: Iterable[str], fits: Callable[[str], Any], wanted: str) -> None:
+    def _check_patterns(self, row: RouteTable, path: str) -> None:
+        def check_each(key: str, values: Iterable[str], is_valid: Callable[[str], Any], allowed: str) -> None:
             for value in values:
-                if not fits(value):
-                    self.out.add(f"{path}.{key}", f"found {format_value(value)}", wanted)
+                if not is_valid(value):
+                    self.out.add(f"{path}.{key}", f"found {format_value(value)}", allowed)
 
-        each("hosts", row.hosts, HOST.fullmatch, "a host in lower case without its port, or *.HOST")
-        each(
+        check_each(
+            "hosts", row.hosts, HOST_PATTERN.fullmatch, "a host in lower case without its port, or *.HOST"
+        )
+        check_each(
             "methods", row.methods, lambda m: TOKEN.fullmatch(m) and m == m.upper(), "a method in upper case"
         )
         for key in ("headers", "set_headers", "answer_headers"):
             table: dict[str, str] = getattr(row, key)
-            each(key, table, TOKEN.fullmatch, "a header's name")
-            each(key, table.values(), VALUE.fullmatch, "a header's value, printable and on one line")
+            check_each(key, table, TOKEN.fullmatch, "a header's name")
+            check_each(
+                key, table.values(), HEADER_VALUE.fullmatch, "a header's value, printable and on one line"
+            )
             if key != "headers":
-                each(
+                check_each(
                     key,
                     table,
-                    lambda n: n.lower() not in FRAMING,
+                    lambda n: n.lower() not in RESERVED_HEADERS,
                     "a header that the limiter does not set itself",
                 )
-        each("drop_headers", row.drop_headers, TOKEN.fullmatch, "a header's name")
+        check_each("drop_headers", row.drop_headers, TOKEN.fullmatch, "a header's name")
 
     # --- Accounts --------------------------------------------------------------------------------
-    def _trusted(self) -> Networks:
+    def _trusted_networks(self) -> Networks:
         found = []
         for at, text in enumerate(self.file.identity.trusted_proxies):
             try:
@@ -461,30 +470,30 @@
 
     def _accounts(self) -> Accounts:
         table, found = self.file.identity, dict[bytes, Account]()
-        plan = self._anonymous()
+        plan = self._anonymous_plan()
         names: dict[str, str] = {}
         for path, row in self._account_rows():
             if names.setdefault(row.name, path) != path:
                 self.out.add(
                     f"{path}.name",
                     f"found {format_value(row.name)} again",
-                    f"a name that {names[row.name]} has not",
+                    f"a name that {names[row.name]} does not have",
                 )
-            if not self._known(f"{path}.plan", row.plan, "plan", self.plans):
+            if not self._check_known(f"{path}.plan", row.plan, "plan", self.plans):
                 continue
             account = Account(self.numbers.number_for("account", row.name), self.plans[row.plan], row.name)
             if not row.keys:
-                self.out.add(f"{path}.keys", "none", "one digest at least")
+                self.out.add(f"{path}.keys", "none", "at least one digest")
             for at, text in enumerate(row.keys):
-                self._key(f"{path}.keys[{at}]", text, account, found)
+                self._add_key(f"{path}.keys[{at}]", text, account, found)
         identity = IdentitySettings(table.header.lower(), table.bearer, table.no_key, table.unknown_key, plan)
         return Accounts(found, identity)
 
-    def _key(self, path: str, text: str, account: Account, found: dict[bytes, Account]) -> None:
-        match = DIGEST.fullmatch(text)
+    def _add_key(self, path: str, text: str, account: Account, found: dict[bytes, Account]) -> None:
+        match = KEY_DIGEST.fullmatch(text)
         if match is None:
-            # Not shown: what stands here by mistake is most likely the key itself.
-            self.out.add(path, "no digest", "sha256: and 64 hex digits, from `basaltpoint hash-key`")
+            # The value is not shown, as it is most likely the key itself, entered by mistake.
+            self.out.add(path, "not a digest", "sha256: and 64 hex digits, from `basaltpoint hash-key`")
             return
         digest = bytes.fromhex(match[1])
         if (other := found.get(digest)) is not None:
@@ -494,12 +503,16 @@
             return
         found[digest] = account
 
-    def _anonymous(self) -> int:
+    def _anonymous_plan(self) -> int:
         table = self.file.identity
-        wanted = KeyPolicy.ANONYMOUS in (table.no_key, table.unknown_key)
-        if wanted and not table.anonymous_plan:
-            self.out.add("identity.anonymous_plan", "missing", "the name of a plan, as strangers are let in")
-        if table.anonymous_plan and self._known(
+        is_required = KeyPolicy.ANONYMOUS in (table.no_key, table.unknown_key)
+        if is_required and not table.anonymous_plan:
+            self.out.add(
+                "identity.anonymous_plan",
+                "missing",
+                "the name of a plan, as no_key or unknown_key is anonymous",
+            )
+        if table.anonymous_plan and self._check_known(
             "identity.anonymous_plan", table.anonymous_plan, "plan", self.plans
         ):
             return self.plans[table.anonymous_plan]
@@ -531,7 +544,7 @@
         try:
             raw = json.loads(line)
         except ValueError as error:
-            out.add(f"line {number}", f"no JSON: {error}", "an object with name, plan and keys")
+            out.add(f"line {number}", f"invalid JSON: {error}", "an object with name, plan and keys")
             return None
         if not isinstance(raw, dict):
             out.add(f"line {number}", f"found {format_value(raw)}", "an object with name, plan and keys")
--- a/basaltpoint/config/decode.py
+++ b/basaltpoint/config/decode.py
@@ -1,7 +1,7 @@
-"""A TOML file into typed structures, with every error told in one go.
+"""Decodes a TOML file into typed structures and collects all errors in it.
 
-msgspec decodes and checks each value; as it stops at the first error, tables are walked here key by key.
-An error names file, key path, what was found and what is allowed.
+msgspec decodes and checks each value. As it stops at the first error, this module walks tables key by key. An
+error names the file, the key's path, what was found and what is allowed.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from msgspec import inspect
 
 T = TypeVar("T", bound=msgspec.Struct)
-MAX_SHOWN_CHARS = 60  # characters of a value that an error shows
+MAX_SHOWN_CHARS = 60  # of a value in an error
 
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One error; `path` is the key's, as `route[2].pool`."""
+    """One error; `path` is the path of the key, such as `route[2].pool`."""
 
     file: str
     path: str
@@ -34,7 +34,7 @@
 
 
 class FileError(Exception):
-    """A configuration that can't be used, with all that is wrong in it."""
+    """An invalid configuration, with all problems found in it."""
 
     def __init__(self, problems: Iterable[Problem]) -> None:
         self.problems = tuple(problems)
@@ -42,7 +42,7 @@
 
 
 def format_value(value: object) -> str:
-    """A value as an error shows it."""
+    """Returns a value as it is written in an error."""
     if isinstance(value, dict):
         return "a table"
     if isinstance(value, bool):
@@ -52,7 +52,7 @@
 
 
 class ProblemCollector:
-    """The problems of one file, as they are found."""
+    """Collects the problems of one file."""
 
     def __init__(self, file: str) -> None:
         self.file = file
@@ -62,13 +62,13 @@
         self.problems.append(Problem(self.file, path, found, allowed))
 
     def raise_problems(self) -> None:
-        """FileError where anything was found."""
+        """Raises FileError if there are problems."""
         if self.problems:
             raise FileError(self.problems)
 
 
 def read_toml(path: Path, out: ProblemCollector) -> dict[str, Any]:
-    """The file's tables; a problem, and none of them, where it is no TOML."""
+    """Reads the file's tables; adds a problem and returns no tables if it can't be read or is not TOML."""
     try:
         return parse_toml(path.read_bytes(), "file", out)
     except OSError as error:
@@ -77,18 +77,21 @@
 
 
 def parse_toml(text: bytes, what: str, out: ProblemCollector) -> dict[str, Any]:
-    """The tables of a file or another text, `what` in the problems; none where it is no TOML."""
+    """Parses TOML; adds a problem and returns no tables if it is invalid.
+
+    `what` names the text in problems, such as "file" or "document".
+    """
     try:
         return tomllib.loads(text.decode())
     except UnicodeDecodeError as error:
         out.add(f"({what})", f"not UTF-8 at byte {error.start}", f"a TOML {what} in UTF-8")
     except tomllib.TOMLDecodeError as error:
-        out.add(f"({what})", f"no TOML: {error}", "TOML 1.0")
+        out.add(f"({what})", f"invalid TOML: {error}", "TOML 1.0")
     return {}
 
 
 def load_toml(path: Path) -> dict[str, Any]:
-    """The file's tables; FileError where it can't be read."""
+    """Reads the file's tables; raises FileError if it can't be read or is not TOML."""
     out = ProblemCollector(str(path))
     raw = read_toml(path, out)
     out.raise_problems()
@@ -96,7 +99,7 @@
 
 
 def describe_allowed(kind: inspect.Type) -> str:
-    """In words, what a value of this type may be."""
+    """Describes the values that this type allows."""
     match kind := unwrap_type(kind):
         case inspect.BoolType():
             return "true or false"
@@ -130,58 +133,63 @@
 
 
 def unwrap_type(kind: inspect.Type) -> inspect.Type:
-    """A type without its description, and without the None that stands for absence."""
+    """Returns a type without its metadata, and without None if that is its only alternative."""
     if isinstance(kind, inspect.Metadata):
         return unwrap_type(kind.type)
     if isinstance(kind, inspect.UnionType):
-        parts = [part for part in kind.types if not isinstance(part, inspect.NoneType)]
-        return unwrap_type(parts[0]) if len(parts) == 1 else kind
+        alternatives = [each for each in kind.types if not isinstance(each, inspect.NoneType)]
+        return unwrap_type(alternatives[0]) if len(alternatives) == 1 else kind
     return kind
 
 
-def _join(path: str, key: str) -> str:
+def _join_path(path: str, key: str) -> str:
     return f"{path}.{key}" if path else key
 
 
 def decode(kind: type[T], raw: dict[str, Any], out: ProblemCollector, path: str = "") -> T | None:
-    """The structure, or None where something in it is wrong and told to `out`."""
+    """Decodes a table; returns None if it is invalid and adds its problems to `out`."""
     info = inspect.type_info(kind)
     assert isinstance(info, inspect.StructType)
-    before = len(out.problems)
-    values = _fields(info, raw, out, path)
-    return kind(**values) if len(out.problems) == before else None
+    problems_before = len(out.problems)
+    values = _decode_fields(info, raw, out, path)
+    return kind(**values) if len(out.problems) == problems_before else None
 
 
-def _fields(
+def _decode_fields(
     info: inspect.StructType, raw: dict[str, Any], out: ProblemCollector, path: str
 ) -> dict[str, Any]:
     known = {field.encode_name: field for field in info.fields}
     for key in raw:
         if key not in known:
-            near = difflib.get_close_matches(key, known, 1, 0.5)
-            hint = f'did you mean "{near[0]}"?' if near else "one of " + ", ".join(sorted(known))
-            out.add(_join(path, key), "an unknown key", hint)
+            close = difflib.get_close_matches(key, known, 1, 0.5)
+            hint = f'did you mean "{close[0]}"?' if close else "one of " + ", ".join(sorted(known))
+            out.add(_join_path(path, key), "an unknown key", hint)
     values: dict[str, Any] = {}
     for key, field in known.items():
         if key in raw:
-            values[field.name] = _value(field.type, raw[key], out, _join(path, key))
+            values[field.name] = _decode_value(field.type, raw[key], out, _join_path(path, key))
         elif field.required:
-            out.add(_join(path, key), "missing", describe_allowed(field.type))
+            out.add(_join_path(path, key), "missing", describe_allowed(field.type))
     return values
 
 
-def _value(kind: inspect.Type, value: Any, out: ProblemCollector, path: str) -> Any:
+def _decode_value(kind: inspect.Type, value: Any, out: ProblemCollector, path: str) -> Any:
     kind = unwrap_type(kind)
     if isinstance(kind, inspect.StructType) and isinstance(value, dict):
         return decode(kind.cls, value, out, path)
     if isinstance(kind, inspect.VarTupleType) and isinstance(value, list):
-        return tuple(_value(kind.item_type, item, out, f"{path}[{at}]") for at, item in enumerate(value))
+        return tuple(
+            _decode_value(kind.item_type, item, out, f"{path}[{at}]") for at, item in enumerate(value)
+        )
     if isinstance(kind, inspect.DictType) and isinstance(value, dict):
-        return {key: _value(kind.value_type, item, out, _join(path, key)) for key, item in value.items()}
-    return _leaf(kind, value, out, path)
+        return {
+            key: _decode_value(kind.value_type, item, out, _join_path(path, key))
+            for key, item in value.items()
+        }
+    return _convert(kind, value, out, path)
 
 
-def _leaf(kind: inspect.Type, value: Any, out: ProblemCollector, path: str) -> Any:
+def _convert(kind: inspect.Type, value: Any, out: ProblemCollector, path: str) -> Any:
     try:
         return msgspec.convert(value, _python_type(kind), strict=True)
     except msgspec.ValidationError:
@@ -190,7 +198,7 @@
 
 
 def _python_type(kind: inspect.Type) -> Any:
-    """The type that msgspec converts to, with its bounds."""
+    """Returns the type that msgspec converts to, with its bounds."""
     match kind := unwrap_type(kind):
         case inspect.BoolType():
             return bool
@@ -207,7 +215,7 @@
         case inspect.DictType():
             return dict[str, _python_type(kind.value_type)]  # type: ignore[misc]
         case _:
-            raise AssertionError(f"a field of this type is not decoded: {kind}")
+            raise AssertionError(f"fields of this type can't be decoded: {kind}")
 
 
 def _bounded(kind: type, info: Any) -> Any:
--- a/basaltpoint/config/fleets.py
+++ b/basaltpoint/config/fleets.py
@@ -1,4 +1,4 @@
-"""The `[fleet]` table, checked and with its paths made whole."""
+"""Checks the `[fleet]` table and resolves its paths."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """What a member needs to know. `files` is None on the loopback alone."""
+    """A member's settings. `tls_files` is None if the member listens at a loopback address only."""
 
     table: FleetTable
     name: str
@@ -24,17 +24,17 @@
 
     @property
     def cluster(self) -> str:
-        """What members and operators greet for: unlike a store's of the same name."""
+        """Name of the cluster in greetings; it differs from that of a store's cluster of the same name."""
         return f"fleet {self.table.cluster}"
 
     @property
     def address(self) -> str:
-        """Where the file says that this member is reached."""
+        """Address at which the other members reach this one, by the file."""
         return self.table.advertise or self.table.listen
 
 
 def check(table: FleetTable, name: str, base: Path, out: ProblemCollector) -> FleetSettings:
-    """Check one key against another; problems go to `out`. `name` is the limiter's."""
+    """Checks keys against each other and adds problems to `out`; `name` is the limiter's name."""
     loopback = False
     for key in ("listen", "advertise"):
         if text := getattr(table, key):
@@ -50,34 +50,34 @@
             out.add(f"fleet.seeds[{at}]", f"found {format_value(address)}", "NAME@HOST:PORT")
         if seed in [other for other, _ in seeds[:at]]:
             out.add(f"fleet.seeds[{at}]", f"found {format_value(seed)} again", "each name once")
-    files = _files(table, base, loopback, out)
+    tls_files = _tls_files(table, base, loopback, out)
     journal = base / table.journal if table.journal else None
-    return FleetSettings(table, table.name or name, seeds, files, journal)
+    return FleetSettings(table, table.name or name, seeds, tls_files, journal)
 
 
-def _files(table: FleetTable, base: Path, loopback: bool, out: ProblemCollector) -> TlsFiles | None:
+def _tls_files(table: FleetTable, base: Path, loopback: bool, out: ProblemCollector) -> TlsFiles | None:
     given = {key: getattr(table, key) for key in ("cert", "key", "authority")}
     if not any(given.values()) and loopback:
         return None
-    return pem_files("fleet", given, base, "a PEM file, or a `listen` of the loopback", out)
+    return pem_files("fleet", given, base, "a PEM file, or a loopback address for `listen`", out)
 
 
 def parse(raw: dict[str, Any], path: Path) -> FleetSettings:
-    """The `[fleet]` table of a file's tables; FileError with every problem found."""
+    """Decodes and checks the `[fleet]` table among a file's tables; raises FileError with all problems."""
     out = ProblemCollector(str(path))
     table = raw.get("fleet")
     if not isinstance(table, dict):
         out.add("fleet", "missing", "a table [fleet]")
         raise FileError(out.problems)
-    made = decode(FleetTable, table, out, "fleet")
-    if made is None:
+    decoded = decode(FleetTable, table, out, "fleet")
+    if decoded is None:
         raise FileError(out.problems)
     name = raw.get("name", "basaltpoint")
-    setting = check(made, name if isinstance(name, str) else "basaltpoint", path.parent, out)
+    settings = check(decoded, name if isinstance(name, str) else "basaltpoint", path.parent, out)
     out.raise_problems()
-    return setting
+    return settings
 
 
 def load(path: Path) -> FleetSettings:
-    """The same of a file, whatever else stands in it."""
+    """Reads the `[fleet]` table of a file, not its other tables; raises FileError with all problems."""
     return parse(load_toml(path), path)
--- a/basaltpoint/config/reference.py
+++ b/basaltpoint/config/reference.py
@@ -1,4 +1,4 @@
-"""The reference of the configuration file, made from its schema, so that it can't be out of date."""
+"""Generates the reference of the configuration file from its schema."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from basaltpoint.config import schema
 from basaltpoint.config.decode import describe_allowed, format_value, unwrap_type
 
-HEAD = """# Configuration reference
+PAGE_HEAD = """# Configuration reference
 
-Made from the schema by `basaltpoint reference`; a test holds this page to it. Times and sizes carry their
-unit in the key's name. Unknown keys are errors.
+Generated from the schema by `basaltpoint reference`; a test compares the two. The names of keys for times and
+sizes end with the unit. Unknown keys are errors.
 """
 
 
 def reference() -> str:
-    """The whole page."""
+    """Returns the whole page, in Markdown."""
     info = inspect.type_info(schema.ConfigFile)
     assert isinstance(info, inspect.StructType)
-    parts = [HEAD, _table("Top of the file", info)]
+    parts = [PAGE_HEAD, _table("Top level", info)]
     for field in info.fields:
         kind = unwrap_type(field.type)
-        many = isinstance(kind, inspect.VarTupleType)
+        is_list = isinstance(kind, inspect.VarTupleType)
         inner = unwrap_type(kind.item_type) if isinstance(kind, inspect.VarTupleType) else kind
         if isinstance(inner, inspect.StructType):
             name = field.encode_name
-            title = f"`[[{name}]]`" if many else f"`[{name}]`"
+            title = f"`[[{name}]]`" if is_list else f"`[{name}]`"
             parts.append(_table(title, inner))
     return "\n".join(parts)
 
--- a/basaltpoint/config/settings.py
+++ b/basaltpoint/config/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings object, as the simulator's first message and the JSON file give it."""
+"""Parses the platform's settings object, from the simulator's first message or the JSON file."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class SettingsError(ValueError):
-    """A settings text that does not describe a limiter; says what and where."""
+    """Invalid settings; the message names the key's path and the fault."""
 
 
 class _Table:
-    """A settings object that names the path of a key that is missing or of a wrong type."""
+    """A settings object whose errors name the path of a missing key or of a value with a wrong type."""
 
     def __init__(self, raw: Any, path: str) -> None:
         if not isinstance(raw, dict):
@@ -35,38 +35,38 @@
         self.raw = raw
         self.path = path
 
-    def _name(self, key: str) -> str:
+    def _key_path(self, key: str) -> str:
         return f"{self.path}.{key}" if self.path else key
 
     def table(self, key: str) -> _Table:
         if key not in self.raw:
-            raise SettingsError(f"settings: {self._name(key)} is missing")
-        return _Table(self.raw[key], self._name(key))
+            raise SettingsError(f"settings: {self._key_path(key)} is missing")
+        return _Table(self.raw[key], self._key_path(key))
 
     def tables(self, key: str) -> list[_Table]:
         rows = self.raw.get(key)
         if not isinstance(rows, list):
-            raise SettingsError(f"settings: {self._name(key)} is missing or not a list")
-        return [_Table(row, f"{self._name(key)}[{i}]") for i, row in enumerate(rows)]
+            raise SettingsError(f"settings: {self._key_path(key)} is missing or not a list")
+        return [_Table(row, f"{self._key_path(key)}[{i}]") for i, row in enumerate(rows)]
 
     def number(self, key: str, default: float | None = None) -> float:
         value = self.raw.get(key, default)
         if value is None:
-            raise SettingsError(f"settings: {self._name(key)} is missing")
+            raise SettingsError(f"settings: {self._key_path(key)} is missing")
         if isinstance(value, bool) or not isinstance(value, int | float):
-            raise SettingsError(f"settings: {self._name(key)} is not a number")
+            raise SettingsError(f"settings: {self._key_path(key)} is not a number")
         return float(value)
 
     def flag(self, key: str) -> bool:
         value = self.raw.get(key, False)
         if not isinstance(value, bool):
-            raise SettingsError(f"settings: {self._name(key)} is not true or false")
+            raise SettingsError(f"settings: {self._key_path(key)} is not true or false")
         return value
 
     def word(self, key: str, default: str | None = None) -> str:
         value = self.raw.get(key, default)
         if not isinstance(value, str):
-            raise SettingsError(f"settings: {self._name(key)} is missing or not a text")
+            raise SettingsError(f"settings: {self._key_path(key)} is missing or not a text")
         return value
 
 
@@ -112,7 +112,7 @@
 
 
 def parse_settings(text: bytes) -> api.Settings:
-    """The settings that the module acts on; keys it does not know are ignored."""
+    """Parses the settings; ignores unknown keys and raises SettingsError for invalid ones."""
     try:
         root = _Table(json.loads(text), "")
     except ValueError as error:
--- a/basaltpoint/config/shared.py
+++ b/basaltpoint/config/shared.py
@@ -1,7 +1,7 @@
-"""What limiters hold in common, laid over one limiter's own file. Free of I/O.
+"""Merges the tables that all limiters share into one limiter's own file. No I/O.
 
-The document is a file's text with the tables that all share; single server entries are laid over it, so that
-a server can come without the whole document being written anew.
+The shared document is a TOML text with the shared tables. Single server entries override or extend it, so
+that a server can be added without a new version of the whole document.
 """
 
 from __future__ import annotations
@@ -12,47 +12,50 @@
 
 from basaltpoint.config.decode import ProblemCollector, parse_toml
 
-# The rest of a file is shared. What names a place on one host can't be.
+# All other keys are shared. These refer to addresses, paths or resources of one host.
 LOCAL_KEYS = ("listen", "name", "limits", "clients", "accounts_file", "store", "fleet")
 
 
 def shared_tables(raw: dict[str, Any]) -> dict[str, Any]:
-    """The tables of a file that all limiters share."""
+    """Returns the tables of a file that all limiters share."""
     return {key: value for key, value in raw.items() if key not in LOCAL_KEYS}
 
 
 def parse_document(text: bytes, out: ProblemCollector) -> dict[str, Any]:
-    """The document's tables; problems go to `out`."""
+    """Parses the shared document; adds problems to `out`."""
     return shared_tables(parse_toml(text, "document", out))
 
 
 def parse_server(name: str, text: bytes, out: ProblemCollector) -> dict[str, Any]:
-    """One server entry: the keys of [[server]] but its name, and `pools`; problems go to `out`."""
+    """Parses a server entry in JSON: the keys of [[server]] except `name`, and `pools`.
+
+    Adds problems to `out` and then returns no keys.
+    """
     path = f"server/{name}"
     try:
         raw = json.loads(text)
     except ValueError as error:
-        out.add(path, f"no JSON: {error}", "an object with the keys of [[server]], and pools")
+        out.add(path, f"invalid JSON: {error}", "an object with the keys of [[server]], and pools")
         return {}
     if not isinstance(raw, dict):
-        out.add(path, "no object", "an object with the keys of [[server]], and pools")
+        out.add(path, "not an object", "an object with the keys of [[server]], and pools")
         return {}
     pools = raw.get("pools", [])
     if not isinstance(pools, list) or not all(isinstance(pool, str) for pool in pools):
-        out.add(f"{path}.pools", "no list of names", "names of pools")
+        out.add(f"{path}.pools", "not a list of names", "names of pools")
         return {}
     return raw
 
 
 @dataclass(frozen=True, slots=True)
 class SharedTables:
-    """The document's tables, and server entries by name."""
+    """The shared document's tables, and server entries by name."""
 
     tables: dict[str, Any]
     servers: dict[str, dict[str, Any]] = field(default_factory=dict)
 
     def merge_into(self, local: dict[str, Any]) -> dict[str, Any]:
-        """One limiter's whole file."""
+        """Returns the tables of one limiter's whole configuration; `local` is its own file."""
         raw = {key: value for key, value in local.items() if key in LOCAL_KEYS} | self.tables
         if not self.servers or not isinstance(raw.get("server", []), list):
             return raw
