--- a/basaltpoint/fronts/http/connection.py
+++ b/basaltpoint/fronts/http/connection.py
@@ -17,7 +17,7 @@
 
 from basaltpoint.fronts.http import message
 from basaltpoint.fronts.http.message import BadRequestError, Headers, Request
-from basaltpoint.fronts.unread import Unread, look
+from basaltpoint.fronts.unread import UnreadData, peek
 
 log = logging.getLogger(__name__)
 
@@ -98,9 +98,7 @@
         self.peer = ""
         self.head_started_at: float | None = None  # monotonic seconds; None while no head is incomplete
         self.last_activity_at = monotonic()  # when the client last sent or accepted data, seconds
-        self.write_blocked_at: float | None = (
-            None  # since when the client does not read its response, seconds
-        )
+        self.write_blocked_at: float | None = None  # since when the client has not read its response
 
     # --- Connection ------------------------------------------------------------------------------
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -130,7 +128,11 @@
 
     def can_close(self, since: float) -> bool:
         """Whether closing loses no request: none is expected, and the socket holds no unread data."""
-        return self.is_idle and not self.expects_first_request(since) and look(self._sock) is not Unread.BYTES
+        return (
+            self.is_idle
+            and not self.expects_first_request(since)
+            and peek(self._sock) is not UnreadData.BYTES
+        )
 
     @property
     def awaits_body(self) -> bool:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -470,7 +470,7 @@
                     answer = await client.ask(message("fix", f"b-{turn}-{n}"))
                     assert answer.body == f"b-{turn}-{n}".encode()
                 assert await new.sends() == 20
-                assert "took over from the older process" in new.log.read_text()
+                assert "took over from the predecessor" in new.log.read_text()
                 old = new
 
     run(test())
@@ -485,7 +485,7 @@
             held = await server.arrived.get()
             new = await run_on.start()
             ending = asyncio.create_task(old.end())
-            await until(lambda: "took over from the older process, which has 1" in new.log.read_text())
+            await until(lambda: "took over from the predecessor, which has 1" in new.log.read_text())
             other = await run_on.connect()
             assert (await other.ask(message("fix", "held"))).code == 409  # the other process has it out
             await echo(held)
@@ -506,7 +506,7 @@
             assert (await client.ask(message("fix", "one"))).code == 200
             new = await run_on.start()
             await new.end(signal.SIGKILL)
-            await until(lambda: "this one goes on alone" in old.log.read_text())
+            await until(lambda: "this process continues alone" in old.log.read_text())
             assert (await client.ask(message("fix", "two"))).code == 200
             third = await run_on.start()
             assert await old.end() == 0
@@ -522,7 +522,7 @@
             old = await run_on.start()
             new = await run_on.start()
             await old.end(signal.SIGKILL)
-            await until(lambda: "ended without a last word" in new.log.read_text())
+            await until(lambda: "predecessor ended without sending its final state" in new.log.read_text())
             client = await run_on.connect()
             assert (await client.ask(message("fix", "on"))).body == b"on"
 
@@ -569,7 +569,7 @@
             run_on.raw["discovery"] = "{}:{}".format(*watched.address)
             old = await run_on.start()
             await watched.watches.get()
-            watched.tell(listing(2, host("a", one.address, "leaving"), host("b", two.address), whole=False))
+            watched.send(listing(2, host("a", one.address, "leaving"), host("b", two.address), whole=False))
             client = await run_on.connect()
             asked = 0
             while not two.requests:  # until it has heard
@@ -591,7 +591,7 @@
     run_on.raw["discovery"] = "{}:{}".format(*watched.address)
     starting = asyncio.create_task(run_on.start())
     await watched.watches.get()
-    watched.tell(listing(1, whole=False))
+    watched.send(listing(1, whole=False))
     old = await starting
     newer = asyncio.create_task(run_on.start())
     await watched.watches.get()
@@ -610,7 +610,7 @@
                 client.close()
             assert not newer.done()
             assert (await run_on.started[1].call("readyz"))[0] == "fail servers are not confirmed"
-            watched.tell(listing(1, whole=False))
+            watched.send(listing(1, whole=False))
             await newer
             assert await old.end() == 0
             client = await run_on.connect()
@@ -629,7 +629,7 @@
             client = await run_on.connect()
             assert (await client.ask(message("fix", "refused"))).code == 429
             assert not newer.done() and not server.requests
-            watched.tell(listing(1, whole=False))
+            watched.send(listing(1, whole=False))
             await newer
             assert (await client.ask(message("fix", "after"))).body == b"after"
 
