--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""How the packages hang together: imports point down one list, and the platform's start stays small."""
+"""Dependencies between packages: imports follow the layers, and the platform loads few modules."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 ROOT = Path(__file__).parent.parent
 PACKAGE = ROOT / "basaltpoint"
-# From the top down; entries of one row don't import each other.
+# From the top down; entries of one row do not import each other.
 LAYERS = (
     ("__main__",),
     ("cli",),
@@ -37,12 +37,12 @@
     ("system",),
 )
 RANK = {name: rank for rank, row in enumerate(LAYERS) for name in row}
-OWN = ("uvloop", "httptools", "cython_runtime")  # the last is part of the first
-POLICY_FILE_LINES = 400  # of one file: a module fits one sitting
+PLATFORM_LIBRARIES = ("uvloop", "httptools", "cython_runtime")  # cython_runtime is part of uvloop
+MAX_POLICY_FILE_LINES = 400  # keeps each file of the decision module short enough to read at once
 
 
 def layer(module: str) -> str | None:
-    """The layer of `basaltpoint.x.y`; None for the package itself."""
+    """Returns the layer of `basaltpoint.x.y`; None for the package itself."""
     parts = module.split(".")[1:]
     if not parts:
         return None
@@ -61,7 +61,7 @@
             yield from (alias.name for alias in node.names if alias.name.startswith("basaltpoint"))
 
 
-def test_imports_point_down() -> None:
+def test_imports_follow_the_order_of_layers() -> None:
     wrong = []
     for path in PACKAGE.rglob("*.py"):
         module = ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__")
@@ -76,8 +76,8 @@
     assert not wrong
 
 
-def test_no_files_import_each_other_in_a_circle() -> None:
-    """Those that are imported for their types alone count, too."""
+def test_there_are_no_import_cycles() -> None:
+    """Imports that are used only for types count, too."""
     files = {
         ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__"): path
         for path in PACKAGE.rglob("*.py")
@@ -94,8 +94,8 @@
     while free := [module for module, targets in needs.items() if not targets & needs.keys()]:
         for module in free:
             del needs[module]
-    circles = {module: targets & needs.keys() for module, targets in needs.items()}
-    assert not circles
+    cycles = {module: targets & needs.keys() for module, targets in needs.items()}
+    assert not cycles
 
 
 def loaded(command: str) -> set[str]:
@@ -104,40 +104,40 @@
     return {name.partition(".")[0] for name in done.stdout.split()}
 
 
-def test_the_platforms_start_imports_its_two_libraries_only() -> None:
+def test_the_platform_process_imports_only_its_two_libraries() -> None:
     found = loaded("import basaltpoint.daemon.platform") - set(sys.stdlib_module_names)
-    assert {name for name in found if not name.startswith("_")} == {"basaltpoint", *OWN}
+    assert {name for name in found if not name.startswith("_")} == {"basaltpoint", *PLATFORM_LIBRARIES}
 
 
-def test_the_platforms_start_loads_nothing_of_the_talk_among_limiters() -> None:
+def test_the_platform_process_loads_no_packages_for_fleets_and_stores() -> None:
     code = "import sys, basaltpoint.daemon.platform; print(*(n for n in sys.modules if 'basaltpoint' in n))"
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    rooms = {name.split(".")[1] for name in done.stdout.split() if "." in name}
-    assert "core" in rooms and not rooms & {"links", "peers", "store", "rehearsal", "replication"}
+    packages = {name.split(".")[1] for name in done.stdout.split() if "." in name}
+    assert "core" in packages and not packages & {"links", "peers", "store", "rehearsal", "replication"}
 
 
-def test_the_decision_module_is_of_small_files_and_named_whole() -> None:
+def test_the_decision_module_has_short_files_that_are_all_deployed() -> None:
     files = sorted((PACKAGE / "policy").glob("*.py"))
     named = (ROOT / "deploy/balancer.toml").read_text()
     assert all(f"basaltpoint/policy/{path.name}" in named for path in files)
-    assert max(len(path.read_text().splitlines()) for path in files) <= POLICY_FILE_LINES
+    assert max(len(path.read_text().splitlines()) for path in files) <= MAX_POLICY_FILE_LINES
 
 
-def test_what_the_deployment_names_exists() -> None:
+def test_paths_in_the_deployment_file_exist() -> None:
     named = re.findall(r'"(basaltpoint/[^"]*)"', (ROOT / "deploy/balancer.toml").read_text())
     assert named and all((ROOT / path).exists() for path in named)
 
 
-# Where the wall clock may be read, and how often; each turns it into something that a step does not spoil.
+# Files that may read the wall clock, and how often. Each use tolerates a step of the clock.
 WALL_CLOCK = {
-    "fronts/platform/limiter.py": 1,  # against born_ms, through ServerStarts
+    "fronts/platform/limiter.py": 1,  # compared with born_ms, through ServerStarts
     "fronts/platform/listed_servers.py": 1,  # the same
-    "daemon/fleet.py": 1,  # an incarnation's first guess; the others' views raise it
-    "daemon/store_follower.py": 3,  # the age of learned latencies; told to people: since when it is in use
-    "daemon/document_command.py": 1,  # told to people: since when a server drains
-    "system/timestamps.py": 1,  # beside the time since the boot
+    "daemon/fleet.py": 1,  # initial incarnation; other members' records may raise it
+    "daemon/store_follower.py": 3,  # age of learned latencies; shown to operators: start of use
+    "daemon/document_command.py": 1,  # shown to operators: since when a server drains
+    "system/timestamps.py": 1,  # together with the time since the boot
 }
-TOOLS = ("rehearsal", "load", "standins", "importers", "verify", "sim")
+TOOL_PACKAGES = ("rehearsal", "load", "standins", "importers", "verify", "sim")
 WALL_READINGS = {("time", "time"), ("time", "time_ns"), ("datetime", "now"), ("datetime", "utcnow")}
 
 
@@ -151,16 +151,18 @@
 
 
 def test_the_wall_clock_is_read_nowhere_else() -> None:
-    """Deadlines, windows, waits, graces, ages and leases go by clocks that nobody sets."""
+    """Deadlines, windows, waits, grace periods, ages and leases use monotonic clocks."""
     found = {}
     for path in sorted(PACKAGE.rglob("*.py")):
         name = path.relative_to(PACKAGE).as_posix()
-        if name.partition("/")[0] not in TOOLS and (count := wall_readings(ast.parse(path.read_text()))):
+        if name.partition("/")[0] not in TOOL_PACKAGES and (
+            count := wall_readings(ast.parse(path.read_text()))
+        ):
             found[name] = count
     assert found == WALL_CLOCK
 
 
-def test_the_search_for_the_wall_clock_finds_it() -> None:
+def test_wall_readings_counts_reads_of_the_wall_clock() -> None:
     assert (
         wall_readings(ast.parse("import time\nx = time.time() + time.monotonic()\ny = time.time_ns()")) == 2
     )
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -1,7 +1,7 @@
-"""`basaltpoint check`: every problem in one go, with file, key path, what was found and what is allowed.
+"""`basaltpoint check` reports all problems with file, key path, what was found and what is allowed.
 
-The messages are golden: tests/golden/check.txt holds them, case by case. `python tests/test_check.py` writes
-the file anew from the cases; its diff is to be read before it is committed.
+The golden file tests/golden/check.txt contains the messages of each case. `python tests/test_check.py` generates
+it from the cases; review its diff before it is committed.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 ROOT = Path(__file__).parent.parent
 GOLDEN = Path(__file__).parent / "golden" / "check.txt"
-GOOD = """listen = "127.0.0.1:8080"
+VALID_FILE = """listen = "127.0.0.1:8080"
 
 [identity]
 header = "X-Api-Key"
@@ -58,7 +58,7 @@
 class = "read"
 """
 
-# Name: what is replaced in the good file, and by what; an empty first text is appended to it.
+# By name: a text of the valid file and its replacement. With an empty text the replacement is appended.
 CASES: dict[str, tuple[str, str]] = {
     "no TOML": ("[[pool]]", "[[pool]"),
     "a key twice": ('name = "team"', 'name = "team"\nname = "x"'),
@@ -154,11 +154,11 @@
 
 
 def messages(folder: Path, name: str) -> str:
-    """What `check` says of a case, with the folder's name left out."""
+    """Returns the messages of a case, without the folder in their paths."""
     old, new = CASES[name]
-    assert old in GOOD, name
+    assert old in VALID_FILE, name
     path = folder / "limiter.toml"
-    path.write_text(GOOD + new if not old else GOOD.replace(old, new, 1))
+    path.write_text(VALID_FILE + new if not old else VALID_FILE.replace(old, new, 1))
     try:
         load(path)
     except FileError as error:
@@ -172,25 +172,25 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_the_messages_of_a_bad_file(tmp_path: Path, name: str) -> None:
-    said = messages(tmp_path, name)
-    assert said != "good"
-    assert said == golden()[name]
+def test_messages_of_an_invalid_file(tmp_path: Path, name: str) -> None:
+    reported = messages(tmp_path, name)
+    assert reported != "good"
+    assert reported == golden()[name]
 
 
-def test_there_is_no_message_without_a_case() -> None:
+def test_the_golden_file_has_exactly_the_cases() -> None:
     assert set(golden()) == set(CASES) and len(CASES) >= 40
 
 
-def test_the_good_file_is_good(tmp_path: Path) -> None:
+def test_the_valid_file_is_accepted(tmp_path: Path) -> None:
     path = tmp_path / "limiter.toml"
-    path.write_text(GOOD)
+    path.write_text(VALID_FILE)
     assert len(load(path).routes.routes) == 1
 
 
-def test_accounts_of_a_file_of_their_own(tmp_path: Path) -> None:
+def test_accounts_are_read_from_a_separate_file(tmp_path: Path) -> None:
     path, lines = tmp_path / "limiter.toml", tmp_path / "accounts.jsonl"
-    path.write_text(GOOD.replace("listen =", 'accounts_file = "accounts.jsonl"\nlisten =', 1))
+    path.write_text(VALID_FILE.replace("listen =", 'accounts_file = "accounts.jsonl"\nlisten =', 1))
     rows = [f'{{"name": "a{n}", "plan": "team", "keys": ["sha256:{n:064x}"]}}' for n in range(10, 20)]
     lines.write_text("\n".join(rows) + "\n\n")
     assert len(load(path).accounts) == 11
@@ -198,22 +198,22 @@
     lines.write_text("\n".join([rows[0], *bad]))
     with pytest.raises(FileError) as raised:
         load(path)
-    said = [(problem.path, problem.file.rsplit("/", 1)[-1]) for problem in raised.value.problems]
-    assert ("line 2", "accounts.jsonl") in said and ("line 4.keys", "accounts.jsonl") in said
-    assert ("accounts.jsonl:5.name", "limiter.toml") in said
-    assert ("accounts.jsonl:6.plan", "limiter.toml") in said
+    reported = [(problem.path, problem.file.rsplit("/", 1)[-1]) for problem in raised.value.problems]
+    assert ("line 2", "accounts.jsonl") in reported and ("line 4.keys", "accounts.jsonl") in reported
+    assert ("accounts.jsonl:5.name", "limiter.toml") in reported
+    assert ("accounts.jsonl:6.plan", "limiter.toml") in reported
 
 
-def test_numbers_stay_over_reloads_and_a_bad_file_takes_none(tmp_path: Path) -> None:
+def test_numbers_are_stable_over_reloads_and_an_invalid_file_assigns_none(tmp_path: Path) -> None:
     path, numbers = tmp_path / "limiter.toml", NumberRegistry()
-    path.write_text(GOOD)
+    path.write_text(VALID_FILE)
     before = load(path, numbers)
-    path.write_text(GOOD.replace('name = "s1"', 'name = "s0"').replace('["s1"]', '["nope"]'))
+    path.write_text(VALID_FILE.replace('name = "s1"', 'name = "s0"').replace('["s1"]', '["nope"]'))
     with pytest.raises(FileError):
         load(path, numbers)
     two = '[[server]]\nname = "s0"\naddress = "127.0.0.1:9002"\n\n[[server]]\nname = "s1"'
     path.write_text(
-        GOOD.replace('[[server]]\nname = "s1"', two).replace("127.0.0.1:9001", "127.0.0.1:9001", 1)
+        VALID_FILE.replace('[[server]]\nname = "s1"', two).replace("127.0.0.1:9001", "127.0.0.1:9001", 1)
     )
     after = load(path, numbers)
     assert after.servers[1].number == before.servers[0].number
@@ -229,11 +229,11 @@
 
 def test_the_commands(tmp_path: Path) -> None:
     path = tmp_path / "limiter.toml"
-    path.write_text(GOOD.replace("rate = 10", "rate = 0"))
+    path.write_text(VALID_FILE.replace("rate = 10", "rate = 0"))
     done = command("check", str(path))
     assert done.returncode == 2 and f"{path}: plan[0].rate: found 0" in done.stderr
     assert command("serve", str(path)).returncode == 2
-    path.write_text(GOOD)
+    path.write_text(VALID_FILE)
     done = command("check", str(path))
     assert done.returncode == 0 and "1 routes" in done.stdout
     done = command("hash-key", stdin="a-key-of-the-tests\n")
@@ -241,7 +241,7 @@
     assert command("hash-key", stdin="short\n").returncode == 2
 
 
-def test_the_example_is_good_and_the_reference_is_that_of_the_schema() -> None:
+def test_the_example_is_valid_and_the_reference_matches_the_schema() -> None:
     load(ROOT / "examples/demo.toml")
     assert (ROOT / "docs/guide/reference.md").read_text() == reference()
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes of one limiter: what passes between them, and what neither may grant twice."""
+"""Handover between two processes of a limiter on the platform: documents, limits and connections."""
 
 from __future__ import annotations
 
@@ -53,18 +53,18 @@
     return api.Plan(rate, burst, ceiling_rate=rate, ceiling_depth=burst, name="basic")
 
 
-def gateway(seed: int = 1, **changes: Any) -> DecisionModule:
+def decision_module(seed: int = 1, **changes: Any) -> DecisionModule:
     made = parse_settings(json.dumps(SETTINGS).encode())
     return DecisionModule(replace(made, plans=(plan(),), **changes), seed)
 
 
-def peers(one: DecisionModule, now: float, started: float = 0.0) -> None:
+def list_servers(one: DecisionModule, now: float, started: float = 0.0) -> None:
     ready = tuple(api.Server(n, 0, 0, api.ServerState.READY, 1.0, started) for n in range(3))
     one.handle(now, api.ServerList(api.ListKind.FULL, ready))
 
 
 def ask(one: DecisionModule, now: float, ident: int, customer: int = 7) -> bool:
-    """Whether a request of one unit is sent on; it is answered at once."""
+    """Returns whether a request of one unit is admitted; its attempt succeeds at once."""
     actions = one.handle(now, api.Arrival(ident, 2, 0, customer, 1.0, 1, now + 1000.0))
     sent = [action for action in actions if isinstance(action, api.Send)]
     for action in sent:
@@ -72,8 +72,8 @@
     return bool(sent)
 
 
-def passed(old: DecisionModule, new: DecisionModule, now: float) -> None:
-    """What the newer process takes over when it starts, over JSON as between processes."""
+def start_successor(old: DecisionModule, new: DecisionModule, now: float) -> None:
+    """Passes the state to a starting successor, in JSON as between processes, and shares the limits."""
     module = json.loads(json.dumps(state.export_state(old, now)))
     state.share_limits(old, now)
     assert list(platform_state.import_module_state(new, module, now)) == []
@@ -81,7 +81,7 @@
     state.share_limits(new, now)
 
 
-def finish(old: DecisionModule, new: DecisionModule, now: float, since: float) -> None:
+def merge_into_successor(old: DecisionModule, new: DecisionModule, now: float, since: float) -> None:
     rows = json.loads(json.dumps(state.export_state(old, now)))["customers"]
     state.restore_full_limits(new, now)
     assert state.merge_customers(new, rows, now, since) == 0
@@ -89,13 +89,13 @@
 
 @given(st.integers(0, 2**32))
 @settings(max_examples=40, deadline=None)
-def test_one_account_at_its_ceiling_gets_no_unit_twice_across_an_upgrade(seed: int) -> None:
-    """Whatever either process is asked, and when: both together stay within rate and depth."""
+def test_both_processes_together_stay_within_the_ceiling_during_an_upgrade(seed: int) -> None:
+    """Guards against units of a ceiling being granted by both processes, at random times and processes."""
     rng = random.Random(seed)
-    old, new = gateway(1), gateway(2)
+    old, new = decision_module(1), decision_module(2)
     now = 1e9
-    peers(old, now)
-    peers(new, now)
+    list_servers(old, now)
+    list_servers(new, now)
     now += 10_000.0
     begin, sent = now, 0
     steps = [rng.uniform(5, 60) for _ in range(200)]
@@ -104,26 +104,26 @@
     for n, step in enumerate(steps):
         now += step
         if n == started:
-            passed(old, new, now)
+            start_successor(old, new, now)
             since = now
         if n == joined:
-            finish(old, new, now, since)
+            merge_into_successor(old, new, now, since)
         one = old if n < started else new if n >= joined else rng.choice([old, new])
         sent += ask(one, now, n + 1)
         assert sent <= 10.0 + 5.0 * (now - begin) / 1000.0 + 1e-6
-    # Nor is much lost: what the ceiling allows is used by an account that always asks.
+    # The shared limits waste little: a customer with constant demand uses most of its ceiling.
     assert sent >= 0.6 * (5.0 * (now - begin) / 1000.0)
 
 
 @given(st.integers(0, 2**32))
 @settings(max_examples=20, deadline=None)
-def test_a_limiter_that_leaves_all_to_the_next_draws_on_no_ceiling_any_more(seed: int) -> None:
-    """The newer process has other numbers and all of the ceiling; the older one's repeats get nothing."""
+def test_a_limiter_that_passed_its_whole_state_draws_on_no_ceiling(seed: int) -> None:
+    """The successor has other numbers and the whole ceiling; the predecessor's retries get no units."""
     rng = random.Random(seed)
-    old, new = gateway(1), gateway(2)
+    old, new = decision_module(1), decision_module(2)
     now = begin = 1e9
     for one in (old, new):
-        peers(one, now)
+        list_servers(one, now)
         one.started_ms = now - 10_000.0
     sent, handed = 0, rng.randrange(1, 100)
     for n in range(150):
@@ -145,49 +145,49 @@
         assert sent <= 10.0 + 5.0 * (now - begin) / 1000.0 + 1e-6
 
 
-def test_without_the_halves_both_would_grant_the_same_units() -> None:
-    """What the halves are for: the same two processes, each with all of it, send on more than the ceiling."""
-    old, new = gateway(1), gateway(2)
-    peers(old, 1e9)
-    peers(new, 1e9)
+def test_without_shared_limits_both_processes_exceed_the_ceiling() -> None:
+    """Shows what share_limits prevents: two processes with full limits together exceed the ceiling."""
+    old, new = decision_module(1), decision_module(2)
+    list_servers(old, 1e9)
+    list_servers(new, 1e9)
     now = 1e9 + 10_000.0
     module = json.loads(json.dumps(state.export_state(old, now)))
     ask(old, now, 1)
     module = json.loads(json.dumps(state.export_state(old, now)))
     list(platform_state.import_module_state(new, module, now))
     assert sum(ask(one, now, n) for one in (old, new) for n in range(2, 30)) > 10
-    old, new = gateway(1), gateway(2)
-    peers(old, 1e9)
-    peers(new, 1e9)
+    old, new = decision_module(1), decision_module(2)
+    list_servers(old, 1e9)
+    list_servers(new, 1e9)
     ask(old, now, 1)
-    passed(old, new, now)
+    start_successor(old, new, now)
     assert sum(ask(one, now, n) for one in (old, new) for n in range(2, 30)) <= 9
 
 
-def test_a_newer_process_that_ends_gives_its_half_back() -> None:
-    old = gateway()
-    peers(old, 1e9)
+def test_the_full_ceiling_is_restored_when_the_successor_ends() -> None:
+    old = decision_module()
+    list_servers(old, 1e9)
     now = 1e9 + 10_000.0
     ask(old, now, 1)
     state.share_limits(old, now)
     state.restore_full_limits(old, now)
-    assert sum(ask(old, now, n) for n in range(2, 30)) <= 9  # what the other may have drawn stays drawn
+    assert sum(ask(old, now, n) for n in range(2, 30)) <= 9  # the successor may have drawn its half
     now += 10_000.0
     assert sum(ask(old, now, n) for n in range(30, 60)) == 10
 
 
-def test_what_each_drew_since_counts_once_in_the_quota_that_they_join() -> None:
-    old, new = gateway(1), gateway(2)
-    peers(old, 1e9)
-    peers(new, 1e9)
+def test_draws_of_both_processes_count_once_in_the_merged_quota() -> None:
+    old, new = decision_module(1), decision_module(2)
+    list_servers(old, 1e9)
+    list_servers(new, 1e9)
     now = 1e9 + 10_000.0
     ask(old, now, 1)
-    passed(old, new, now)
+    start_successor(old, new, now)
     now += 1.0
     for ident, one in enumerate((old, new, old, new, new), 2):
         ask(one, now, ident)
     before = old.customers[7].quota_bucket.refill(now)
-    finish(old, new, now, now - 1.0)
+    merge_into_successor(old, new, now, now - 1.0)
     joined = new.customers[7]
     assert joined.draw_log[-1][1] == 6.0 and [row[0] for row in joined.draw_log] == sorted(
         row[0] for row in joined.draw_log
@@ -196,16 +196,16 @@
     assert drawn >= 3.0 and joined.quota_bucket.level == pytest.approx(before - drawn)
 
 
-def test_a_cold_servers_ramp_passes_over() -> None:
-    """What it may be sent is neither granted anew nor earned twice."""
-    old, new = gateway(1), gateway(2)
+def test_a_cold_servers_slow_start_is_handed_over() -> None:
+    """Its allowance is neither reset nor doubled."""
+    old, new = decision_module(1), decision_module(2)
     for one in (old, new):
-        peers(one, 1e9, started=1e9)
+        list_servers(one, 1e9, started=1e9)
         one.handle(1e9, api.HealthCheckResult(0, True))
     for n in range(3):
         old.pools[0].servers.records[n].allowance = 0.9
         old.pools[0].servers.records[n].health.suspect = n == 1
-    passed(old, new, 1e9 + 1.0)
+    start_successor(old, new, 1e9 + 1.0)
     for n in range(3):
         one, two = (each.pools[0].servers.records[n] for each in (old, new))
         assert one.allowance + two.allowance == pytest.approx(0.9)
@@ -213,7 +213,7 @@
     assert new.pools[0].servers.suspects == {1}
 
 
-def estate(**changes: Any) -> bytes:
+def platform_document(**changes: Any) -> bytes:
     raw = {
         "version": 1,
         "origin_s": 5.0,
@@ -234,55 +234,55 @@
         b"[]",
         b"\xff" * 40,
         b"[" * 100_000,
-        estate(version=2),
-        estate(version=None),
-        estate(origin_s=50.0),
-        estate(origin_s="5"),
-        estate(origin_s=float("nan")),
-        estate(wall_ms=None),
-        estate(servers=[]),
-        estate(numbers={"a": 1, "b": 1}),
-        estate(numbers={"a": True}),
-        estate(names=[7]),
-        estate()[:-7],
+        platform_document(version=2),
+        platform_document(version=None),
+        platform_document(origin_s=50.0),
+        platform_document(origin_s="5"),
+        platform_document(origin_s=float("nan")),
+        platform_document(wall_ms=None),
+        platform_document(servers=[]),
+        platform_document(numbers={"a": 1, "b": 1}),
+        platform_document(numbers={"a": True}),
+        platform_document(names=[7]),
+        platform_document()[:-7],
     ],
 )
-def test_a_torn_stale_or_foreign_document_is_told_and_left(text: bytes) -> None:
+def test_an_invalid_document_is_rejected(text: bytes) -> None:
     with pytest.raises(PlatformStateError):
         platform_state.decode(text, 10.0)
-    assert isinstance(platform_state.decode(estate(), 10.0), PlatformState)
+    assert isinstance(platform_state.decode(platform_document(), 10.0), PlatformState)
 
 
 @given(st.data())
 @settings(max_examples=60, deadline=None)
-def test_a_part_that_is_spoilt_is_left_out_and_the_others_stand(data: st.DataObject) -> None:
-    """Whatever stands in one place, the rest is taken over and the module goes on."""
-    old, new = gateway(1), gateway(2)
+def test_an_invalid_part_is_left_out_and_the_others_are_imported(data: st.DataObject) -> None:
+    """With an arbitrary value in one place the rest is imported, and the module still decides requests."""
+    old, new = decision_module(1), decision_module(2)
     for one in (old, new):
-        peers(one, 1e9)
+        list_servers(one, 1e9)
     now = 1e9 + 10_000.0
     ask(old, now, 1, customer=7)
     ask(old, now, 2, customer=8)
     module = json.loads(json.dumps(state.export_state(old, now)))
-    spots = [(part, key) for part in ("clock", "waits") for key in module[part]]
-    spots += [(part, 0, key) for part in ("pools", "servers", "customers") for key in module[part][0]]
-    *way, last = data.draw(st.sampled_from(spots))
-    place_ = module
-    for step in way:
-        place_ = place_[step]
-    place_[last] = data.draw(st.sampled_from([None, "x", [], {}, -1e300, 1e300, [[1]], True]))
+    locations = [(part, key) for part in ("clock", "waits") for key in module[part]]
+    locations += [(part, 0, key) for part in ("pools", "servers", "customers") for key in module[part][0]]
+    *parents, last = data.draw(st.sampled_from(locations))
+    container = module
+    for step in parents:
+        container = container[step]
+    container[last] = data.draw(st.sampled_from([None, "x", [], {}, -1e300, 1e300, [[1]], True]))
     list(platform_state.import_module_state(new, module, now))
     assert 8 in new.customers
     assert all(isinstance(ask(new, now + n, 10 + n, 7), bool) for n in range(3))
 
 
-def test_a_path_that_the_system_would_not_take(tmp_path: Path) -> None:
+def test_the_path_of_the_socket_is_safe_and_within_the_limit(tmp_path: Path) -> None:
     assert socket_path(None, "n0") is None
     assert socket_path(str(tmp_path / ("x" * 120)), "n0") is None
     assert socket_path("/run", "../n 0") == "/run/basaltpoint..._n_0.handover"
 
 
-def test_a_silent_or_strange_older_process_does_not_hold_up_a_start(tmp_path: Path) -> None:
+def test_a_missing_or_invalid_predecessor_does_not_delay_a_start(tmp_path: Path) -> None:
     path = str(tmp_path / "strange")
     assert connect_to_predecessor(path) is None
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as listener:
@@ -301,23 +301,23 @@
         thread.join()
 
 
-class StrainedSocket:
-    """A socket whose next calls fail for want of room on the machine."""
+class NoMemorySocket:
+    """A socket whose next calls fail, as if the kernel had no memory."""
 
     def __init__(self, real: socket.socket, name: str, times: int) -> None:
         self._real, self._number, self.left = real, getattr(errno, name), times
 
-    def _strain(self) -> None:
+    def _fail(self) -> None:
         if self.left:
             self.left -= 1
             raise OSError(self._number, os.strerror(self._number))
 
     def recvmsg(self, *args: Any) -> Any:
-        self._strain()
+        self._fail()
         return self._real.recvmsg(*args)
 
     def send(self, data: bytes) -> int:
-        self._strain()
+        self._fail()
         return self._real.send(data)
 
     def __getattr__(self, name: str) -> Any:
@@ -325,11 +325,11 @@
 
 
 class RecordingHandler:
-    """What a link tells its process."""
+    """Records what a link reports."""
 
     def __init__(self) -> None:
         self.documents: list[bytes] = []
-        self.parts = 0
+        self.times_closed = 0
 
     def document_received(self, document: bytes) -> None:
         self.documents.append(document)
@@ -341,29 +341,29 @@
         pass
 
     def link_closed(self) -> None:
-        self.parts += 1
+        self.times_closed += 1
 
 
 @pytest.mark.parametrize("side", ["reader", "writer"])
 @pytest.mark.parametrize("name", ["ENOBUFS", "ENOMEM"])
-def test_a_machine_without_room_is_not_the_other_processs_end(side: str, name: str) -> None:
-    """A process that took it for that would draw all of the quotas while the other one still does."""
+def test_a_lack_of_kernel_memory_does_not_close_the_link(side: str, name: str) -> None:
+    """A process that took the error for the other one's end would use the full limits beside it."""
 
     async def test() -> None:
         near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         for sock in (near, far):
             sock.setblocking(False)
-        reader = StrainedSocket(far, name, 3 if side == "reader" else 0)
-        writer = StrainedSocket(near, name, 3 if side == "writer" else 0)
-        heard, other = RecordingHandler(), RecordingHandler()
-        receiving = HandoverLink(reader, heard)  # type: ignore[arg-type]
+        reader = NoMemorySocket(far, name, 3 if side == "reader" else 0)
+        writer = NoMemorySocket(near, name, 3 if side == "writer" else 0)
+        received, other = RecordingHandler(), RecordingHandler()
+        receiving = HandoverLink(reader, received)  # type: ignore[arg-type]
         sending = HandoverLink(writer, other)  # type: ignore[arg-type]
         sending.send_document(b"all that is known")
-        await until(lambda: heard.documents == [b"all that is known"])
+        await until(lambda: received.documents == [b"all that is known"])
         assert not reader.left and not writer.left
-        assert sending.is_open and receiving.is_open and not heard.parts and not other.parts
+        assert sending.is_open and receiving.is_open and not received.times_closed and not other.times_closed
         sending.close()
-        await until(lambda: heard.parts == 1)
+        await until(lambda: received.times_closed == 1)
         receiving.close()
 
     run(test())
@@ -371,7 +371,7 @@
 
 # --- Processes -----------------------------------------------------------------------------------
 class Process:
-    """One process of the limiter on the shared listening socket."""
+    """A process of the limiter on the shared listening socket."""
 
     def __init__(self, process: asyncio.subprocess.Process, control: str, log: Path) -> None:
         self.process = process
@@ -388,11 +388,11 @@
             return answer
         return ["fail no connection"]
 
-    async def yes(self) -> None:
+    async def wait_until_ready(self) -> None:
         while (await self.call("readyz"))[0] != "ok":
             await asyncio.sleep(0.01)
 
-    async def sends(self) -> int:
+    async def attempt_count(self) -> int:
         return sum(int(line.split()[-1]) for line in await self.call("telemetry") if "gw_sends" in line)
 
     async def end(self, number: signal.Signals = signal.SIGTERM) -> int:
@@ -401,7 +401,7 @@
 
 
 class Platform:
-    """Holds the clients' socket and starts processes on it, as the platform does."""
+    """Owns the listening socket and starts processes on it, as the platform does."""
 
     def __init__(self, path: Path, server: Backend) -> None:
         self.path = path
@@ -433,7 +433,7 @@
         )
         made = Process(process, control, log)
         self.started.append(made)
-        await made.yes()
+        await made.wait_until_ready()
         return made
 
     async def connect(self) -> Client:
@@ -442,7 +442,9 @@
 
 @contextlib.asynccontextmanager
 async def platform(server: Backend) -> AsyncIterator[Platform]:
-    with tempfile.TemporaryDirectory(dir="/tmp") as folder:  # pytest's own paths may be too long
+    with tempfile.TemporaryDirectory(
+        dir="/tmp"
+    ) as folder:  # pytest's own paths may be too long for a local socket
         made = Platform(Path(folder), server)
         try:
             yield made
@@ -454,40 +456,40 @@
             made.listener.close()
 
 
-def test_connections_pass_to_the_next_process_twice_in_a_row() -> None:
-    """Kept ones are served on without a break, by the newest; the older ones leave early and cleanly."""
+def test_client_connections_are_handed_over_twice_in_succession() -> None:
+    """Open connections are served by the newest process without interruption; the older ones exit with 0."""
 
     async def test() -> None:
-        async with backend(echo) as server, platform(server) as run_on:
-            old = await run_on.start()
-            clients = [await run_on.connect() for _ in range(20)]
+        async with backend(echo) as server, platform(server) as platform_:
+            old = await platform_.start()
+            clients = [await platform_.connect() for _ in range(20)]
             for n, client in enumerate(clients):
                 assert (await client.ask(message("fix", f"a-{n}"))).body == f"a-{n}".encode()
             for turn in range(2):
-                new = await run_on.start()
+                new = await platform_.start()
                 assert await old.end() == 0
                 for n, client in enumerate(clients):
                     answer = await client.ask(message("fix", f"b-{turn}-{n}"))
                     assert answer.body == f"b-{turn}-{n}".encode()
-                assert await new.sends() == 20
+                assert await new.attempt_count() == 20
                 assert "took over from the predecessor" in new.log.read_text()
                 old = new
 
     run(test())
 
 
-def test_a_request_in_hand_is_answered_by_the_old_process_and_no_copy_gets_through() -> None:
+def test_an_open_request_is_answered_by_the_predecessor_and_its_copy_is_refused() -> None:
     async def test() -> None:
-        async with backend() as server, platform(server) as run_on:
-            old = await run_on.start()
-            client = await run_on.connect()
+        async with backend() as server, platform(server) as platform_:
+            old = await platform_.start()
+            client = await platform_.connect()
             client.send(message("fix", "held"))
             held = await server.arrived.get()
-            new = await run_on.start()
+            new = await platform_.start()
             ending = asyncio.create_task(old.end())
             await until(lambda: "took over from the predecessor, which has 1" in new.log.read_text())
-            other = await run_on.connect()
-            assert (await other.ask(message("fix", "held"))).code == 409  # the other process has it out
+            other = await platform_.connect()
+            assert (await other.ask(message("fix", "held"))).code == 409  # the predecessor still handles it
             await echo(held)
             assert (await client.answer()).body == b"held"
             assert await ending == 0
@@ -498,57 +500,57 @@
     run(test())
 
 
-def test_the_new_process_killed_before_its_predecessor_is_told_to_go() -> None:
+def test_the_successor_is_killed_before_its_predecessor_gets_sigterm() -> None:
     async def test() -> None:
-        async with backend(echo) as server, platform(server) as run_on:
-            old = await run_on.start()
-            client = await run_on.connect()
+        async with backend(echo) as server, platform(server) as platform_:
+            old = await platform_.start()
+            client = await platform_.connect()
             assert (await client.ask(message("fix", "one"))).code == 200
-            new = await run_on.start()
+            new = await platform_.start()
             await new.end(signal.SIGKILL)
             await until(lambda: "this process continues alone" in old.log.read_text())
             assert (await client.ask(message("fix", "two"))).code == 200
-            third = await run_on.start()
+            third = await platform_.start()
             assert await old.end() == 0
             assert (await client.ask(message("fix", "three"))).code == 200
-            assert await third.sends() == 1
+            assert await third.attempt_count() == 1
 
     run(test())
 
 
-def test_the_old_process_killed_during_the_overlap() -> None:
+def test_the_predecessor_is_killed_while_both_run() -> None:
     async def test() -> None:
-        async with backend(echo) as server, platform(server) as run_on:
-            old = await run_on.start()
-            new = await run_on.start()
+        async with backend(echo) as server, platform(server) as platform_:
+            old = await platform_.start()
+            new = await platform_.start()
             await old.end(signal.SIGKILL)
             await until(lambda: "predecessor ended without sending its final state" in new.log.read_text())
-            client = await run_on.connect()
+            client = await platform_.connect()
             assert (await client.ask(message("fix", "on"))).body == b"on"
 
     run(test())
 
 
-def test_a_document_in_the_place_of_a_process_does_not_stop_a_start() -> None:
+def test_a_regular_file_at_the_sockets_path_does_not_prevent_a_start() -> None:
     async def test() -> None:
-        async with backend(echo) as server, platform(server) as run_on:
-            (run_on.path / "basaltpoint.n3.handover").write_text("a file of another program")
-            await run_on.start()
-            client = await run_on.connect()
+        async with backend(echo) as server, platform(server) as platform_:
+            (platform_.path / "basaltpoint.n3.handover").write_text("a file of another program")
+            await platform_.start()
+            client = await platform_.connect()
             assert (await client.ask(message("fix", "on"))).body == b"on"
-            assert "nothing is taken over" in run_on.started[0].log.read_text()
+            assert "nothing is taken over" in platform_.started[0].log.read_text()
 
     run(test())
 
 
-def test_an_upload_that_crosses_the_upgrade_is_finished_where_it_began() -> None:
+def test_an_upload_during_the_upgrade_is_finished_by_the_predecessor() -> None:
     async def test() -> None:
-        async with backend() as server, platform(server) as run_on:
-            old = await run_on.start()
-            client = await run_on.connect()
+        async with backend() as server, platform(server) as platform_:
+            old = await platform_.start()
+            client = await platform_.connect()
             client.send(message("upload", "long", Content_Length="300000") + b"x" * 100_000)
             await until(lambda: server.connections == 1)
-            await run_on.start()
+            await platform_.start()
             ending = asyncio.create_task(old.end())
             await asyncio.sleep(0.05)
             client.send(b"x" * 200_000)
@@ -561,22 +563,27 @@
     run(test())
 
 
-def test_a_drain_told_to_the_old_process_only_holds_in_the_new_one() -> None:
-    """The new one's own list is of the morning, and discovery tells it nothing more."""
+def test_a_drain_known_only_to_the_predecessor_applies_in_the_successor() -> None:
+    """The successor's configured list is outdated, and discovery sends it nothing further."""
 
     async def test() -> None:
-        async with backend(echo) as one, backend(echo) as two, agent() as watched, platform(one) as run_on:
-            run_on.raw["discovery"] = "{}:{}".format(*watched.address)
-            old = await run_on.start()
-            await watched.watches.get()
-            watched.send(listing(2, host("a", one.address, "leaving"), host("b", two.address), whole=False))
-            client = await run_on.connect()
+        async with (
+            backend(echo) as one,
+            backend(echo) as two,
+            agent() as discovery,
+            platform(one) as platform_,
+        ):
+            platform_.raw["discovery"] = "{}:{}".format(*discovery.address)
+            old = await platform_.start()
+            await discovery.watches.get()
+            discovery.send(listing(2, host("a", one.address, "leaving"), host("b", two.address), whole=False))
+            client = await platform_.connect()
             asked = 0
-            while not two.requests:  # until it has heard
+            while not two.requests:  # until the limiter has received the update
                 asked += 1
                 assert (await client.ask(message("fix", f"old-{asked}"))).code == 200
             before = len(one.requests)
-            new = await run_on.start()
+            new = await platform_.start()
             assert await old.end() == 0
             for n in range(10):
                 assert (await client.ask(message("fix", f"new-{n}"))).body == f"new-{n}".encode()
@@ -586,70 +593,70 @@
     run(test())
 
 
-async def unconfirmed(run_on: Platform, watched: Agent) -> tuple[Process, asyncio.Task[Process]]:
-    """An older process that serves, and a newer one that waits for discovery's first word."""
-    run_on.raw["discovery"] = "{}:{}".format(*watched.address)
-    starting = asyncio.create_task(run_on.start())
-    await watched.watches.get()
-    watched.send(listing(1, whole=False))
+async def unconfirmed(platform_: Platform, discovery: Agent) -> tuple[Process, asyncio.Task[Process]]:
+    """Starts a predecessor that serves, and a successor that waits for discovery's first message."""
+    platform_.raw["discovery"] = "{}:{}".format(*discovery.address)
+    starting = asyncio.create_task(platform_.start())
+    await discovery.watches.get()
+    discovery.send(listing(1, whole=False))
     old = await starting
-    newer = asyncio.create_task(run_on.start())
-    await watched.watches.get()
-    return old, newer
+    starting_successor = asyncio.create_task(platform_.start())
+    await discovery.watches.get()
+    return old, starting_successor
 
 
-def test_until_its_list_is_confirmed_the_new_process_leaves_clients_to_the_old_one() -> None:
-    """They share the listening socket: one that can't send yet must not take what the other would serve."""
+def test_a_successor_accepts_no_clients_until_its_list_is_confirmed() -> None:
+    """Guards against the successor accepting clients from the shared socket before it can send attempts."""
 
     async def test() -> None:
-        async with backend(echo) as server, agent() as watched, platform(server) as run_on:
-            old, newer = await unconfirmed(run_on, watched)
+        async with backend(echo) as server, agent() as discovery, platform(server) as platform_:
+            old, starting_successor = await unconfirmed(platform_, discovery)
             for n in range(10):
-                client = await run_on.connect()
+                client = await platform_.connect()
                 assert (await client.ask(message("fix", f"meanwhile-{n}"))).code == 200
                 client.close()
-            assert not newer.done()
-            assert (await run_on.started[1].call("readyz"))[0] == "fail servers are not confirmed"
-            watched.send(listing(1, whole=False))
-            await newer
+            assert not starting_successor.done()
+            assert (await platform_.started[1].call("readyz"))[0] == "fail servers are not confirmed"
+            discovery.send(listing(1, whole=False))
+            await starting_successor
             assert await old.end() == 0
-            client = await run_on.connect()
+            client = await platform_.connect()
             assert (await client.ask(message("fix", "after"))).body == b"after"
 
     run(test())
 
 
-def test_a_new_process_whose_older_one_dies_takes_clients_before_its_list_is_confirmed() -> None:
-    """Nobody else would: they get their refusal, and later their answers."""
+def test_a_successor_accepts_clients_at_once_if_its_predecessor_is_killed() -> None:
+    """No other process would accept them: they are refused with 429 until the list is confirmed."""
 
     async def test() -> None:
-        async with backend(echo) as server, agent() as watched, platform(server) as run_on:
-            old, newer = await unconfirmed(run_on, watched)
+        async with backend(echo) as server, agent() as discovery, platform(server) as platform_:
+            old, starting_successor = await unconfirmed(platform_, discovery)
             await old.end(signal.SIGKILL)
-            client = await run_on.connect()
+            client = await platform_.connect()
             assert (await client.ask(message("fix", "refused"))).code == 429
-            assert not newer.done() and not server.requests
-            watched.send(listing(1, whole=False))
-            await newer
+            assert not starting_successor.done() and not server.requests
+            discovery.send(listing(1, whole=False))
+            await starting_successor
             assert (await client.ask(message("fix", "after"))).body == b"after"
 
     run(test())
 
 
-def test_a_long_answer_and_the_figures_cross_the_upgrade() -> None:
-    """32 MB go on where they began; meanwhile each process answers for its own counts."""
+def test_a_long_response_is_finished_and_each_process_reports_its_own_figures() -> None:
+    """The predecessor finishes a response of 32 MB; meanwhile each process reports its own counts."""
     size = 32 << 20
 
     async def test() -> None:
-        async with backend() as server, platform(server) as run_on:
-            old = await run_on.start()
-            client, other = await run_on.connect(), await run_on.connect()
+        async with backend() as server, platform(server) as platform_:
+            old = await platform_.start()
+            client, other = await platform_.connect(), await platform_.connect()
             client.send(message("fix", "long"))
             request = await server.arrived.get()
             request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + b"x" * 100_000)
             await client.reader.readuntil(b"\r\n\r\n")
-            new = await run_on.start()
-            assert (await old.sends(), await new.sends()) == (1, 0)
+            new = await platform_.start()
+            assert (await old.attempt_count(), await new.attempt_count()) == (1, 0)
             assert "gw_current 1" in await old.call("telemetry")
             ending = asyncio.create_task(old.end())
             await until(lambda: "took over" in new.log.read_text())
@@ -657,6 +664,6 @@
             assert (await other.ask(message("fix", "short"))).body == b"short"
             request.writer.write(b"x" * (size - 100_000))
             assert await client.reader.readexactly(size) == b"x" * size
-            assert (await new.sends(), await ending) == (1, 0)
+            assert (await new.attempt_count(), await ending) == (1, 0)
 
     run(test())
