--- a/basaltpoint/load/driver.py
+++ b/basaltpoint/load/driver.py
@@ -210,9 +210,7 @@
             self._end_attempt(now_s, ident, Outcome.FAILED, may_have_run=code >= 500)
 
     def connection_lost(self, now_s: float, ident: int, response_begun: bool = False) -> None:
-        """Handles a connection that closed before the response was complete; a partial response counts as
-        one.
-        """
+        """Handles a connection that closed too early; a partial response counts as a response."""
         self._health.record_turn(now_s)
         if (entry := self._open.get(ident)) is not None:
             entry.request.answers += response_begun
@@ -254,9 +252,7 @@
         self._record(now_s, entry, outcome)
 
     def _schedule_retry(self, now_s: float, request: _Request, retry_after_s: float | None) -> None:
-        """Schedules a retry after the backoff delay, or after Retry-After if the client honours it and it
-        is longer.
-        """
+        """Schedules a retry after the backoff delay, or after a longer Retry-After if honoured."""
         wait_s = self._retries.wait_ms / 1000
         if self._retries.backoff is Backoff.NONE:
             wait_s = 0.0
--- a/basaltpoint/load/health.py
+++ b/basaltpoint/load/health.py
@@ -22,9 +22,7 @@
 
 
 class HealthMonitor:
-    """Records event loop turns, late sends and steal time, and keeps the unsound intervals in order of
-    time.
-    """
+    """Records event loop turns, late sends and steal time; keeps the unsound intervals sorted by time."""
 
     def __init__(self, max_lateness_s: float, max_turn_gap_s: float, max_steal_fraction: float) -> None:
         self._max_lateness_s, self._max_turn_gap_s, self._max_steal_fraction = (
@@ -61,8 +59,9 @@
         self.intervals.append(interval)
 
     def is_sound(self, from_s: float, to_s: float) -> bool:
-        """Whether no unsound interval overlaps this time. Scans backwards, since records arrive in order
-        of their end.
+        """Whether no unsound interval overlaps this time.
+
+        Scans backwards, since records arrive in order of their end.
         """
         for interval in reversed(self.intervals):
             if interval.overlaps(from_s, to_s):
--- a/basaltpoint/load/worker.py
+++ b/basaltpoint/load/worker.py
@@ -140,9 +140,7 @@
         self._schedule_tick()
 
     def _schedule_tick(self) -> None:
-        """Sets the timer for the next tick of the driver; a tick that is due runs in the next loop
-        iteration.
-        """
+        """Sets the timer for the next tick of the driver; a tick already due runs as soon as possible."""
         if self.driver.is_finished:
             self._ended.set()
             return
--- a/basaltpoint/standins/discovery.py
+++ b/basaltpoint/standins/discovery.py
@@ -23,9 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListChange:
-    """One entry of the list as of a version; `changed_s`: time of the change at discovery, monotonic
-    seconds.
-    """
+    """One entry of the list as of a version; it changed at `changed_s` (monotonic seconds)."""
 
     version: int
     changed_s: float
@@ -104,10 +102,8 @@
 
     registry: Registry
     rng: random.Random
-    notification_delay_s: tuple[float, float] = (
-        0.0,
-        0.0,
-    )  # range of the delay from a change at discovery to the agent
+    # Range of the delay from a change at discovery to the agent.
+    notification_delay_s: tuple[float, float] = (0.0, 0.0)
     faults: AgentFaults = field(default_factory=AgentFaults)
     versions: list[tuple[float, int]] = field(default_factory=list)  # time and version of each list received
     request_count: int = 0
@@ -212,9 +208,7 @@
                     watch.writer.write(b"1\r\n\n\r\n")
 
     async def _send_list(self, watch: _Watch, is_first: bool = False) -> None:
-        """Sends the changes that a watch has not received; the first list is sent even if nothing has
-        changed.
-        """
+        """Sends the changes that a watch has not received; the first list is sent even if empty."""
         version = self.version
         if watch.silenced or (version <= watch.version and not is_first):
             return
--- a/basaltpoint/standins/server.py
+++ b/basaltpoint/standins/server.py
@@ -43,9 +43,7 @@
 
 @dataclass(slots=True)
 class ReceivedRequest:
-    """One complete request. Times are in seconds of the monotonic clock; `ended_s` is None while it is in
-    progress.
-    """
+    """One complete request. Times are monotonic seconds; `ended_s` is None while it is in progress."""
 
     ident: str
     server: str
@@ -101,8 +99,9 @@
 
 
 class StandInServer:
-    """One server; `requests` has every request except health checks, and `log` gets a line for each that
-    ended.
+    """One server.
+
+    `requests` has every request except health checks, and `log` gets a line for each that ended.
     """
 
     def __init__(
--- a/basaltpoint/store/client.py
+++ b/basaltpoint/store/client.py
@@ -118,9 +118,7 @@
             return link
 
     def _start_liveness_checks(self) -> None:
-        """Starts the liveness checks of the connected replica; they run while requests or watches are
-        pending.
-        """
+        """Starts liveness checks, which run while requests or watches are pending."""
         if self._liveness_task is None or self._liveness_task.done():
             self._liveness_task = asyncio.get_running_loop().create_task(self._check_liveness())
 
@@ -263,8 +261,7 @@
     async def get_range(
         self, prefix: str, *, local: bool = False, exact: bool = False, within_s: float = 10.0
     ) -> tuple[dict[str, Value], int]:
-        """Returns all keys with a prefix, and a revision; a watch from the next revision misses no later
-        change.
+        """Returns all keys with a prefix, and a revision from whose successor a watch can continue.
 
         The values are at least as recent as the revision. `exact` reads the key `prefix` alone. `local` reads
         the connected replica's own state, which may be stale. Changes between two pages appear in the watch.
@@ -422,9 +419,8 @@
         deadline = asyncio.get_running_loop().time() + within_s
         while True:
             remaining_s = deadline - asyncio.get_running_loop().time()
-            await self._get_page(
-                p.Get(0, "", "", False, True), remaining_s
-            )  # answered once the replica is current
+            # Answered once the replica is current.
+            await self._get_page(p.Get(0, "", "", False, True), remaining_s)
             current_link = self._link
             status = await self.status(remaining_s)
             if current_link is not None and self._link is current_link:
--- a/basaltpoint/store/command.py
+++ b/basaltpoint/store/command.py
@@ -144,9 +144,7 @@
 
 # --- A replica ---------------------------------------------------------------------------
 def crash_point(specification: str) -> CrashPoint:
-    """Returns a function that kills the process at a named point, as a power failure would; only for
-    tests.
-    """
+    """Returns a function that kills the process at a named point like a power failure; only for tests."""
     if not specification:
         return no_crash_point
     name, _, count = specification.partition(":")
--- a/basaltpoint/store/replica.py
+++ b/basaltpoint/store/replica.py
@@ -394,9 +394,7 @@
 
     # --- Reads and watches ---------------------------------------------------------------------------------
     def _when_current(self, done: Callable[[bool], None]) -> None:
-        """Calls `done(True)` once the local state is confirmed as current, `done(False)` if that fails or
-        times out.
-        """
+        """Calls `done(True)` once the local state is confirmed as current, `done(False)` on failure."""
 
         def finish(is_current: bool) -> None:
             timer.cancel()
@@ -534,9 +532,7 @@
 
 
 def _split_events(events: list[kv.Event], revision: int) -> list[tuple[tuple[kv.Event, ...], int]]:
-    """Splits events between revisions into batches of about PAGE_BYTES, each with the last revision it
-    completes.
-    """
+    """Splits events between revisions into batches of about PAGE_BYTES, with the last revision of each."""
     batches: list[tuple[tuple[kv.Event, ...], int]] = []
     start, size = 0, 0
     for index, event in enumerate(events):
--- a/basaltpoint/store/setting.py
+++ b/basaltpoint/store/setting.py
@@ -38,9 +38,7 @@
 
 
 def create_client(storage: StoreSettings) -> Client:
-    """Returns a client that prefers the replica on this host, if there is one, and fails over to the
-    others.
-    """
+    """Returns a client that prefers a replica on this host and fails over to the other members."""
     table = storage.table
     endpoints = [Endpoint(address, name) for name, address in storage.members if name != table.name]
     if table.name:
