--- a/basaltpoint/load/report.py
+++ b/basaltpoint/load/report.py
@@ -116,9 +116,9 @@
     for spell in summary["spells"]:
         lines.append(f"DOESN'T COUNT: {spell['from_s']:.3f} to {spell['to_s']:.3f} s, {spell['why']}")
     if summary["spells"]:
-        lines.append(f"of requests outside these intervals: {_latency_text(summary['sound_ms'])}")
+        lines.append(f"of requests outside these spells: {_latency_text(summary['sound_ms'])}")
     if summary["odd"]["count"]:
-        lines.append(f"{summary['odd']['count']} anomalies, the first:")
+        lines.append(f"{summary['odd']['count']} to be looked at, the first:")
         lines += [f"  {ident}: {what}" for ident, what in summary["odd"]["first"][:5]]
     return "\n".join(lines)
 
--- a/basaltpoint/store/replica.py
+++ b/basaltpoint/store/replica.py
@@ -199,7 +199,7 @@
             self.folder.write_stamp()
         except OSError as error:
             self._next_stamp_ms = self._now_ms() + STAMP_RETRY_INTERVAL_MS
-            log.error("store: cannot write the folder's stamp: %s; retrying", error)
+            log.error("store: the folder's stamp can't be written: %s; retrying", error)
 
     def _update_reconnectors(self) -> None:
         """Keeps one outgoing connection to each member and to each replica that has connected as a
