--- a/basaltpoint/cli.py
+++ b/basaltpoint/cli.py
@@ -1,4 +1,7 @@
-"""The command line. Each command imports its modules when it runs, to keep the start of the others fast."""
+"""The command line.
+
+Each command imports its modules only when it runs: the platform's limiter must not load them at its start.
+"""
 
 from __future__ import annotations
 
--- a/basaltpoint/daemon/fleet.py
+++ b/basaltpoint/daemon/fleet.py
@@ -80,8 +80,9 @@
     def _greeting(self) -> Greeting:
         return Greeting(PROTOCOL_VERSION, self.setting.cluster, self.setting.name, self.address)
 
-    def _now(self) -> float:
-        return time.monotonic() * 1000.0  # the loop's clock, with its resolution of 1 ms, is too coarse
+    def _now_ms(self) -> float:
+        # The loop's clock has a resolution of 1 ms, which is too coarse for round trips.
+        return time.monotonic() * 1000.0
 
     # --- Start and end ----------------------------------------------------------------------------------
     async def start(
@@ -117,10 +118,10 @@
             [*self.setting.seeds, *self._store_members],
             options,
             random.Random(secrets.randbits(64)),
-            self._now(),
+            self._now_ms(),
         )
         if place:
-            self.peers.take_over(self._now(), (place.row, *place.rows), place.age_ms)
+            self.peers.take_over(self._now_ms(), (place.row, *place.rows), place.age_ms)
         if record := self.peers.view.get(self.setting.name):
             self._write_journal("start", record)
         self._run_actions()
@@ -146,12 +147,12 @@
         ):
             return None
         own, *others = self.peers.hand_over()
-        return FleetPlace(own, tuple(others), self._now() - self.peers.started_ms)
+        return FleetPlace(own, tuple(others), self._now_ms() - self.peers.started_ms)
 
     async def leave(self) -> None:
         """Announces to the other members that this one leaves."""
         if self._server and not (self.peers.has_ended or self.peers.is_leaving):
-            self.peers.leave(self._now())
+            self.peers.leave(self._now_ms())
             self._run_actions()
             await asyncio.sleep(LEAVE_FLUSH_S)
 
@@ -211,12 +212,12 @@
             self._timer = None
         due = self.peers.next_timer_ms
         if due < float("inf"):
-            wait_s = max(0.0, (due - self._now()) / 1000.0)
+            wait_s = max(0.0, (due - self._now_ms()) / 1000.0)
             self._timer = self._loop.call_later(wait_s + TIMER_MARGIN_S, self._tick)
 
     def _tick(self) -> None:
         self._timer = None
-        self.peers.tick(self._now())
+        self.peers.tick(self._now_ms())
         self._run_actions()
 
     def _member_changed(self, change: act.MemberChanged) -> None:
@@ -260,7 +261,7 @@
 
     # --- Calls of the connections -------------------------------------------------------------------------
     def frame_received(self, link: Link, frame: Any) -> None:
-        now, name = self._now(), link.peer_name
+        now, name = self._now_ms(), link.peer_name
         match frame:
             case m.ViewRequest() if not name:
                 view = self.peers.describe_view(now, frame.request_id)
@@ -291,18 +292,18 @@
         return tuple(f"{name}: {text}" for name, text in list(self._violations.items())[:8])
 
     def member_connected(self, name: str) -> None:
-        self.peers.member_connected(self._now(), name)
+        self.peers.member_connected(self._now_ms(), name)
         self._run_actions()
 
     def connection_lost(self, name: str) -> None:
-        self.peers.connection_lost(self._now(), name)
+        self.peers.connection_lost(self._now_ms(), name)
         self._run_actions()
 
     def connection_evicted(self, name: str) -> None:
         self.peers.connection_evicted(name)
 
     def connection_refused(self, name: str) -> None:
-        self.peers.connection_refused(self._now(), name)
+        self.peers.connection_refused(self._now_ms(), name)
         self._run_actions()
 
     # --- Conflict of names --------------------------------------------------------------------------------
@@ -314,5 +315,5 @@
             )
         except (OSError, TimeoutError):
             return
-        self.peers.name_conflict_found(self._now(), ack.instance_id, ack.age_ms)
+        self.peers.name_conflict_found(self._now_ms(), ack.instance_id, ack.age_ms)
         self._run_actions()
--- a/basaltpoint/daemon/store_follower.py
+++ b/basaltpoint/daemon/store_follower.py
@@ -465,7 +465,7 @@
 def _log_failure(task: asyncio.Task[None]) -> None:
     """Logs an exception of a background task.
 
-    The limiter would otherwise run on ever older state, and nobody would notice.
+    Without the log line, a limiter that continues with outdated state would go unnoticed.
     """
     if not task.cancelled() and (error := task.exception()):
         log.error("store: a background task failed; the limiter may miss changes from now on", exc_info=error)
