--- a/basaltpoint/rehearsal/processes.py
+++ b/basaltpoint/rehearsal/processes.py
@@ -24,8 +24,8 @@
 from basaltpoint.rehearsal.events import Life, Saw, Told
 from basaltpoint.rehearsal.faults import Fault, Kind, Spoilt
 from basaltpoint.rehearsal.links import SpoiltLinks
-from basaltpoint.rehearsal.system_faults.library import build
-from basaltpoint.rehearsal.system_faults.library import environment as preloaded
+from basaltpoint.rehearsal.system_faults.library import build_library
+from basaltpoint.rehearsal.system_faults.library import preload_environment as preloaded
 from basaltpoint.rehearsal.system_faults.table import Call, CallFault, Effect, FaultTable
 
 JOURNAL = "journal.jsonl"
@@ -131,7 +131,7 @@
         """Links and files; nothing is started yet."""
         if self._system:
             self.folder.mkdir(parents=True, exist_ok=True)
-            self._library = build(self.folder)
+            self._library = build_library(self.folder)
         free = iter(free_addresses(2 * len(self.names) + len(self.replicas)))
         for name in self.replicas + self.names:
             folder = self.folder / name
@@ -244,7 +244,7 @@
                     table.step_wall_clock(fault.by_s)
             case Kind.FULL | Kind.SYNC | Kind.CALLS:
                 for table in self._tables_of(fault):
-                    table.begin(call_fault(fault))
+                    table.activate(call_fault(fault))
             case _:
                 self.spoilt.faults.append(fault)
 
@@ -266,7 +266,7 @@
                 pass
             case Kind.FULL | Kind.SYNC | Kind.CALLS:
                 for table in self._tables_of(fault):
-                    table.end(call_fault(fault))
+                    table.deactivate(call_fault(fault))
             case _:
                 self.spoilt.faults.remove(fault)
 
--- a/basaltpoint/rehearsal/soak/clients.py
+++ b/basaltpoint/rehearsal/soak/clients.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from time import monotonic
 
-from basaltpoint.rehearsal.soak.records import Asked
+from basaltpoint.rehearsal.soak.records import RequestRecord
 
 CLASSES = {"read": "safe", "upload": "keyed", "fix": "unsafe"}
 MIX = (0.6, 0.2, 0.2)
@@ -26,12 +26,12 @@
 
 
 @dataclass(slots=True)
-class Habits:
+class ClientBehavior:
     """How clients behave now."""
 
-    leave: float = 0.02  # part that closes its connection early
-    half: float = 0.005  # part that stops in the middle of its request
-    slow: float = 0.02  # part that writes in pieces
+    disconnect_fraction: float = 0.02  # part that closes its connection early
+    incomplete_fraction: float = 0.005  # part that stops in the middle of its request
+    slow_fraction: float = 0.02  # part that writes in pieces
 
 
 @dataclass(slots=True, eq=False)
@@ -46,16 +46,16 @@
 
     addresses: Sequence[tuple[str, str, int]]  # a limiter's name, host and port
     rng: random.Random
-    asked: list[Asked]
-    habits: Habits = field(default_factory=Habits)
-    customers: int = 40
+    requests: list[RequestRecord]
+    behavior: ClientBehavior = field(default_factory=ClientBehavior)
+    customer_count: int = 40
 
     def __post_init__(self) -> None:
         self._idle: dict[str, list[_Connection]] = defaultdict(list)
         self._tasks: set[asyncio.Task[None]] = set()
         self._count = 0
 
-    async def load(self, per_second: float, seconds: float) -> None:
+    async def generate_load(self, per_second: float, seconds: float) -> None:
         """Ask at random times, whatever is still out; returns when all is over."""
         end = monotonic() + seconds
         while monotonic() < end:
@@ -75,7 +75,7 @@
 
     # --- One request -----------------------------------------------------------------------------------
     def _message(self, cls: str, ident: str, wait_s: float) -> bytes:
-        customer = self.rng.randrange(self.customers)
+        customer = self.rng.randrange(self.customer_count)
         rows = [
             f"{'GET' if cls == 'read' else 'POST'} /{cls}/{customer} HTTP/1.1",
             "Host: backend.local",
@@ -111,14 +111,17 @@
         ident, cls = f"{self._count:016x}", rng.choices(list(CLASSES), MIX)[0]
         name, host, port = rng.choice(self.addresses)
         wait_s = rng.uniform(*(HASTY_S if rng.random() < HASTY else WAITS_S))
-        raw, habits = self._message(cls, ident, wait_s), self.habits
-        leaves, half, slow = (rng.random() < p for p in (habits.leave, habits.half, habits.slow))
+        raw, habits = self._message(cls, ident, wait_s), self.behavior
+        leaves, half, slow = (
+            rng.random() < p
+            for p in (habits.disconnect_fraction, habits.incomplete_fraction, habits.slow_fraction)
+        )
         kept = self._idle[name].pop() if self._idle[name] else None
         connection = kept or await self._connect(name, host, port)
-        asked = Asked(ident, name, CLASSES[cls], monotonic(), wait_s, kept is None)
-        self.asked.append(asked)
+        asked = RequestRecord(ident, name, CLASSES[cls], monotonic(), wait_s, kept is None)
+        self.requests.append(asked)
         if connection is None:
-            asked.refused = True
+            asked.is_unsent = True
             return
         for again in (True, False):
             sent = False
@@ -127,7 +130,7 @@
                     raise ConnectionResetError("closed before any of the request was sent")
                 if half:
                     connection.writer.write(raw[: len(raw) // 2])
-                    asked.whole = False
+                    asked.is_complete = False
                 elif slow:
                     size = max(60, len(raw) // SLOW_PIECES)
                     for start in range(0, len(raw), size):
@@ -145,26 +148,28 @@
                 asked.ended_at = monotonic()
                 connection.writer.transport.abort()
                 if not sent:  # not all of it: nothing was taken
-                    asked.refused = True
+                    asked.is_unsent = True
                     return
                 unread = not isinstance(error, TimeoutError) and not getattr(error, "partial", b"")
-                if not (again and unread and not asked.fresh):
+                if not (again and unread and not asked.is_new_connection):
                     return
                 # A kept connection may be closed between requests; the request is sent once more.
-                asked.fresh, asked.ended_at = True, None
+                asked.is_new_connection, asked.ended_at = True, None
                 fresh = await self._connect(name, host, port)
                 if fresh is None:
-                    asked.refused = True
+                    asked.is_unsent = True
                     return
                 connection = fresh
 
-    async def _answer(self, connection: _Connection, asked: Asked, wait_s: float, leaves: bool) -> None:
+    async def _answer(
+        self, connection: _Connection, asked: RequestRecord, wait_s: float, leaves: bool
+    ) -> None:
         if leaves:
             await asyncio.sleep(self.rng.uniform(0.0, 0.3))
-            asked.left_at = monotonic()
+            asked.disconnected_at = monotonic()
             connection.writer.close()
             return
-        async with asyncio.timeout(STAY_S if not asked.whole else wait_s + PATIENCE_S):
+        async with asyncio.timeout(STAY_S if not asked.is_complete else wait_s + PATIENCE_S):
             head = (await connection.reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
             code = int(head.split(" ")[1])
             if "transfer-encoding: chunked" in head:
@@ -176,8 +181,8 @@
                 await connection.reader.readexactly(length)
             else:
                 await connection.reader.read()
-        asked.ended_at, asked.code = monotonic(), code
-        if "connection: close" in head or not asked.whole:
+        asked.ended_at, asked.status_code = monotonic(), code
+        if "connection: close" in head or not asked.is_complete:
             connection.writer.close()
         else:
             self._idle[asked.limiter].append(connection)
--- a/basaltpoint/rehearsal/soak/command.py
+++ b/basaltpoint/rehearsal/soak/command.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from basaltpoint.rehearsal.soak.run import Options, Soak, report
+from basaltpoint.rehearsal.soak.run import Soak, SoakOptions, format_report
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -33,7 +33,7 @@
     """0 where no rule broke, else 1."""
     broken = 0
     for seed in range(args.seed, args.seed + args.seeds):
-        options = Options(
+        options = SoakOptions(
             seed,
             args.limiters,
             args.servers,
@@ -50,7 +50,7 @@
             soak = Soak(options, folder)
             with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
                 verdict = runner.run(soak.run())
-            text = report(verdict, soak.record)
+            text = format_report(verdict, soak.record)
             print(text, flush=True)
             if args.keep:
                 (folder / "report.txt").write_text(text + "\n")
--- a/basaltpoint/rehearsal/soak/plan.py
+++ b/basaltpoint/rehearsal/soak/plan.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 
-class Kind(Enum):
+class FaultKind(Enum):
     """What goes wrong; each value says to whom."""
 
     LIMITER_KILL = "SIGKILL to limiters, started again after a while"
@@ -40,62 +40,62 @@
 
 
 # How often each is drawn, beside the others; the incident's own kinds are the commonest.
-WEIGHTS = {
-    Kind.LIMITER_KILL: 4,
-    Kind.LIMITER_TERM: 3,
-    Kind.LIMITER_RELOAD: 2,
-    Kind.LIMITER_STALL: 3,
-    Kind.AGENT_DOWN: 1,
-    Kind.AGENT_SLOW: 3,
-    Kind.AGENT_REFUSES: 2,
-    Kind.DISCOVERY_OUTAGE: 1,
-    Kind.WATCH_RESET: 4,
-    Kind.WATCH_MUTE: 2,
-    Kind.LIST_TORN: 2,
-    Kind.LIST_PIECES: 2,
-    Kind.SERVER_REPLACED: 6,
-    Kind.SERVER_CRASH: 2,
-    Kind.SERVER_HANG: 2,
-    Kind.SERVER_RESET: 2,
-    Kind.SERVER_ERROR: 2,
-    Kind.SERVER_IDLE_CLOSE: 1,
-    Kind.SERVER_SPOILT: 2,
-    Kind.CLIENT_LEAVES: 2,
+FAULT_WEIGHTS = {
+    FaultKind.LIMITER_KILL: 4,
+    FaultKind.LIMITER_TERM: 3,
+    FaultKind.LIMITER_RELOAD: 2,
+    FaultKind.LIMITER_STALL: 3,
+    FaultKind.AGENT_DOWN: 1,
+    FaultKind.AGENT_SLOW: 3,
+    FaultKind.AGENT_REFUSES: 2,
+    FaultKind.DISCOVERY_OUTAGE: 1,
+    FaultKind.WATCH_RESET: 4,
+    FaultKind.WATCH_MUTE: 2,
+    FaultKind.LIST_TORN: 2,
+    FaultKind.LIST_PIECES: 2,
+    FaultKind.SERVER_REPLACED: 6,
+    FaultKind.SERVER_CRASH: 2,
+    FaultKind.SERVER_HANG: 2,
+    FaultKind.SERVER_RESET: 2,
+    FaultKind.SERVER_ERROR: 2,
+    FaultKind.SERVER_IDLE_CLOSE: 1,
+    FaultKind.SERVER_SPOILT: 2,
+    FaultKind.CLIENT_LEAVES: 2,
 }
 # Beside them where the limiters' system calls can be made to fail.
-SYSTEM_WEIGHTS = {
-    Kind.SYSTEM_ACCEPT: 3,
-    Kind.SYSTEM_CONNECT: 4,
-    Kind.SYSTEM_SOCKET: 3,
-    Kind.SYSTEM_INTERRUPTS: 3,
-    Kind.SYSTEM_BROKEN: 3,
-    Kind.SYSTEM_STALL: 3,
-    Kind.WALL_STEP: 3,
+SYSTEM_FAULT_WEIGHTS = {
+    FaultKind.SYSTEM_ACCEPT: 3,
+    FaultKind.SYSTEM_CONNECT: 4,
+    FaultKind.SYSTEM_SOCKET: 3,
+    FaultKind.SYSTEM_INTERRUPTS: 3,
+    FaultKind.SYSTEM_BROKEN: 3,
+    FaultKind.SYSTEM_STALL: 3,
+    FaultKind.WALL_STEP: 3,
 }
-EVERY_S = 0.6  # between the beginnings of two faults, on the mean
-QUIET_S = 4.0  # at the end: what was begun is over, and all is answered
+MEAN_FAULT_INTERVAL_S = 0.6  # between the beginnings of two faults, on the mean
+FINAL_QUIET_S = 4.0  # at the end: what was begun is over, and all is answered
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
     """One fault: from when, for how long, on which part of those it can strike (at least one)."""
 
-    kind: Kind
-    at_s: float
-    for_s: float
-    part: float
+    kind: FaultKind
+    start_s: float
+    duration_s: float
+    target_fraction: float
 
 
-def plan(seed: int, seconds: float, system: bool = False) -> tuple[Fault, ...]:
+def generate_plan(seed: int, seconds: float, system_faults: bool = False) -> tuple[Fault, ...]:
     """The faults of a run, in the order of their beginnings; the same for the same seed.
 
     `system`: failing system calls are among them.
     """
     rng = random.Random(seed)
-    drawn = WEIGHTS | SYSTEM_WEIGHTS if system else WEIGHTS
+    drawn = FAULT_WEIGHTS | SYSTEM_FAULT_WEIGHTS if system_faults else FAULT_WEIGHTS
     kinds, weights = list(drawn), list(drawn.values())
     faults, at_s = [], 1.0
-    while (at_s := at_s + rng.expovariate(1 / EVERY_S)) < seconds - QUIET_S:
+    while (at_s := at_s + rng.expovariate(1 / MEAN_FAULT_INTERVAL_S)) < seconds - FINAL_QUIET_S:
         kind = rng.choices(kinds, weights)[0]
         faults.append(
             Fault(kind, round(at_s, 3), round(rng.uniform(0.3, 3.0), 3), rng.choice((0.05, 0.2, 0.5)))
--- a/basaltpoint/rehearsal/soak/processes.py
+++ b/basaltpoint/rehearsal/soak/processes.py
@@ -14,14 +14,14 @@
 from time import monotonic
 from typing import Any
 
-from basaltpoint.rehearsal.soak.records import Life, Record
-from basaltpoint.rehearsal.system_faults.library import environment as preloaded
+from basaltpoint.rehearsal.soak.records import ProcessRecord, SoakRecord
+from basaltpoint.rehearsal.system_faults.library import preload_environment as preloaded
 from basaltpoint.rehearsal.system_faults.table import FaultTable
 
-FAULTY = re.compile(r"Traceback|violation:|still in hand|had no answer at its deadline|ERROR")
+LOG_FINDING_PATTERN = re.compile(r"Traceback|violation:|still in hand|had no answer at its deadline|ERROR")
 
 
-def own_address(number: int) -> str:
+def unique_loopback_address(number: int) -> str:
     """An address of the loopback that is this run's and one participant's alone, also while it is down.
 
     On 127.0.0.1 the port of one that is down could be drawn by whoever asks for any.
@@ -40,23 +40,23 @@
         number: int,
         folder: Path,
         settings: dict[str, Any],
-        record: Record,
+        record: SoakRecord,
         trace: bool,
         library: Path | None = None,
     ) -> None:
         """`library`: preloaded, so that its system calls fail by `system`."""
         self.name = name = f"n{number}"
-        self.address = own_address(number)
-        self.busy = False  # a fault has it in hand
-        self.log = folder / f"{name}.log"
+        self.address = unique_loopback_address(number)
+        self.has_active_fault = False  # a fault has it in hand
+        self.log_path = folder / f"{name}.log"
         self._file = folder / f"{name}.json"
         self._settings = settings
         self._record = record
         self._trace = trace
         self._library = library
-        self.system = FaultTable(folder / f"{name}.faults") if library else None
+        self.fault_table = FaultTable(folder / f"{name}.faults") if library else None
         self._process: asyncio.subprocess.Process | None = None
-        self._life: Life | None = None
+        self._life: ProcessRecord | None = None
         self._watcher: asyncio.Task[None] | None = None
 
     def configure(self, discovery: tuple[str, int], known: dict[str, Any]) -> None:
@@ -76,19 +76,19 @@
         environment = {**os.environ, "GW_CONFIG": str(self._file)}
         if self._trace:
             environment["GW_TRACE"] = "1"
-        if self._library and self.system:
-            environment |= preloaded(self._library, self.system)
-        life = Life(self.name, monotonic())
-        with self.log.open("ab") as log:
+        if self._library and self.fault_table:
+            environment |= preloaded(self._library, self.fault_table)
+        life = ProcessRecord(self.name, monotonic())
+        with self.log_path.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "basaltpoint", env=environment, stdout=log, stderr=log
             )
         self._life = life
-        self._record.lives.append(life)
+        self._record.processes.append(life)
         self._watcher = asyncio.create_task(self._watch(self._process, life))
 
-    async def _watch(self, process: asyncio.subprocess.Process, life: Life) -> None:
-        life.code = await process.wait()
+    async def _watch(self, process: asyncio.subprocess.Process, life: ProcessRecord) -> None:
+        life.exit_code = await process.wait()
         life.ended_at = monotonic()
 
     @property
@@ -100,13 +100,13 @@
     def signal(self, number: signal.Signals) -> None:
         if self._process and self._life and self._life.ended_at is None:
             if number is signal.SIGKILL:
-                self._life.killed_at = monotonic()
+                self._life.sigkill_at = monotonic()
             elif number is signal.SIGTERM:
-                self._life.told_to_end_at = monotonic()
+                self._life.sigterm_at = monotonic()
             with contextlib.suppress(ProcessLookupError):
                 self._process.send_signal(number)
 
-    async def ended(self, within_s: float) -> bool:
+    async def wait_for_exit(self, within_s: float) -> bool:
         """Whether its process ends within so long."""
         if self._watcher is None:
             return True
@@ -115,9 +115,9 @@
 
     async def kill(self) -> None:
         self.signal(signal.SIGKILL)
-        await self.ended(10.0)
+        await self.wait_for_exit(10.0)
 
-    async def up(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until it says that it takes clients."""
         host, port = self.address.split(":")
         while True:
@@ -130,10 +130,10 @@
                     return
             await asyncio.sleep(0.05)
 
-    def read_log(self) -> None:
+    def scan_log(self) -> None:
         """Take down what must never be logged."""
-        if not self.log.exists():
+        if not self.log_path.exists():
             return
-        for line in self.log.read_text(errors="replace").splitlines():
-            if FAULTY.search(line):
+        for line in self.log_path.read_text(errors="replace").splitlines():
+            if LOG_FINDING_PATTERN.search(line):
                 self._record.log_findings.append(f"{self.name}: {line[:300]}")
--- a/basaltpoint/rehearsal/soak/servers.py
+++ b/basaltpoint/rehearsal/soak/servers.py
@@ -27,23 +27,23 @@
 class ServerFaults:
     """What is wrong with a server now."""
 
-    hangs: bool = False
-    resets: float = 0.0  # part of the requests whose connection breaks, the work done or not
-    errors: float = 0.0  # part that ends in 500
-    declines: float = 0.0  # part that is turned away unseen
-    spoilt: float = 0.0  # part whose answer can't be read
-    no_length: float = 0.0  # part whose answer ends by closing
-    idle_s: float = 15.0  # after which an idle connection is closed
+    is_hanging: bool = False
+    reset_fraction: float = 0.0  # part of the requests whose connection breaks, the work done or not
+    error_fraction: float = 0.0  # part that ends in 500
+    rejected_fraction: float = 0.0  # part that is turned away unseen
+    malformed_fraction: float = 0.0  # part whose answer can't be read
+    no_length_fraction: float = 0.0  # part whose answer ends by closing
+    idle_timeout_s: float = 15.0  # after which an idle connection is closed
 
 
-class Keys:
+class IdempotencyKeys:
     """Which keys have run, and when: repeats within the window are dropped, over all servers."""
 
     def __init__(self, window_s: float) -> None:
         self._window_s = window_s
         self._ran: dict[str, float] = {}
 
-    def runs(self, key: str) -> bool:
+    def claim(self, key: str) -> bool:
         """Whether a request of this key runs now; one that does is remembered."""
         now = monotonic()
         if key and now - self._ran.get(key, -1e9) < self._window_s:
@@ -58,10 +58,10 @@
 
     name: str
     rng: random.Random
-    keys: Keys
-    note: Callable[[Arrival], None]
+    keys: IdempotencyKeys
+    on_arrival: Callable[[Arrival], None]
     faults: ServerFaults = field(default_factory=ServerFaults)
-    born_ms: float = 0.0
+    started_ms: float = 0.0
     address: str = ""
 
     def __post_init__(self) -> None:
@@ -84,10 +84,10 @@
     async def restart(self) -> None:
         """Come back cold at the same address, unless another fault's end has brought it back."""
         if self._server is None:
-            self.born_ms = time.time() * 1000
+            self.started_ms = time.time() * 1000
             await self.start()
 
-    def entry(self, health: str = "active") -> dict[str, object]:
+    def list_entry(self, health: str = "active") -> dict[str, object]:
         return {
             "host": self.name,
             "dial": self.address,
@@ -96,14 +96,14 @@
             "block": 0,
             "health": health,
             "share": 1.0,
-            "born_ms": self.born_ms,
+            "born_ms": self.started_ms,
         }
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._open.add(writer)
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, TimeoutError):
             while True:
-                async with asyncio.timeout(self.faults.idle_s):
+                async with asyncio.timeout(self.faults.idle_timeout_s):
                     first = await reader.readexactly(1)
                 at = monotonic()
                 head = (first + await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
@@ -122,7 +122,7 @@
                     fields.get("idempotency-key", ""),
                     float(fields.get("req-deadline", 0.0)),
                 )
-                self.note(arrival)
+                self.on_arrival(arrival)
                 if not await self._answer(reader, writer, arrival):
                     break
         self._open.discard(writer)
@@ -133,21 +133,24 @@
     ) -> bool:
         """Do the work and answer; False where the connection ends with it."""
         faults, rng = self.faults, self.rng
-        body = arrival.ident.encode()
-        if rng.random() < faults.declines:
+        body = arrival.request_id.encode()
+        if rng.random() < faults.rejected_fraction:
             arrival.ended_at = monotonic()
             writer.write(b"HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
             return True
-        broken, spoilt, bare = (rng.random() < p for p in (faults.resets, faults.spoilt, faults.no_length))
+        broken, spoilt, bare = (
+            rng.random() < p
+            for p in (faults.reset_fraction, faults.malformed_fraction, faults.no_length_fraction)
+        )
         if broken and rng.random() < 0.5:
             arrival.ended_at = monotonic()
             return False
-        if arrival.told_wait_s < HASTY_S and rng.random() < DROPPED:
+        if arrival.announced_remaining_s < HASTY_S and rng.random() < DROPPED:
             arrival.ended_at = monotonic()
             return True  # without a word; the connection stays
-        arrival.ran = self.keys.runs(arrival.key)
+        arrival.was_executed = self.keys.claim(arrival.key)
         end = monotonic() + rng.uniform(*WORK_S)
-        while monotonic() < end or self.faults.hangs:
+        while monotonic() < end or self.faults.is_hanging:
             await asyncio.sleep(0.005)
             if reader.at_eof() or writer.transport.is_closing():
                 arrival.ended_at = monotonic()
@@ -157,12 +160,12 @@
             return False
         if spoilt:
             writer.write(b"HTTP/1.1 2x0 What\r\nContent-Length: many\r\n\r\n" + body)
-        elif rng.random() < faults.errors:
+        elif rng.random() < faults.error_fraction:
             writer.write(b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n")
         elif bare:
             writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + body)
             await writer.drain()
-            arrival.bare = True
+            arrival.is_without_length = True
             writer.write_eof()
             await reader.read()
             return False
--- a/basaltpoint/rehearsal/system_faults/library.py
+++ b/basaltpoint/rehearsal/system_faults/library.py
@@ -11,21 +11,21 @@
 
 SOURCE = Path(__file__).with_name("preload.c")
 COMPILERS = ("cc", "gcc", "clang")
-BUILD_S = 60.0
+BUILD_TIMEOUT_S = 60.0
 
 
 class BuildError(Exception):
     """The library can't be built here; says why."""
 
 
-def compiler() -> str | None:
+def find_compiler() -> str | None:
     """The path of a C compiler; None where there is none."""
     return next((path for name in COMPILERS if (path := shutil.which(name))), None)
 
 
-def build(folder: Path) -> Path:
+def build_library(folder: Path) -> Path:
     """Build the library into a folder; BuildError."""
-    command = compiler()
+    command = find_compiler()
     if command is None:
         raise BuildError(f"there is no C compiler ({', '.join(COMPILERS)})")
     made = folder / "basaltpoint-faults.so"
@@ -33,7 +33,7 @@
         [command, "-O2", "-shared", "-fPIC", "-o", str(made), str(SOURCE), "-ldl"],
         capture_output=True,
         text=True,
-        timeout=BUILD_S,
+        timeout=BUILD_TIMEOUT_S,
         check=False,
     )
     if result.returncode:
@@ -41,7 +41,7 @@
     return made
 
 
-def environment(library: Path, table: FaultTable) -> dict[str, str]:
+def preload_environment(library: Path, table: FaultTable) -> dict[str, str]:
     """What a process is started with for its calls to fail by this table."""
     before = os.environ.get("LD_PRELOAD", "")
     return {
--- a/basaltpoint/rehearsal/system_faults/table.py
+++ b/basaltpoint/rehearsal/system_faults/table.py
@@ -14,14 +14,14 @@
 from pathlib import Path
 
 MAGIC, VERSION = 0x42504654, 1
-ENTRIES = 32
-PARTS = 65_536
+MAX_FAULTS = 32
+PROBABILITY_SCALE = 65_536
 _HEAD = struct.Struct("=IIq")
 _ENTRY = struct.Struct("=IIIiII")
 _OFFSET = struct.Struct("=q")
 _PART = struct.Struct("=I")
 _PART_AT = 16  # in an entry
-SIZE = _HEAD.size + ENTRIES * _ENTRY.size
+SIZE = _HEAD.size + MAX_FAULTS * _ENTRY.size
 
 
 class Call(IntEnum):
@@ -59,8 +59,8 @@
 
     call: Call
     effect: Effect
-    part: float
-    error: int = 0
+    probability: float
+    error_number: int = 0
     value: int = 0
     side: Side = Side.ANY
 
@@ -73,17 +73,23 @@
         path.write_bytes(_HEAD.pack(MAGIC, VERSION, 0).ljust(SIZE, b"\0"))
         with path.open("r+b") as file:
             self._map = mmap.mmap(file.fileno(), SIZE)
-        self._held: list[CallFault | None] = [None] * ENTRIES
+        self._held: list[CallFault | None] = [None] * MAX_FAULTS
 
-    def begin(self, fault: CallFault) -> None:
+    def activate(self, fault: CallFault) -> None:
         """Let it strike from now on; ValueError where 32 strike already."""
         slot = self._held.index(None)
         self._held[slot] = fault
         at = _HEAD.size + slot * _ENTRY.size
-        _ENTRY.pack_into(self._map, at, fault.call, fault.effect, fault.side, fault.error, 0, fault.value)
-        _PART.pack_into(self._map, at + _PART_AT, max(1, min(PARTS, round(fault.part * PARTS))))
-
-    def end(self, fault: CallFault) -> None:
+        _ENTRY.pack_into(
+            self._map, at, fault.call, fault.effect, fault.side, fault.error_number, 0, fault.value
+        )
+        _PART.pack_into(
+            self._map,
+            at + _PART_AT,
+            max(1, min(PROBABILITY_SCALE, round(fault.probability * PROBABILITY_SCALE))),
+        )
+
+    def deactivate(self, fault: CallFault) -> None:
         """Let it strike no more."""
         slot = self._held.index(fault)
         self._held[slot] = None
--- a/benchmarks/servers.py
+++ b/benchmarks/servers.py
@@ -31,8 +31,8 @@
 sys.path.insert(0, str(ROOT))
 
 from basaltpoint.rehearsal.soak import run as soak  # noqa: E402
-from basaltpoint.rehearsal.soak.processes import Limiter, own_address  # noqa: E402
-from basaltpoint.rehearsal.soak.records import Record  # noqa: E402
+from basaltpoint.rehearsal.soak.processes import Limiter, unique_loopback_address  # noqa: E402
+from basaltpoint.rehearsal.soak.records import SoakRecord  # noqa: E402
 from basaltpoint.standins.discovery import Agent, Registry  # noqa: E402
 
 SECONDS = 20.0  # of a day
@@ -122,7 +122,7 @@
     async def server(self) -> dict[str, Any]:
         """A server that listens; its entry."""
         self._named += 1
-        dial = own_address(self._named)
+        dial = unique_loopback_address(self._named)
         host, _, port = dial.partition(":")
         made = await asyncio.get_running_loop().create_server(lambda: _Connection(self.need), host, int(port))
         self._listeners.append(made)
@@ -177,21 +177,21 @@
         self.registry = Registry([await self.server() for _ in range(self.servers)])
         self.agent = Agent(self.registry, self._rng)
         await self.agent.start()
-        settings = soak.settings(soak.Options(0)) | {
+        settings = soak.limiter_settings(soak.SoakOptions(0)) | {
             "balancers": LIMITERS,
             "zones": [f"hall-{n}" for n in range(5)],
         }
-        record = Record(soak.GRACE_S, soak.WINDOW_S, soak.LONGEST_S)
+        record = SoakRecord(soak.GRACE_S, soak.WINDOW_S, soak.LONGEST_S)
         limiter = Limiter(0, self.folder, settings, record, False)
         limiter.configure(self.agent.address, self.registry.list_at(1))
         await limiter.start()
         try:
             async with asyncio.timeout(READY_S):
-                await limiter.up()
+                await limiter.wait_until_ready()
             await self._load(limiter, changes)
         finally:
             limiter.signal(signal.SIGKILL)
-            await limiter.ended(5.0)
+            await limiter.wait_for_exit(5.0)
             await self.agent.close()
             for listener in self._listeners:
                 listener.close()
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -20,7 +20,7 @@
 from basaltpoint.fronts.platform.limiter import Limiter
 from basaltpoint.membership.backoff import Backoff
 from basaltpoint.membership.discovery import Watch
-from basaltpoint.rehearsal.soak.processes import own_address
+from basaltpoint.rehearsal.soak.processes import unique_loopback_address
 
 TEST_TIMEOUT_S = 30.0  # only reached by a test that hangs
 
@@ -139,7 +139,7 @@
 
     On 127.0.0.1 a test that runs at the same time could be given the port.
     """
-    return own_address(0)
+    return unique_loopback_address(0)
 
 
 # --- Discovery ------------------------------------------------------------------------------------
--- a/tests/test_interrupted_calls.py
+++ b/tests/test_interrupted_calls.py
@@ -15,10 +15,10 @@
 from sockets import Client, Request, backend, document, host, message, run, unused_address
 from standalone import config, request
 
-from basaltpoint.rehearsal.system_faults.library import build, compiler, environment
+from basaltpoint.rehearsal.system_faults.library import build_library, find_compiler, preload_environment
 from basaltpoint.rehearsal.system_faults.table import Call, CallFault, Effect, FaultTable
 
-pytestmark = pytest.mark.skipif(compiler() is None, reason="interrupted calls need a C compiler")
+pytestmark = pytest.mark.skipif(find_compiler() is None, reason="interrupted calls need a C compiler")
 
 ROOT = Path(__file__).parent.parent
 BODY = b"x" * 3_000
@@ -38,11 +38,11 @@
     """Runs a limiter process whose calls are interrupted or partial; yields its log once it listens."""
     table, log = FaultTable(tmp_path / "faults"), tmp_path / "log"
     for fault in (*INTERRUPTED, *ONE_BYTE):
-        table.begin(fault)
+        table.activate(fault)
     process = await asyncio.create_subprocess_exec(
         *(sys.executable, "-m", "basaltpoint", *args),
         cwd=ROOT,
-        env=os.environ | environment(build(tmp_path), table) | environ,
+        env=os.environ | preload_environment(build_library(tmp_path), table) | environ,
         stderr=log.open("wb"),
     )
     try:
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -20,7 +20,7 @@
 from basaltpoint.rehearsal.model import Model
 from basaltpoint.rehearsal.page import page
 from basaltpoint.rehearsal.probe import Asked, Record
-from basaltpoint.rehearsal.system_faults.library import compiler
+from basaltpoint.rehearsal.system_faults.library import find_compiler
 
 EXAMPLES = sorted((Path(__file__).parent.parent / "examples/rehearsals").glob("*.toml"))
 
@@ -294,7 +294,7 @@
 """
 
 
-@pytest.mark.skipif(compiler() is None, reason="failing system calls need a C compiler")
+@pytest.mark.skipif(find_compiler() is None, reason="failing system calls need a C compiler")
 def test_full_disks_failing_calls_and_a_stepped_clock_cost_no_request_and_no_member(tmp_path: Path) -> None:
     result = played(tmp_path, SYSTEM_FAULTS)
     asked = result["requests"]
--- a/tests/test_store_faulty_disk.py
+++ b/tests/test_store_faulty_disk.py
@@ -11,10 +11,10 @@
 from storeprocs import Cluster, cluster
 from test_store_replicas import SMALL, Writer, _more, until
 
-from basaltpoint.rehearsal.system_faults.library import build, compiler, environment
+from basaltpoint.rehearsal.system_faults.library import build_library, find_compiler, preload_environment
 from basaltpoint.rehearsal.system_faults.table import Call, CallFault, Effect, FaultTable
 
-pytestmark = pytest.mark.skipif(compiler() is None, reason="failing system calls need a C compiler")
+pytestmark = pytest.mark.skipif(find_compiler() is None, reason="failing system calls need a C compiler")
 
 DISK_FULL = CallFault(Call.FILE_WRITE, Effect.FAIL, 1.0, errno.ENOSPC)
 SYNC_FAILS = CallFault(Call.FILE_SYNC, Effect.FAIL, 1.0, errno.EIO)
@@ -24,9 +24,11 @@
 
 def preload(running_cluster: Cluster, path: Path) -> dict[str, FaultTable]:
     """Returns a fault table for each replica, which applies from the start of its process on."""
-    library = build(path)
+    library = build_library(path)
     tables = {name: FaultTable(path / f"{name}.faults") for name in running_cluster.names}
-    running_cluster.environment = {name: environment(library, table) for name, table in tables.items()}
+    running_cluster.environment = {
+        name: preload_environment(library, table) for name, table in tables.items()
+    }
     return tables
 
 
@@ -42,10 +44,10 @@
         tasks = [asyncio.create_task(writer.run()) for writer in writers]
         await until(lambda: _more(writers, [0, 0, 0]))
         for table in tables.values():
-            table.begin(fault)
+            table.activate(fault)
         await asyncio.sleep(FAULT_DURATION_S)
         for table in tables.values():
-            table.end(fault)
+            table.deactivate(fault)
         before = [writer.count for writer in writers]
         await until(lambda: _more(writers, before))
         for writer in writers:
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from basaltpoint.rehearsal.system_faults.library import build, compiler, environment
+from basaltpoint.rehearsal.system_faults.library import build_library, find_compiler, preload_environment
 from basaltpoint.rehearsal.system_faults.table import Call, CallFault, Effect, FaultTable, Side
 
-pytestmark = pytest.mark.skipif(compiler() is None, reason="the library needs a C compiler")
+pytestmark = pytest.mark.skipif(find_compiler() is None, reason="the library needs a C compiler")
 
 FAIL, SHORT, STALL = Effect.FAIL, Effect.SHORT, Effect.STALL
 PAIR = """
@@ -34,7 +34,7 @@
 
 @pytest.fixture(scope="module")
 def library(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    return build(tmp_path_factory.mktemp("library"))
+    return build_library(tmp_path_factory.mktemp("library"))
 
 
 @pytest.fixture
@@ -48,7 +48,7 @@
     """The lines that a process prints which begins with a pair of connected sockets at hand."""
     result = subprocess.run(
         [sys.executable, "-c", PAIR + code],
-        env=os.environ | environment(library, table),
+        env=os.environ | preload_environment(library, table),
         capture_output=True,
         text=True,
         timeout=60,
@@ -104,16 +104,16 @@
 def test_a_call_fails_as_the_table_says(
     library: Path, table: FaultTable, fault: CallFault, code: str, expected: str
 ) -> None:
-    table.begin(fault)
+    table.activate(fault)
     assert shown(library, table, code) == [expected]
-    table.end(fault)
+    table.deactivate(fault)
     assert shown(library, table, code) != [expected]
 
 
 def test_a_full_disk_strikes_files_and_not_the_standard_streams(
     library: Path, table: FaultTable, tmp_path: Path
 ) -> None:
-    table.begin(CallFault(Call.FILE_WRITE, FAIL, 1.0, errno.ENOSPC))
+    table.activate(CallFault(Call.FILE_WRITE, FAIL, 1.0, errno.ENOSPC))
     code = f"""
 f = os.open({str(tmp_path / "file")!r}, os.O_CREAT | os.O_WRONLY)
 print(name(lambda: os.write(f, b"x")))
@@ -130,7 +130,7 @@
 """
     with subprocess.Popen(
         [sys.executable, "-c", PAIR + code],
-        env=os.environ | environment(library, table),
+        env=os.environ | preload_environment(library, table),
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
         text=True,
@@ -148,6 +148,6 @@
 
 def test_a_thirty_third_fault_is_an_error(table: FaultTable) -> None:
     for value in range(32):
-        table.begin(CallFault(Call.READ, SHORT, 1.0, value=value))
+        table.activate(CallFault(Call.READ, SHORT, 1.0, value=value))
     with pytest.raises(ValueError):
-        table.begin(CallFault(Call.READ, SHORT, 1.0, value=99))
+        table.activate(CallFault(Call.READ, SHORT, 1.0, value=99))
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -9,10 +9,10 @@
 from waiting import run
 
 from basaltpoint.rehearsal import processes
-from basaltpoint.rehearsal.system_faults.library import build, compiler, environment
+from basaltpoint.rehearsal.system_faults.library import build_library, find_compiler, preload_environment
 from basaltpoint.rehearsal.system_faults.table import FaultTable
 
-pytestmark = pytest.mark.skipif(compiler() is None, reason="stepping a clock needs a C compiler")
+pytestmark = pytest.mark.skipif(find_compiler() is None, reason="stepping a clock needs a C compiler")
 
 
 @pytest.mark.parametrize("step_s", [-3600.0, 3600.0])
@@ -21,8 +21,8 @@
 ) -> None:
     """Its incarnation starts from the wall clock; after a step back, the other members' view raises it."""
     table, plain = FaultTable(tmp_path / "faults"), processes._environment
-    library = build(tmp_path)
-    monkeypatch.setattr(processes, "_environment", lambda: plain() | environment(library, table))
+    library = build_library(tmp_path)
+    monkeypatch.setattr(processes, "_environment", lambda: plain() | preload_environment(library, table))
 
     async def test() -> None:
         async with running_fleet(tmp_path / "fleet", 3) as made:
