--- a/basaltpoint/rehearsal/command.py
+++ b/basaltpoint/rehearsal/command.py
@@ -14,11 +14,11 @@
 
 from basaltpoint.config.decode import FileError
 from basaltpoint.rehearsal import scenario
-from basaltpoint.rehearsal.faults import SERVERS, SYSTEM, among
-from basaltpoint.rehearsal.model import Model
+from basaltpoint.rehearsal.faults import SERVER_FAULTS, SYSTEM_FAULTS, restrict_to_members
+from basaltpoint.rehearsal.model import FleetModel
 from basaltpoint.rehearsal.scenario import Rehearsal
 from basaltpoint.rehearsal.system_faults.library import BuildError
-from basaltpoint.rehearsal.verdict import verdict
+from basaltpoint.rehearsal.verdict import build_verdict
 
 HELD, NOT_HELD, WRONG, SLOW = range(4)
 MODEL_SETTLE_S = 60.0  # of the model's time, after the end, for all to agree again
@@ -53,37 +53,37 @@
         results = [model(made, seed) for seed in range(args.seed, args.seed + max(1, args.seeds))]
         result = next((result for result in results if not result["held"]), results[0])
     else:
-        from basaltpoint.rehearsal.play import Play, SlowError, StartError
+        from basaltpoint.rehearsal.play import RehearsalRun, SlowHostError, StartError
 
         try:
             with tempfile.TemporaryDirectory() as folder:
-                result = asyncio.run(Play(made, args.keep or Path(folder), args.seed).run())
-        except SlowError as error:
+                result = asyncio.run(RehearsalRun(made, args.keep or Path(folder), args.seed).run())
+        except SlowHostError as error:
             print(f"{args.scenario}: {error}; its numbers don't count", file=sys.stderr)
             return SLOW
         except (StartError, BuildError) as error:
             print(f"{args.scenario}: {error}", file=sys.stderr)
             return WRONG
-    result["faults"] = [[f.at_s, min(f.end_s, made.fleet.seconds), f.text()] for f in made.faults]
+    result["faults"] = [[f.start_s, min(f.end_s, made.fleet.seconds), f.describe()] for f in made.faults]
     print(text(result, time.monotonic() - began))
     if args.json:
         args.json.write_text(json.dumps(result, indent=1))
     if args.html:
-        from basaltpoint.rehearsal.page import page
+        from basaltpoint.rehearsal.page import render_page
 
-        args.html.write_text(page(args.scenario.name, made, result))
+        args.html.write_text(render_page(args.scenario.name, made, result))
     return HELD if result["held"] else NOT_HELD
 
 
 def model(made: Rehearsal, seed: int) -> dict[str, Any]:
     """The members of a rehearsal in virtual time; servers, load, drains, the store, system calls and wall
     clocks play no part in it."""
-    members = [fault for fault in made.faults if fault.kind not in (*SERVERS, *SYSTEM)]
-    faults = among(members, made.names)
-    played = Model(made.names, faults=faults, seed=random.Random(seed).getrandbits(32))
+    members = [fault for fault in made.faults if fault.kind not in (*SERVER_FAULTS, *SYSTEM_FAULTS)]
+    faults = restrict_to_members(members, made.limiter_names)
+    played = FleetModel(made.limiter_names, faults=faults, seed=random.Random(seed).getrandbits(32))
     end = made.fleet.seconds + MODEL_SETTLE_S
-    played.run(end)
-    found = verdict(played.all_lives, played.saws, faults, made.fleet.seconds, 0.0, end)
+    played.run_until(end)
+    found = build_verdict(played.lifetimes, played.observations, faults, made.fleet.seconds, 0.0, end)
     return found | {
         "seed": seed,
         "held": not found["findings"],
--- a/basaltpoint/rehearsal/events.py
+++ b/basaltpoint/rehearsal/events.py
@@ -6,37 +6,37 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Saw:
+class Observation:
     """A member's view of another changed. Times are seconds of the rehearsal."""
 
     at_s: float
-    by: str
-    name: str
+    observer: str
+    member: str
     incarnation: int
     state: str  # joining, alive, suspect, dead, left; gone where a view no longer holds the name
 
 
 @dataclass(frozen=True, slots=True)
-class Life:
+class ProcessLifetime:
     """A process from its start to its end; infinite where it was still there."""
 
     name: str
-    began_s: float
+    started_s: float
     ended_s: float
-    told: bool = False  # it ended in good order, and said so
-    incarnation: int = 0  # its first: what is said of a lower one is said of an earlier life
+    is_announced: bool = False  # it ended in good order, and said so
+    first_incarnation: int = 0  # its first: what is said of a lower one is said of an earlier life
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class OperatorCommand:
     """An operator's command about a server, given to one limiter's links to the store."""
 
-    what: str  # drain, undrain
+    command: str  # drain, undrain
     server: str
-    by: str
-    began_s: float
-    done_s: float
-    problem: str = ""  # why it was not acknowledged
+    limiter: str
+    started_s: float
+    completed_s: float
+    error: str = ""  # why it was not acknowledged
 
 
 @dataclass(frozen=True, slots=True)
--- a/basaltpoint/rehearsal/faults.py
+++ b/basaltpoint/rehearsal/faults.py
@@ -8,7 +8,7 @@
 from enum import Enum
 
 
-class Kind(Enum):
+class FaultKind(Enum):
     """What is done to members, or to the messages from some to others."""
 
     CUT = "cut"  # messages from `from` to `to` are lost
@@ -31,34 +31,53 @@
     CLOCK = "clock"  # the wall clock steps, and stays there
 
 
-LINKS = (Kind.CUT, Kind.SPLIT, Kind.DROP, Kind.DELAY, Kind.STALL, Kind.RESET)
-PROCESSES = (Kind.PAUSE, Kind.KILL, Kind.STOP, Kind.WIPE, Kind.PUTBACK, Kind.UPGRADE)
-SERVERS = (Kind.DRAIN, Kind.UNDRAIN)
-SYSTEM = (Kind.FULL, Kind.SYNC, Kind.CALLS, Kind.CLOCK)  # of real processes alone: their calls and clocks
+LINK_FAULTS = (
+    FaultKind.CUT,
+    FaultKind.SPLIT,
+    FaultKind.DROP,
+    FaultKind.DELAY,
+    FaultKind.STALL,
+    FaultKind.RESET,
+)
+PROCESS_FAULTS = (
+    FaultKind.PAUSE,
+    FaultKind.KILL,
+    FaultKind.STOP,
+    FaultKind.WIPE,
+    FaultKind.PUTBACK,
+    FaultKind.UPGRADE,
+)
+SERVER_FAULTS = (FaultKind.DRAIN, FaultKind.UNDRAIN)
+SYSTEM_FAULTS = (
+    FaultKind.FULL,
+    FaultKind.SYNC,
+    FaultKind.CALLS,
+    FaultKind.CLOCK,
+)  # of real processes alone: their calls and clocks
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
     """One fault; times are seconds of the rehearsal."""
 
-    kind: Kind
-    at_s: float
+    kind: FaultKind
+    start_s: float
     end_s: float  # infinite: to the end
-    on: tuple[str, ...] = ()
+    members: tuple[str, ...] = ()
     sources: tuple[str, ...] = ()
     targets: tuple[str, ...] = ()
     sides: tuple[tuple[str, ...], ...] = ()
-    part: float = 1.0  # of the messages that are lost
+    fraction: float = 1.0  # of the messages that are lost
     delay_s: float = 0.0
     jitter_s: float = 0.0
     server: str = ""
-    call: str = ""  # of CALLS: which
-    error: str = ""  # and its errno's name
-    by_s: float = 0.0  # of CLOCK
+    system_call: str = ""  # of CALLS: which
+    errno_name: str = ""  # and its errno's name
+    clock_step_s: float = 0.0  # of CLOCK
 
-    def between(self, source: str, target: str) -> bool:
+    def affects_link(self, source: str, target: str) -> bool:
         """Whether it is on the way from one to the other."""
-        if self.kind is Kind.SPLIT:
+        if self.kind is FaultKind.SPLIT:
             one, other = (
                 next((at for at, side in enumerate(self.sides) if name in side), -1)
                 for name in (source, target)
@@ -66,52 +85,57 @@
             return one != other and one >= 0 and other >= 0
         return source in self.sources and target in self.targets
 
-    def text(self) -> str:
+    def describe(self) -> str:
         """In a few words, for reports."""
-        if self.kind is Kind.SPLIT:
+        if self.kind is FaultKind.SPLIT:
             who = " | ".join(" ".join(side) for side in self.sides)
-        elif self.kind in LINKS:
+        elif self.kind in LINK_FAULTS:
             who = f"{' '.join(self.sources)} to {' '.join(self.targets)}"
         else:
-            what = [self.call, self.error, f"{self.by_s:+g} s" if self.by_s else "", self.server]
-            who = " ".join([*self.on, *filter(None, what)])
+            what = [
+                self.system_call,
+                self.errno_name,
+                f"{self.clock_step_s:+g} s" if self.clock_step_s else "",
+                self.server,
+            ]
+            who = " ".join([*self.members, *filter(None, what)])
         return f"{self.kind.value} {who}"
 
 
 @dataclass(slots=True)
-class Way:
+class LinkState:
     """What holds on the way from one to another now."""
 
-    lost: float = 0.0  # part of the messages
-    stalled: bool = False
+    loss_fraction: float = 0.0  # part of the messages
+    is_stalled: bool = False
     delay_s: float = 0.0
     jitter_s: float = 0.0
 
     @property
-    def cut(self) -> bool:
+    def is_blocked(self) -> bool:
         """Whether nothing passes: no connection can be made either."""
-        return self.lost >= 1.0 or self.stalled
+        return self.loss_fraction >= 1.0 or self.is_stalled
 
 
 @dataclass(slots=True)
-class Spoilt:
+class ActiveLinkFaults:
     """The faults on links that hold now."""
 
     faults: list[Fault] = field(default_factory=list)
 
-    def way(self, source: str, target: str) -> Way:
-        made = Way()
+    def link_state(self, source: str, target: str) -> LinkState:
+        made = LinkState()
         for fault in self.faults:
-            if not fault.between(source, target):
+            if not fault.affects_link(source, target):
                 continue
             match fault.kind:
-                case Kind.CUT | Kind.SPLIT:
-                    made.lost = 1.0
-                case Kind.DROP:
-                    made.lost = 1.0 - (1.0 - made.lost) * (1.0 - fault.part)
-                case Kind.STALL:
-                    made.stalled = True
-                case Kind.DELAY:
+                case FaultKind.CUT | FaultKind.SPLIT:
+                    made.loss_fraction = 1.0
+                case FaultKind.DROP:
+                    made.loss_fraction = 1.0 - (1.0 - made.loss_fraction) * (1.0 - fault.fraction)
+                case FaultKind.STALL:
+                    made.is_stalled = True
+                case FaultKind.DELAY:
                     made.delay_s += fault.delay_s
                     made.jitter_s += fault.jitter_s
                 case _:
@@ -119,52 +143,53 @@
         return made
 
 
-def among(faults: Iterable[Fault], names: Collection[str]) -> list[Fault]:
+def restrict_to_members(faults: Iterable[Fault], names: Collection[str]) -> list[Fault]:
     """What of the faults concerns these alone: members by themselves, or links between two of them."""
     found = []
     for fault in faults:
         on, sources, targets = (
-            tuple(name for name in some if name in names) for some in (fault.on, fault.sources, fault.targets)
+            tuple(name for name in some if name in names)
+            for some in (fault.members, fault.sources, fault.targets)
         )
         sides = tuple(kept for side in fault.sides if (kept := tuple(n for n in side if n in names)))
         if on or (sources and targets) or len(sides) > 1:
-            found.append(replace(fault, on=on, sources=sources, targets=targets, sides=sides))
+            found.append(replace(fault, members=on, sources=sources, targets=targets, sides=sides))
     return found
 
 
-def shift(fault: Fault, by_s: float) -> Fault:
+def shift_times(fault: Fault, by_s: float) -> Fault:
     """The same by another clock."""
-    return replace(fault, at_s=fault.at_s + by_s, end_s=fault.end_s + by_s)
+    return replace(fault, start_s=fault.start_s + by_s, end_s=fault.end_s + by_s)
 
 
-def last_end(faults: Sequence[Fault], seconds: float) -> float:
+def last_fault_end_s(faults: Sequence[Fault], seconds: float) -> float:
     """When the last fault is over, where one ends at all."""
     # A process that never comes back is an event, not a state that others wait for.
-    once = [fault.kind is Kind.RESET or (fault.on and fault.end_s >= seconds) for fault in faults]
-    ends = [fault.at_s if at_once else fault.end_s for fault, at_once in zip(faults, once, strict=True)]
+    once = [fault.kind is FaultKind.RESET or (fault.members and fault.end_s >= seconds) for fault in faults]
+    ends = [fault.start_s if at_once else fault.end_s for fault, at_once in zip(faults, once, strict=True)]
     return max((min(end, seconds) for end in ends), default=0.0)
 
 
-def lasting(faults: Iterable[Fault], seconds: float) -> bool:
+def separates_until_end(faults: Iterable[Fault], seconds: float) -> bool:
     """Whether a fault that keeps members apart holds to the end, so that they need not agree."""
-    kinds = {*LINKS, Kind.PAUSE} - {Kind.RESET}
+    kinds = {*LINK_FAULTS, FaultKind.PAUSE} - {FaultKind.RESET}
     return any(fault.end_s >= seconds and fault.kind in kinds for fault in faults)
 
 
-def drawn(rng: random.Random, names: list[str], seconds: float, count: int) -> list[Fault]:
+def random_faults(rng: random.Random, names: list[str], seconds: float, count: int) -> list[Fault]:
     """Faults of all kinds at random, each over before the last third."""
     found = []
     for _ in range(count):
         at = rng.uniform(0.1, 0.4) * seconds
         end = at + rng.uniform(0.01, 0.25) * seconds
-        kind = rng.choice([*LINKS, Kind.PAUSE, Kind.KILL, Kind.STOP, Kind.UPGRADE])
+        kind = rng.choice([*LINK_FAULTS, FaultKind.PAUSE, FaultKind.KILL, FaultKind.STOP, FaultKind.UPGRADE])
         some = rng.sample(names, rng.randint(1, max(1, len(names) // 2)))
         rest = [name for name in names if name not in some] or names
         match kind:
-            case Kind.SPLIT:
+            case FaultKind.SPLIT:
                 found.append(Fault(kind, at, end, sides=(tuple(some), tuple(rest))))
-            case Kind.PAUSE | Kind.KILL | Kind.STOP | Kind.UPGRADE:
-                found.append(Fault(kind, at, end, on=tuple(some)))
+            case FaultKind.PAUSE | FaultKind.KILL | FaultKind.STOP | FaultKind.UPGRADE:
+                found.append(Fault(kind, at, end, members=tuple(some)))
             case _:
                 found.append(
                     Fault(
@@ -173,7 +198,7 @@
                         end,
                         sources=tuple(some),
                         targets=tuple(rest),
-                        part=rng.uniform(0.05, 0.5) if kind is Kind.DROP else 1.0,
+                        fraction=rng.uniform(0.05, 0.5) if kind is FaultKind.DROP else 1.0,
                         delay_s=rng.uniform(0.0, 0.2),
                         jitter_s=rng.uniform(0.0, 0.2),
                     )
--- a/basaltpoint/rehearsal/links.py
+++ b/basaltpoint/rehearsal/links.py
@@ -13,24 +13,24 @@
 
 from basaltpoint.config.address import parse_address
 from basaltpoint.links.frames import LENGTH_PREFIX, decode_greeting
-from basaltpoint.rehearsal.faults import Spoilt
+from basaltpoint.rehearsal.faults import ActiveLinkFaults
 
 LOOK_S = 0.02  # between two looks whether a held way is free
 LONGEST = 64 << 20  # bytes of a frame; more ends the connection
 
 
-class SpoiltLinks:
+class LinkProxies:
     """The stand-ins of one rehearsal."""
 
-    def __init__(self, spoilt: Spoilt, seed: int = 1) -> None:
+    def __init__(self, spoilt: ActiveLinkFaults, seed: int = 1) -> None:
         self.spoilt = spoilt
         self._rng = random.Random(seed)
-        self.passed: Counter[tuple[str, str]] = Counter()  # frames by way
+        self.forwarded_frames: Counter[tuple[str, str]] = Counter()  # frames by way
         self._servers: list[asyncio.Server] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self._open: dict[asyncio.StreamWriter, tuple[str, str]] = {}
 
-    async def before(self, name: str, address: str, caller: str = "") -> str:
+    async def add_proxy(self, name: str, address: str, caller: str = "") -> str:
         """Stand before a member that listens there; the address for the others.
 
         `caller`: who alone is told of it, where its greeting holds no name.
@@ -66,7 +66,7 @@
             said = decode_greeting(greeting)
             source = (said.name if said else "") or caller
             self._open[writer] = self._open[back] = (source, target)
-            if not self.spoilt.way(source, target).lost >= 1.0:
+            if not self.spoilt.link_state(source, target).loss_fraction >= 1.0:
                 back.write(greeting)
             async with asyncio.TaskGroup() as group:
                 group.create_task(self._pass(source, target, reader, back))
@@ -87,24 +87,24 @@
                 frame = await _frame(reader)
             except (OSError, EOFError):
                 # An end is news, too: it passes only where something does.
-                while self.spoilt.way(source, target).cut:
+                while self.spoilt.link_state(source, target).is_blocked:
                     await asyncio.sleep(LOOK_S)
                 raise
-            way = self.spoilt.way(source, target)
-            while way.stalled:
+            way = self.spoilt.link_state(source, target)
+            while way.is_stalled:
                 await asyncio.sleep(LOOK_S)
-                way = self.spoilt.way(source, target)
+                way = self.spoilt.link_state(source, target)
             if delay := way.delay_s + self._rng.uniform(0.0, way.jitter_s):
                 await asyncio.sleep(delay)
             greeting, first = first and decode_greeting(frame) is not None, False
             # A lossy way delays what makes a connection, as it is sent again; a cut one lets nothing through.
-            if way.lost >= 1.0 or (not greeting and self._rng.random() < way.lost):
+            if way.loss_fraction >= 1.0 or (not greeting and self._rng.random() < way.loss_fraction):
                 continue
-            self.passed[source, target] += 1
+            self.forwarded_frames[source, target] += 1
             writer.write(frame)
             await writer.drain()
 
-    def reset(self, sources: tuple[str, ...], targets: tuple[str, ...]) -> None:
+    def reset_connections(self, sources: tuple[str, ...], targets: tuple[str, ...]) -> None:
         """Reset what is open between them."""
         for writer, (one, other) in list(self._open.items()):
             if (one in sources and other in targets) or (other in sources and one in targets):
--- a/basaltpoint/rehearsal/page.py
+++ b/basaltpoint/rehearsal/page.py
@@ -59,7 +59,7 @@
 """
 
 
-def page(name: str, made: Rehearsal, result: dict[str, Any]) -> str:
+def render_page(name: str, made: Rehearsal, result: dict[str, Any]) -> str:
     """One HTML file with nothing to fetch. Jinja2, as it escapes what members and files are called."""
     seconds = max([made.fleet.seconds, *(row[0] for row in result["views"])])
     scale = WIDTH / seconds
--- a/basaltpoint/rehearsal/play.py
+++ b/basaltpoint/rehearsal/play.py
@@ -20,12 +20,12 @@
 from basaltpoint.load.command import read_ledger, read_server_log
 from basaltpoint.load.ledger import ServerAttempt, audit
 from basaltpoint.rehearsal import checks
-from basaltpoint.rehearsal.events import Finding, Life, Told
-from basaltpoint.rehearsal.faults import SYSTEM, among, shift
-from basaltpoint.rehearsal.probe import Probe, findings, longest
-from basaltpoint.rehearsal.processes import CLUSTER, Processes
+from basaltpoint.rehearsal.events import Finding, OperatorCommand, ProcessLifetime
+from basaltpoint.rehearsal.faults import SYSTEM_FAULTS, restrict_to_members, shift_times
+from basaltpoint.rehearsal.probe import StoreProbe, find_violations, longest_delays
+from basaltpoint.rehearsal.processes import STORE_CLUSTER, FleetProcesses
 from basaltpoint.rehearsal.scenario import Rehearsal
-from basaltpoint.rehearsal.verdict import finding, verdict
+from basaltpoint.rehearsal.verdict import build_verdict, finding_to_dict
 from basaltpoint.store.client import Client, Endpoint
 
 START_S = 30.0  # for all to see each other before anything is played
@@ -34,11 +34,11 @@
 BURST, RATE = 1e6, 1e6  # of the load's plans, where the file names none
 
 
-class SlowError(Exception):
+class SlowHostError(Exception):
     """The machine was too slow for the numbers to count."""
 
 
-def tables(made: Rehearsal, servers: list[str]) -> str:
+def limiter_tables(made: Rehearsal, servers: list[str]) -> str:
     """What all limiters have in common, with `[limiter]` laid over it."""
     load = made.load
     accounts = [
@@ -66,7 +66,7 @@
     return tomli_w.dumps(whole | made.limiter)
 
 
-def limits(made: Rehearsal, attempts: Counter[str], seconds: float) -> dict[str, Any]:
+def quota_usage(made: Rehearsal, attempts: Counter[str], seconds: float) -> dict[str, Any]:
     """Per account: what its quota allows in so long, what was sent, and what of it was beyond."""
     plans = {row["name"]: row for row in made.limiter.get("plan", ())}
     found = {}
@@ -78,23 +78,30 @@
     return found
 
 
-def starts(lives: Sequence[Life], told: Mapping[str, Sequence[tuple[float, int]]]) -> list[dict[str, Any]]:
+def start_durations(
+    lives: Sequence[ProcessLifetime], told: Mapping[str, Sequence[tuple[float, int]]]
+) -> list[dict[str, Any]]:
     """How long each process took from its start to its place among the others, the store's state read."""
     found = []
     for life in lives:
-        took = [at - life.began_s for at, _ in told.get(life.name, ()) if life.began_s <= at < life.ended_s]
+        took = [
+            at - life.started_s for at, _ in told.get(life.name, ()) if life.started_s <= at < life.ended_s
+        ]
         found.append({"name": life.name, "took_s": min(took, default=None)})
     return found
 
 
-def unacknowledged(told: Iterable[Told]) -> list[Finding]:
+def find_unacknowledged(told: Iterable[OperatorCommand]) -> list[Finding]:
     """Commands that the store did not take."""
     return [
         Finding(
-            one.began_s, "not acknowledged", (one.by, one.server), f"{one.what} to be taken: {one.problem}"
+            one.started_s,
+            "not acknowledged",
+            (one.limiter, one.server),
+            f"{one.command} to be taken: {one.error}",
         )
         for one in told
-        if one.problem
+        if one.error
     ]
 
 
@@ -102,7 +109,7 @@
     """A limiter ended that nobody ended."""
 
 
-class Play:
+class RehearsalRun:
     """One rehearsal in a folder of its own."""
 
     def __init__(self, made: Rehearsal, folder: Path, seed: int) -> None:
@@ -115,22 +122,22 @@
         """Play, and say what held; SlowError where the machine could not keep up."""
         watch = asyncio.create_task(self._watch())
         self.folder.mkdir(parents=True, exist_ok=True)
-        limiters: Processes | None = None
+        limiters: FleetProcesses | None = None
         try:
             servers = [await self._server(at) for at in range(self.made.fleet.servers)]
-            limiters = Processes(
+            limiters = FleetProcesses(
                 self.folder,
-                self.made.names,
-                tables(self.made, servers),
+                self.made.limiter_names,
+                limiter_tables(self.made, servers),
                 "",
                 self.seed,
-                self.made.replicas,
-                system=any(fault.kind in SYSTEM for fault in self.made.faults),
+                self.made.replica_names,
+                inject_system_faults=any(fault.kind in SYSTEM_FAULTS for fault in self.made.faults),
             )
             await limiters.prepare()
             limiters.start()
             await self._agree(limiters, START_S)
-            limiters.keep_copies()
+            limiters.save_copies()
             probe = self._probe(limiters)
             self._began = time.monotonic()
             async with asyncio.TaskGroup() as group:
@@ -138,15 +145,17 @@
                 group.create_task(self._faults(limiters))
                 await asyncio.sleep(self.made.fleet.seconds)
             await self._agree(limiters, SETTLE_S, must=False)
-            await limiters.settle()
-            lives, saws = limiters.record()
-            members = among(self.made.faults, self.made.names)
-            result = verdict(lives, saws, members, self.made.fleet.seconds, self._began, time.monotonic())
-            result["members"]["started_s"] = starts(lives, limiters.journal()[1])
+            await limiters.wait_for_commands()
+            lives, saws = limiters.lifetimes_and_observations()
+            members = restrict_to_members(self.made.faults, self.made.limiter_names)
+            result = build_verdict(
+                lives, saws, members, self.made.fleet.seconds, self._began, time.monotonic()
+            )
+            result["members"]["started_s"] = start_durations(lives, limiters.read_journals()[1])
             if probe:
                 await probe.stop(SETTLE_S)
-                result["store"] = longest(probe.record, time.monotonic())
-                result["findings"] += self._told(findings(probe.record))
+                result["store"] = longest_delays(probe.record, time.monotonic())
+                result["findings"] += self._told(find_violations(probe.record))
         finally:
             watch.cancel()
             if limiters:
@@ -160,28 +169,32 @@
         sent = self._sent(asking.result(), attempts)
         # Clients that repeat go on after the load's end; what they are let have then counts, too.
         last = max((attempt.came_s for attempt in attempts), default=self._began) - self._began
-        result["limits"] = limits(self.made, sent, max(last, self.made.fleet.seconds))
+        result["limits"] = quota_usage(self.made, sent, max(last, self.made.fleet.seconds))
         result["requests"], found = self._audit(attempts)
         result["findings"] += found
         result["per_second"] = self._per_second(asking.result(), attempts)
-        if self.made.replicas:
-            shifted = [shift(fault, self._began) for fault in self.made.faults]
-            late, found_late = checks.late_sends(limiters.told, attempts, shifted, self.made.replicas)
+        if self.made.replica_names:
+            shifted = [shift_times(fault, self._began) for fault in self.made.faults]
+            late, found_late = checks.find_late_sends(
+                limiters.commands, attempts, shifted, self.made.replica_names
+            )
             result["store"]["late_sends"] = late
-            result["findings"] += self._told([*found_late, *unacknowledged(limiters.told)])
+            result["findings"] += self._told([*found_late, *find_unacknowledged(limiters.commands)])
         result["held"] = not result["findings"]
         if self.late_s > LATE_S:
-            raise SlowError(f"a turn of the rehearsal's own loop came {self.late_s:.2f} s late")
+            raise SlowHostError(f"a turn of the rehearsal's own loop came {self.late_s:.2f} s late")
         return result
 
-    def _probe(self, limiters: Processes) -> Probe | None:
+    def _probe(self, limiters: FleetProcesses) -> StoreProbe | None:
         """The store's own client, where there is a store."""
-        endpoints = [Endpoint(limiters.members[name].own, name) for name in self.made.replicas]
-        return Probe(lambda: Client(endpoints, CLUSTER)) if endpoints else None
+        endpoints = [Endpoint(limiters.members[name].own_address, name) for name in self.made.replica_names]
+        return StoreProbe(lambda: Client(endpoints, STORE_CLUSTER)) if endpoints else None
 
     def _told(self, found: Iterable[Finding]) -> list[dict[str, Any]]:
         last = self.made.fleet.seconds
-        return [finding(min(f.at_s - self._began, last), f.kind, f.members, f.expected) for f in found]
+        return [
+            finding_to_dict(min(f.at_s - self._began, last), f.kind, f.members, f.expected) for f in found
+        ]
 
     async def _watch(self) -> None:
         loop = asyncio.get_running_loop()
@@ -200,25 +213,25 @@
         assert server.stdout
         return (await server.stdout.readline()).decode().strip()
 
-    async def _agree(self, limiters: Processes, within_s: float, must: bool = True) -> None:
+    async def _agree(self, limiters: FleetProcesses, within_s: float, must: bool = True) -> None:
         """Wait until all that run see each other."""
         end = time.monotonic() + within_s
         while time.monotonic() < end:
-            if fallen := limiters.fallen():
-                raise StartError(f"{fallen[0]} has ended: {limiters.log(fallen[0])[-2000:]}")
-            lives, saws = limiters.record()
-            if not checks.agreed(lives, saws, 0.0, time.monotonic())[1]:
+            if fallen := limiters.exited_members():
+                raise StartError(f"{fallen[0]} has ended: {limiters.read_log(fallen[0])[-2000:]}")
+            lives, saws = limiters.lifetimes_and_observations()
+            if not checks.time_to_agreement(lives, saws, 0.0, time.monotonic())[1]:
                 return
             await asyncio.sleep(0.1)
         if must:
-            raise SlowError(f"the limiters did not find each other within {within_s:g} s")
+            raise SlowHostError(f"the limiters did not find each other within {within_s:g} s")
 
     # --- Load -------------------------------------------------------------------------------------------
-    async def _load(self, limiters: Processes) -> scenario.Scenario | None:
+    async def _load(self, limiters: FleetProcesses) -> scenario.Scenario | None:
         load = self.made.load
         if not load.plan:
             return None
-        targets = [limiters.members[name].listen for name in self.made.names]
+        targets = [limiters.members[name].client_address for name in self.made.limiter_names]
         whole: dict[str, Any] = {
             "target": targets, "seed": self.seed, "duration_s": self.made.fleet.seconds,
             "retries": {"most": 3, "wait_ms": 50},  # another limiter each time, as targets go in turn
@@ -238,7 +251,7 @@
         for one in asked:
             answered[one.ident.rpartition("-")[0]] += one.answers > 0
         found = [one for one in audit(asked, attempts) if one.kind != "lost"]
-        findings = [finding(0.0, one.kind, (), f"{one.ident}: {one.detail}") for one in found]
+        findings = [finding_to_dict(0.0, one.kind, (), f"{one.ident}: {one.detail}") for one in found]
         none = sum(not count for count in answered.values())
         counts = {
             "asked": len(answered), "answered": len(answered) - none, "none": none,
@@ -270,11 +283,11 @@
         return Counter(account.get(row.ident.split("-")[1], "") for row in attempts)
 
     # --- Faults -----------------------------------------------------------------------------------------
-    async def _faults(self, limiters: Processes) -> None:
-        steps = [(fault.at_s, 1, at, fault) for at, fault in enumerate(self.made.faults)]
+    async def _faults(self, limiters: FleetProcesses) -> None:
+        steps = [(fault.start_s, 1, at, fault) for at, fault in enumerate(self.made.faults)]
         steps += [
             (f.end_s, 0, at, f) for at, f in enumerate(self.made.faults) if f.end_s < self.made.fleet.seconds
         ]
         for when, begins, _, fault in sorted(steps, key=lambda step: step[:3]):
             await asyncio.sleep(max(0.0, self._began + when - time.monotonic()))
-            await (limiters.begin(fault) if begins else limiters.over(fault))
+            await (limiters.begin_fault(fault) if begins else limiters.end_fault(fault))
--- a/basaltpoint/rehearsal/probe.py
+++ b/basaltpoint/rehearsal/probe.py
@@ -22,48 +22,50 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class ProbeOperation:
     """A write of a number, or a read that found it. Infinite `done_s`: not known to be done."""
 
     number: int
-    began_s: float
-    done_s: float
+    started_s: float
+    completed_s: float
 
 
 @dataclass(slots=True)
-class Record:
+class ProbeRecord:
     """All that the client did and heard, in order; seconds of one clock."""
 
-    writes: list[Asked] = field(default_factory=list)
-    reads: list[Asked] = field(default_factory=list)
-    heard: list[tuple[int, float]] = field(default_factory=list)  # of the watch: number, when
+    writes: list[ProbeOperation] = field(default_factory=list)
+    reads: list[ProbeOperation] = field(default_factory=list)
+    watched: list[tuple[int, float]] = field(default_factory=list)  # of the watch: number, when
 
 
-def findings(record: Record) -> list[Finding]:
+def find_violations(record: ProbeRecord) -> list[Finding]:
     """What no fault excuses: a read older than an acknowledged write, a watch that skips or turns back."""
     found = []
-    done = sorted((write.done_s, write.number) for write in record.writes)
+    done = sorted((write.completed_s, write.number) for write in record.writes)
     for read in record.reads:
-        least = max((number for at, number in done if at < read.began_s), default=0)
+        least = max((number for at, number in done if at < read.started_s), default=0)
         if read.number < least:
             expected = f"a read to find {least}, acknowledged before it, not {read.number}"
-            found.append(Finding(read.began_s, "stale read", (), expected))
+            found.append(Finding(read.started_s, "stale read", (), expected))
     before = 0
-    for number, at in record.heard:
+    for number, at in record.watched:
         if number != before + 1:
             expected = f"the watch to tell of {before + 1}, not {number}"
             found.append(Finding(at, "watch", (), expected))
         before = number
-    known = max((write.number for write in record.writes if write.done_s < math.inf), default=0)
+    known = max((write.number for write in record.writes if write.completed_s < math.inf), default=0)
     if before < known:
         found.append(Finding(math.inf, "watch", (), f"the watch to tell of {known}, not of {before} alone"))
     return found
 
 
-def longest(record: Record, end_s: float) -> dict[str, float]:
+def longest_delays(record: ProbeRecord, end_s: float) -> dict[str, float]:
     """The longest that a write, a read, and the news of a write took; what never came counts to the end."""
-    heard = dict(record.heard)
-    news = [heard.get(one.number, end_s) - one.done_s for one in record.writes if one.done_s < math.inf]
+    heard = dict(record.watched)
+    news = [
+        heard.get(one.number, end_s) - one.completed_s for one in record.writes if one.completed_s < math.inf
+    ]
     return {
         "write_s": _longest(record.writes, end_s),
         "read_s": _longest(record.reads, end_s),
@@ -71,15 +73,15 @@
     }
 
 
-def _longest(asked: Sequence[Asked], end_s: float) -> float:
-    return max((min(one.done_s, end_s) - one.began_s for one in asked), default=0.0)
+def _longest(asked: Sequence[ProbeOperation], end_s: float) -> float:
+    return max((min(one.completed_s, end_s) - one.started_s for one in asked), default=0.0)
 
 
-class Probe:
+class StoreProbe:
     """The client; it asks from its making on."""
 
     def __init__(self, make: Callable[[], Client]) -> None:
-        self.record = Record()
+        self.record = ProbeRecord()
         self._clients = [make() for _ in range(3)]
         writer, reader, watcher = self._clients
         self._stop = False
@@ -100,16 +102,16 @@
 
     def _settled(self) -> bool:
         record = self.record
-        if any(one.done_s == math.inf for one in (*record.writes[-1:], *record.reads[-1:])):
+        if any(one.completed_s == math.inf for one in (*record.writes[-1:], *record.reads[-1:])):
             return False
-        return not record.writes or bool(record.heard and record.heard[-1][0] == record.writes[-1].number)
+        return not record.writes or bool(record.watched and record.watched[-1][0] == record.writes[-1].number)
 
-    async def _asked(self, rows: list[Asked], number: int, answer: Awaitable[int]) -> None:
+    async def _asked(self, rows: list[ProbeOperation], number: int, answer: Awaitable[int]) -> None:
         """The row is there while the answer is not."""
         began = time.monotonic()
-        rows.append(Asked(number, began, math.inf))
+        rows.append(ProbeOperation(number, began, math.inf))
         found = await answer
-        rows[-1] = Asked(found, began, time.monotonic())
+        rows[-1] = ProbeOperation(found, began, time.monotonic())
         await asyncio.sleep(WAIT_S)
 
     async def _write(self, client: Client) -> None:
@@ -137,4 +139,4 @@
                 async for events, _ in client.watch(KEY, 1):
                     for event in events:
                         if event.value:
-                            self.record.heard.append((int(event.value.value), time.monotonic()))
+                            self.record.watched.append((int(event.value.value), time.monotonic()))
--- a/basaltpoint/rehearsal/scenario.py
+++ b/basaltpoint/rehearsal/scenario.py
@@ -12,7 +12,7 @@
 from basaltpoint.config.decode import ProblemCollector, decode, format_value, load_toml
 from basaltpoint.config.schema import described
 from basaltpoint.load.scenario import ClassTable, PlanTable
-from basaltpoint.rehearsal.faults import LINKS, SERVERS, Fault, Kind
+from basaltpoint.rehearsal.faults import LINK_FAULTS, SERVER_FAULTS, Fault, FaultKind
 
 OURS = {"fleet", "listen", "name"}  # of a limiter's file; where replicas play, `store`, too
 FOREVER = 0.0  # of `for_s`: to the end
@@ -50,11 +50,11 @@
     faults: tuple[Fault, ...]
 
     @property
-    def names(self) -> list[str]:
+    def limiter_names(self) -> list[str]:
         return [f"l{at + 1}" for at in range(self.fleet.limiters)]
 
     @property
-    def replicas(self) -> list[str]:
+    def replica_names(self) -> list[str]:
         return [f"r{at + 1}" for at in range(self.fleet.store)]
 
 
@@ -111,26 +111,30 @@
     limiters = [f"l{at + 1}" for at in range(fleet.limiters)]
     replicas = [f"r{at + 1}" for at in range(fleet.store)]
     try:
-        kind = Kind(row.get("kind"))
+        kind = FaultKind(row.get("kind"))
     except ValueError:
         out.add(
             f"{path}.kind",
             f"found {format_value(row.get('kind', ''))}",
-            "one of " + ", ".join(k.value for k in Kind),
+            "one of " + ", ".join(k.value for k in FaultKind),
         )
         return None
     # A replica whose disk was lost never comes again under its name; upgrades and drains are limiters'.
-    names = limiters if kind in (*SERVERS, Kind.WIPE, Kind.PUTBACK, Kind.UPGRADE) else limiters + replicas
-    if kind is Kind.SPLIT:
+    names = (
+        limiters
+        if kind in (*SERVER_FAULTS, FaultKind.WIPE, FaultKind.PUTBACK, FaultKind.UPGRADE)
+        else limiters + replicas
+    )
+    if kind is FaultKind.SPLIT:
         keys = {"sides"}
-    elif kind in LINKS:
-        keys = {"from", "to"} | ({"part"} if kind is Kind.DROP else set())
-        keys |= {"ms", "jitter_ms"} if kind is Kind.DELAY else set()
+    elif kind in LINK_FAULTS:
+        keys = {"from", "to"} | ({"part"} if kind is FaultKind.DROP else set())
+        keys |= {"ms", "jitter_ms"} if kind is FaultKind.DELAY else set()
     else:
-        keys = {"on"} | ({"server"} if kind in SERVERS else set())
-        keys |= {"part"} if kind in (Kind.SYNC, Kind.CALLS) else set()
-        keys |= {"call", "error"} if kind is Kind.CALLS else set()
-        keys |= {"by_s"} if kind is Kind.CLOCK else set()
+        keys = {"on"} | ({"server"} if kind in SERVER_FAULTS else set())
+        keys |= {"part"} if kind in (FaultKind.SYNC, FaultKind.CALLS) else set()
+        keys |= {"call", "error"} if kind is FaultKind.CALLS else set()
+        keys |= {"by_s"} if kind is FaultKind.CLOCK else set()
     for key in sorted(row.keys() - keys - {"kind", "at_s", "for_s"}):
         out.add(
             f"{path}.{key}", f"not for {kind.value}", "one of " + ", ".join(sorted(keys | {"at_s", "for_s"}))
@@ -149,18 +153,18 @@
         _names(f"{path}.sides[{at}]", side, names, out) for at, side in enumerate(_list(row.get("sides", [])))
     )
     twice = [name for at, side in enumerate(sides) for name in side if any(name in s for s in sides[:at])]
-    if kind is Kind.SPLIT and (len(sides) < 2 or twice):
+    if kind is FaultKind.SPLIT and (len(sides) < 2 or twice):
         out.add(
             f"{path}.sides",
             f"found {len(sides)}, {twice or 'none'} twice",
             "two lists at least, each name in one",
         )
     servers = [f"s{at + 1}" for at in range(fleet.servers)]
-    if kind in SERVERS and "server" in row and row["server"] not in servers:
+    if kind in SERVER_FAULTS and "server" in row and row["server"] not in servers:
         out.add(
             f"{path}.server", f"found {format_value(row['server'])}", f"one of {servers[0]} to {servers[-1]}"
         )
-    if kind in SERVERS and not fleet.store:
+    if kind in SERVER_FAULTS and not fleet.store:
         out.add(f"{path}.kind", f"found {kind.value}", "with fleet.store: drains are told through the store")
     _system(path, row, keys, out)
     if len(out.problems) > before:
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -23,8 +23,8 @@
 from basaltpoint.peers.options import MembershipOptions
 from basaltpoint.peers.state_machine import MembershipStateMachine
 from basaltpoint.rehearsal import checks
-from basaltpoint.rehearsal.faults import Fault, Kind
-from basaltpoint.rehearsal.model import Model
+from basaltpoint.rehearsal.faults import Fault, FaultKind
+from basaltpoint.rehearsal.model import FleetModel
 
 WARM_UP_S = 20.0
 
@@ -87,10 +87,10 @@
 }
 
 
-def model(kind: str, size: int, faults: Sequence[Fault], seed: int) -> Model:
+def model(kind: str, size: int, faults: Sequence[Fault], seed: int) -> FleetModel:
     state_machine, options = VARIANTS[kind]
     names = [f"l{at + 1}" for at in range(size)]
-    return Model(names, MembershipOptions(**options), faults, seed, make=state_machine)
+    return FleetModel(names, MembershipOptions(**options), faults, seed, make_state_machine=state_machine)
 
 
 def quantile(values: Sequence[float], fraction: float) -> float:
@@ -103,16 +103,16 @@
     first, last, sent, messages, missing = [], [], [], [], 0
     for seed in range(runs):
         victim = f"l{size}"
-        made = model(kind, size, [Fault(Kind.KILL, WARM_UP_S, math.inf, on=(victim,))], seed)
-        made.run(WARM_UP_S - 5)
-        before = [(n.sent_bytes, n.sent.total()) for n in made.nodes.values()]
-        made.run(WARM_UP_S - 0.001)
-        after = [(n.sent_bytes, n.sent.total()) for n in made.nodes.values()]
+        made = model(kind, size, [Fault(FaultKind.KILL, WARM_UP_S, math.inf, members=(victim,))], seed)
+        made.run_until(WARM_UP_S - 5)
+        before = [(n.sent_bytes, n.sent_messages.total()) for n in made.nodes.values()]
+        made.run_until(WARM_UP_S - 0.001)
+        after = [(n.sent_bytes, n.sent_messages.total()) for n in made.nodes.values()]
         sent.append(max(b[0] - a[0] for a, b in zip(before, after, strict=True)) / 5)
         messages.append(statistics.mean(b[1] - a[1] for a, b in zip(before, after, strict=True)) / 5)
-        made.run(WARM_UP_S + 40)
-        (kill,) = checks.kills(made.all_lives, made.saws, made.now)
-        missing += len(kill.missing)
+        made.run_until(WARM_UP_S + 40)
+        (kill,) = checks.find_crashes(made.lifetimes, made.observations, made.now_s)
+        missing += len(kill.undetected_by)
         if kill.detected_s:
             first.append(min(kill.detected_s.values()))
             last.append(max(kill.detected_s.values()))
@@ -129,21 +129,21 @@
     rng = random.Random(seed)
     names = tuple(f"l{at + 1}" for at in range(size))
     end = WARM_UP_S + minutes * 60
-    faults = [Fault(Kind.DROP, WARM_UP_S, end, sources=names, targets=names, part=loss)]
+    faults = [Fault(FaultKind.DROP, WARM_UP_S, end, sources=names, targets=names, fraction=loss)]
     for minute in range(int(minutes) if pauses else 0):
         for name in rng.sample(names, max(1, size // 5)):
             at = WARM_UP_S + 60 * minute + rng.uniform(0, 50)
-            faults.append(Fault(Kind.PAUSE, at, at + rng.uniform(0.5, 5.0), on=(name,)))
+            faults.append(Fault(FaultKind.PAUSE, at, at + rng.uniform(0.5, 5.0), members=(name,)))
     made = model(kind, size, faults, seed)
-    made.run(WARM_UP_S)
+    made.run_until(WARM_UP_S)
     before, began = sum(n.sent_bytes for n in made.nodes.values()), time.process_time()
-    made.run(end)
+    made.run_until(end)
     spent = time.process_time() - began
-    wrong = checks.wrong_deaths(made.all_lives, made.saws)
+    wrong = checks.find_wrong_deaths(made.lifetimes, made.observations)
     return {
         "kind": kind, "size": size, "minutes": minutes, "loss": loss, "pauses": pauses, "seed": seed,
         "wrong_views": len(wrong), "wrong_members": len({finding.members[1] for finding in wrong}),
-        "suspected": sum(saw.state == "suspect" for saw in made.saws if saw.at_s > WARM_UP_S),
+        "suspected": sum(saw.state == "suspect" for saw in made.observations if saw.at_s > WARM_UP_S),
         "bytes_s": (sum(n.sent_bytes for n in made.nodes.values()) - before) / size / (end - WARM_UP_S),
         "cpu_part": spent / size / (end - WARM_UP_S),
     }  # fmt: skip
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -28,14 +28,14 @@
 from basaltpoint.daemon.fleet_query import query_view
 from basaltpoint.links.frames import LENGTH_PREFIX, PROTOCOL_VERSION, Greeting, encode_frame
 from basaltpoint.peers.messages import Gossip
-from basaltpoint.rehearsal.faults import Fault, Kind
-from basaltpoint.rehearsal.processes import Processes
+from basaltpoint.rehearsal.faults import Fault, FaultKind
+from basaltpoint.rehearsal.processes import FleetProcesses
 
 
 def test_killed_member_is_detected_and_rejoins_with_a_new_incarnation(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 4) as made:
-            await made.end("l4")
+            await made.terminate("l4")
             for name in ("l1", "l2", "l3"):
                 await wait_until_seen(made, name, "l4", "dead")
             made.start("l4")
@@ -53,9 +53,9 @@
                 await wait_until_seen(made, name, "l2", "dead")
             made.resume("l2")
             await wait_until_agreed(made, "l1", "l2", "l3")
-            saws, _ = made.journal()
-            assert not [saw for saw in saws if saw.by == "l2" and saw.state == "dead"]
-            assert "was paused for" in made.log("l2")
+            saws, _ = made.read_journals()
+            assert not [saw for saw in saws if saw.observer == "l2" and saw.state == "dead"]
+            assert "was paused for" in made.read_log("l2")
             assert_no_resurrection(made)
 
     run(test())
@@ -64,15 +64,15 @@
 def test_views_converge_after_a_partition_with_changes_on_both_sides(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 5) as made:
-            split = Fault(Kind.SPLIT, 0, math.inf, sides=(("l1", "l2"), ("l3", "l4", "l5")))
-            await made.begin(split)
+            split = Fault(FaultKind.SPLIT, 0, math.inf, sides=(("l1", "l2"), ("l3", "l4", "l5")))
+            await made.begin_fault(split)
             await wait_until_agreed(made, "l1", "l2")
             await wait_until_agreed(made, "l3", "l4", "l5")
-            await made.end("l2")
-            assert await made.end("l3", signal.SIGTERM) == 0
+            await made.terminate("l2")
+            assert await made.terminate("l3", signal.SIGTERM) == 0
             await wait_until_seen(made, "l4", "l3", "left")
             made.start("l2")
-            await made.over(split)
+            await made.end_fault(split)
             await wait_until_agreed(made, "l1", "l2", "l4", "l5")
             assert_no_resurrection(made)
 
@@ -82,12 +82,12 @@
 def test_one_way_cut_link_is_reported_and_kills_nobody(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 4, LONG_TIMEOUTS) as made:
-            cut = Fault(Kind.CUT, 0, math.inf, sources=("l2",), targets=("l1",))
-            await made.begin(cut)
+            cut = Fault(FaultKind.CUT, 0, math.inf, sources=("l2",), targets=("l1",))
+            await made.begin_fault(cut)
 
             async def is_reported() -> bool:
                 looked = await query_view(
-                    fleets.load(made.members["l4"].file), "l4", made.members["l4"].advertise
+                    fleets.load(made.members["l4"].config_file), "l4", made.members["l4"].advertised_address
                 )
                 return any(
                     name.strip(">") == "l2"
@@ -99,9 +99,9 @@
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 while not await is_reported():
                     await asyncio.sleep(0.1)
-            saws, _ = made.journal()
+            saws, _ = made.read_journals()
             assert not [saw for saw in saws if saw.state == "dead"]
-            await made.over(cut)
+            await made.end_fault(cut)
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 while await is_reported():
                     await asyncio.sleep(0.1)
@@ -112,44 +112,47 @@
 def test_later_process_with_a_conflicting_name_terminates(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 3) as made:
-            other = Processes(tmp_path / "other", ["l2"], LIMITER_TABLES, SHORT_TIMEOUTS)
+            other = FleetProcesses(tmp_path / "other", ["l2"], LIMITER_TABLES, SHORT_TIMEOUTS)
             await other.prepare()
             later_process = other.members["l2"]
-            text = made.text(made.members["l2"]).replace(made.members["l2"].own, later_process.own)
-            text = text.replace(made.members["l2"].listen, later_process.listen)
+            text = made.config_text(made.members["l2"]).replace(
+                made.members["l2"].own_address, later_process.own_address
+            )
+            text = text.replace(made.members["l2"].client_address, later_process.client_address)
             text = text.replace(made._sockets, other._sockets)  # in the same folder it would start a handover
             text = text.replace(
-                f'advertise = "{made.members["l2"].advertise}"', f'advertise = "{later_process.advertise}"'
+                f'advertise = "{made.members["l2"].advertised_address}"',
+                f'advertise = "{later_process.advertised_address}"',
             )
-            later_process.file.write_text(text)
+            later_process.config_file.write_text(text)
             other.start()
             assert (
                 later_process.process
                 and await asyncio.to_thread(later_process.process.wait, TEST_TIMEOUT_S) == 1
             )
-            assert "the name l2 is in use at" in other.log("l2")
+            assert "the name l2 is in use at" in other.read_log("l2")
             await wait_until_agreed(made, "l1", "l2", "l3")
             await other.close()
 
     run(test())
 
 
-@pytest.mark.parametrize("kind", [Kind.DROP, Kind.STALL, Kind.RESET])
-def test_faulty_link_of_one_pair_kills_nobody(tmp_path: Path, kind: Kind) -> None:
+@pytest.mark.parametrize("kind", [FaultKind.DROP, FaultKind.STALL, FaultKind.RESET])
+def test_faulty_link_of_one_pair_kills_nobody(tmp_path: Path, kind: FaultKind) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 4, LONG_TIMEOUTS) as made:
             names = ("l1", "l2", "l3", "l4")
             link_ends = ("l1",), ("l2",)
-            if kind is Kind.DROP:
+            if kind is FaultKind.DROP:
                 link_ends = names, names
-            fault = Fault(kind, 0, math.inf, sources=link_ends[0], targets=link_ends[1], part=0.2)
-            before = made.links.passed.total()
-            await made.begin(fault)
-            await until(lambda: made.links.passed.total() >= before + 300)
-            await made.over(fault)
+            fault = Fault(kind, 0, math.inf, sources=link_ends[0], targets=link_ends[1], fraction=0.2)
+            before = made.proxies.forwarded_frames.total()
+            await made.begin_fault(fault)
+            await until(lambda: made.proxies.forwarded_frames.total() >= before + 300)
+            await made.end_fault(fault)
             await wait_until_agreed(made, *names)
-            if kind is not Kind.DROP:  # at these short timeouts, all messages of some probes may be lost
-                assert not [saw for saw in made.journal()[0] if saw.state == "dead"]
+            if kind is not FaultKind.DROP:  # at these short timeouts, all messages of some probes may be lost
+                assert not [saw for saw in made.read_journals()[0] if saw.state == "dead"]
 
     run(test())
 
@@ -159,7 +162,7 @@
 ) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 3) as made:
-            file = str(made.members["l1"].file)
+            file = str(made.members["l1"].config_file)
 
             async def fleet_command(*args: str) -> int:
                 return await asyncio.to_thread(main, ["fleet", *args, "--config", file])
@@ -179,7 +182,7 @@
             made.resume("l3")
             process = made.members["l3"].process
             assert process and await asyncio.to_thread(process.wait, TEST_TIMEOUT_S) == 1
-            assert "l1 declared this member gone" in made.log("l3")
+            assert "l1 declared this member gone" in made.read_log("l3")
 
     run(test())
 
@@ -191,11 +194,15 @@
             running_fleet(tmp_path / "b", 1, SHORT_TIMEOUTS + '\ncluster = "b"') as other,
         ):
             a, b = made.members["l1"], other.members["l1"]
-            b.file.write_text(b.file.read_text().replace(f"l1@{b.advertise}", f"stranger@{a.advertise}"))
+            b.config_file.write_text(
+                b.config_file.read_text().replace(
+                    f"l1@{b.advertised_address}", f"stranger@{a.advertised_address}"
+                )
+            )
             assert b.process
             b.process.send_signal(signal.SIGHUP)
-            await until(lambda: "a greeting for cluster 'fleet local', not 'fleet b'" in other.log("l1"))
-            await until(lambda: "a greeting for cluster 'fleet b', not 'fleet local'" in made.log("l1"))
+            await until(lambda: "a greeting for cluster 'fleet local', not 'fleet b'" in other.read_log("l1"))
+            await until(lambda: "a greeting for cluster 'fleet b', not 'fleet local'" in made.read_log("l1"))
 
     run(test())
 
@@ -213,7 +220,7 @@
 def test_invalid_frames_close_only_their_own_connection(tmp_path: Path, raw: bytes) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 2) as made:
-            host, port = made.members["l1"].own.split(":")
+            host, port = made.members["l1"].own_address.split(":")
             for greeting in (
                 b"",
                 encode_frame(Greeting(PROTOCOL_VERSION, "fleet local", "l9", "127.0.0.1:1")),
@@ -250,13 +257,13 @@
 def test_restart_between_two_probes_is_a_new_incarnation_and_no_death(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 3, "probe_ms = 20000\nsilent_ms = 60000") as made:
-            before = made.journal()[1]["l3"][-1][1]
-            await made.end("l3")
+            before = made.read_journals()[1]["l3"][-1][1]
+            await made.terminate("l3")
             made.start("l3")
             await until(
                 lambda: any(
-                    s.by == "l1" and s.name == "l3" and s.incarnation > before and s.state == "alive"
-                    for s in made.journal()[0]
+                    s.observer == "l1" and s.member == "l3" and s.incarnation > before and s.state == "alive"
+                    for s in made.read_journals()[0]
                 )
             )
             await wait_until_agreed(made, "l1", "l2", "l3")
@@ -271,15 +278,15 @@
             state_file = made.members["l2"].folder / "state" / "kept"
             state_file.parent.mkdir()
             state_file.write_text("older")
-            made.keep_copies()
+            made.save_copies()
             state_file.write_text("newer")
-            for kind, expected in ((Kind.PUTBACK, "older"), (Kind.WIPE, "")):
-                before = made.journal()[1]["l2"][-1][1]
-                fault = Fault(kind, 0, 1, on=("l2",))
-                await made.begin(fault)
-                await made.over(fault)
+            for kind, expected in ((FaultKind.PUTBACK, "older"), (FaultKind.WIPE, "")):
+                before = made.read_journals()[1]["l2"][-1][1]
+                fault = Fault(kind, 0, 1, members=("l2",))
+                await made.begin_fault(fault)
+                await made.end_fault(fault)
                 assert (state_file.read_text() if state_file.exists() else "") == expected
-                await until(lambda: made.journal()[1]["l2"][-1][1] > before)  # noqa: B023 - waited for here
+                await until(lambda: made.read_journals()[1]["l2"][-1][1] > before)  # noqa: B023 - waited for here
                 await wait_until_agreed(made, "l1", "l2", "l3")
             assert_no_resurrection(made)
 
@@ -291,12 +298,16 @@
         async with running_fleet(tmp_path, 3, start=False) as made:
             l2, l3 = made.members["l2"], made.members["l3"]
             # l1, a seed of both, is not started yet; l3 has l2's address under a wrong name.
-            l3.file.write_text(l3.file.read_text().replace(f"l2@{l2.advertise}", f"l9@{l2.advertise}"))
+            l3.config_file.write_text(
+                l3.config_file.read_text().replace(
+                    f"l2@{l2.advertised_address}", f"l9@{l2.advertised_address}"
+                )
+            )
             made.start("l2")
             await wait_until_agreed(made, "l2")
             made.start("l3")
             await wait_until_agreed(made, "l2", "l3")
-            await until(lambda: "l2 answers there" in made.log("l3"))
+            await until(lambda: "l2 answers there" in made.read_log("l3"))
             made.start("l1")
             await wait_until_agreed(made, "l1", "l2", "l3")
 
@@ -305,8 +316,8 @@
 
 def test_limiters_of_one_store_find_each_other_without_seeds(tmp_path: Path) -> None:
     async def test() -> None:
-        async with running_fleet(tmp_path, 3, replicas=["r1"], seeds=0) as made:
-            await made.end("l2")
+        async with running_fleet(tmp_path, 3, replicas=["r1"], seed_count=0) as made:
+            await made.terminate("l2")
             await wait_until_seen(made, "l1", "l2", "dead")
             made.start("l2")
             await wait_until_agreed(made, "l1", "l2", "l3")
@@ -322,14 +333,16 @@
             soft, hard = resource.prlimit(process.pid, resource.RLIMIT_NOFILE)
             used = len(os.listdir(f"/proc/{process.pid}/fd"))
             resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (used, hard))
-            before = made.links.passed.total()
+            before = made.proxies.forwarded_frames.total()
             # After its links are reset, it can neither open nor accept new ones.
             for other in ("l1", "l3"):
-                made.links.reset(("l2",), (other,))
-            await until(lambda: made.links.passed.total() >= before + 40)
+                made.proxies.reset_connections(("l2",), (other,))
+            await until(lambda: made.proxies.forwarded_frames.total() >= before + 40)
             resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (soft, hard))
             await wait_until_agreed(made, "l1", "l2", "l3")
-            assert not [saw for saw in made.journal()[0] if saw.by == "l2" and saw.state == "dead"]
+            assert not [
+                saw for saw in made.read_journals()[0] if saw.observer == "l2" and saw.state == "dead"
+            ]
             assert_no_resurrection(made)
 
     run(test())
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -9,7 +9,7 @@
 from fleetprocs import assert_no_resurrection, running_fleet, wait_until_agreed
 from waiting import run, until
 
-from basaltpoint.rehearsal.faults import Fault, Kind
+from basaltpoint.rehearsal.faults import Fault, FaultKind
 
 SHORT_TIMEOUTS = "silent_ms = 1000\nprobe_ms = 200"
 
@@ -31,10 +31,14 @@
                 running.append(name)
                 await wait_until_agreed(made, *running)
             for name in paused:
-                assert "was paused for" in made.log(name)
+                assert "was paused for" in made.read_log(name)
                 # It may declare dead only members that were still paused when it resumed.
                 paused_longer = set(paused[paused.index(name) + 1 :])
-                dead = {saw.name for saw in made.journal()[0] if saw.by == name and saw.state == "dead"}
+                dead = {
+                    saw.member
+                    for saw in made.read_journals()[0]
+                    if saw.observer == name and saw.state == "dead"
+                }
                 assert dead <= paused_longer
             assert_no_resurrection(made)
 
@@ -46,17 +50,17 @@
         async with running_fleet(tmp_path, 5, "silent_ms = 5000\nprobe_ms = 200") as made:
             names = made.names
             cuts = [
-                Fault(Kind.CUT, 0, math.inf, sources=(one,), targets=(other,))
+                Fault(FaultKind.CUT, 0, math.inf, sources=(one,), targets=(other,))
                 for one, other in zip(names, [*names[1:], names[0]], strict=True)
             ]
-            before = made.links.passed.total()
+            before = made.proxies.forwarded_frames.total()
             for cut in cuts:
-                await made.begin(cut)
+                await made.begin_fault(cut)
             # 300 frames per member take longer than any suspicion without refutation.
-            await until(lambda: made.links.passed.total() >= before + 300 * len(names))
+            await until(lambda: made.proxies.forwarded_frames.total() >= before + 300 * len(names))
             for cut in cuts:
-                await made.over(cut)
+                await made.end_fault(cut)
             await wait_until_agreed(made, *names)
-            assert not [saw for saw in made.journal()[0] if saw.state == "dead"]
+            assert not [saw for saw in made.read_journals()[0] if saw.state == "dead"]
 
     run(test())
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -35,8 +35,8 @@
 from basaltpoint.peers.suspicion import Suspicion
 from basaltpoint.peers.view import MembershipView, merge, precedence, validation_error
 from basaltpoint.rehearsal import checks
-from basaltpoint.rehearsal.faults import Fault, Kind, drawn, last_end
-from basaltpoint.rehearsal.model import Model
+from basaltpoint.rehearsal.faults import Fault, FaultKind, last_fault_end_s, random_faults
+from basaltpoint.rehearsal.model import FleetModel
 
 MEMBER_RECORDS = st.builds(
     MemberRecord,
@@ -51,20 +51,24 @@
 )
 
 
-def run_model(count: int, faults: list[Fault], seconds: float, seed: int = 1, **options: object) -> Model:
+def run_model(
+    count: int, faults: list[Fault], seconds: float, seed: int = 1, **options: object
+) -> FleetModel:
     names = [f"l{at + 1}" for at in range(count)]
-    model = Model(names, MembershipOptions(**options), faults, seed)  # type: ignore[arg-type]
-    model.run(seconds)
+    model = FleetModel(names, MembershipOptions(**options), faults, seed)  # type: ignore[arg-type]
+    model.run_until(seconds)
     return model
 
 
-def assert_converged(model: Model, seconds: float) -> float:
+def assert_converged(model: FleetModel, seconds: float) -> float:
     """Returns the seconds from the last fault until all views agreed; fails on any finding of the checks."""
-    lives, saws = model.all_lives, model.saws
-    from_s = last_end(model.faults, seconds)
-    took, findings = checks.agreed(lives, saws, from_s, seconds)
-    findings += checks.back_to_life(lives, saws) + checks.held_dead_by_all(lives, saws, model.faults, seconds)
-    assert not findings and not model.ended
+    lives, saws = model.lifetimes, model.observations
+    from_s = last_fault_end_s(model.faults, seconds)
+    took, findings = checks.time_to_agreement(lives, saws, from_s, seconds)
+    findings += checks.find_resurrections(lives, saws) + checks.find_reachable_dead_to_all(
+        lives, saws, model.faults, seconds
+    )
+    assert not findings and not model.terminations
     return took
 
 
@@ -147,63 +151,63 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_views_converge_after_random_faults_without_resurrection(count: int, seed: int) -> None:
     rng = random.Random(seed)
-    faults = drawn(rng, [f"l{at + 1}" for at in range(count)], 90.0, 4)
+    faults = random_faults(rng, [f"l{at + 1}" for at in range(count)], 90.0, 4)
     assert_converged(run_model(count, faults, 180.0, seed), 180.0)
 
 
 @pytest.mark.parametrize("count", [2, 3, 12, 40])
 def test_killed_member_is_detected_by_all_within_seconds(count: int) -> None:
-    model = run_model(count, [Fault(Kind.KILL, 10.0, math.inf, on=(f"l{count}",))], 30.0)
+    model = run_model(count, [Fault(FaultKind.KILL, 10.0, math.inf, members=(f"l{count}",))], 30.0)
     assert_converged(model, 30.0)
-    (kill,) = checks.kills(model.all_lives, model.saws, 30.0)
-    assert not kill.missing and max(kill.detected_s.values()) < 2.5
+    (kill,) = checks.find_crashes(model.lifetimes, model.observations, 30.0)
+    assert not kill.undetected_by and max(kill.detected_s.values()) < 2.5
 
 
 @pytest.mark.parametrize("paused", [("l2",), ("l2", "l3", "l5")])
 @pytest.mark.parametrize("pause_s", [3.0, 10.0, 60.0])
 def test_paused_members_declare_nobody_dead(paused: tuple[str, ...], pause_s: float) -> None:
-    model = run_model(5, [Fault(Kind.PAUSE, 10.0, 10.0 + pause_s, on=paused)], 120.0)
+    model = run_model(5, [Fault(FaultKind.PAUSE, 10.0, 10.0 + pause_s, members=paused)], 120.0)
     assert_converged(model, 120.0)
-    wrong_deaths = checks.wrong_deaths(model.all_lives, model.saws)
+    wrong_deaths = checks.find_wrong_deaths(model.lifetimes, model.observations)
     assert all(finding.members[1] in paused for finding in wrong_deaths)
     if pause_s <= 5.0:
         assert not wrong_deaths
 
 
 def test_one_way_cut_link_is_reported_and_kills_nobody() -> None:
-    model = run_model(5, [Fault(Kind.CUT, 10.0, 70.0, sources=("l2",), targets=("l1",))], 60.0)
-    assert not checks.wrong_deaths(model.all_lives, model.saws)
-    reported = {cut[:2] for cut in model.nodes["l4"].peers.view.broken_links()}
+    model = run_model(5, [Fault(FaultKind.CUT, 10.0, 70.0, sources=("l2",), targets=("l1",))], 60.0)
+    assert not checks.find_wrong_deaths(model.lifetimes, model.observations)
+    reported = {cut[:2] for cut in model.nodes["l4"].membership.view.broken_links()}
     assert ("l1", "l2") in reported or ("l2", "l1") in reported
-    model.run(120.0)
-    assert not list(model.nodes["l4"].peers.view.broken_links())
+    model.run_until(120.0)
+    assert not list(model.nodes["l4"].membership.view.broken_links())
 
 
 def test_ring_of_one_way_cuts_kills_nobody() -> None:
     names = [f"l{at + 1}" for at in range(5)]
     ring = [
-        Fault(Kind.CUT, 10.0, 70.0, sources=(name,), targets=(names[(at + 1) % 5],))
+        Fault(FaultKind.CUT, 10.0, 70.0, sources=(name,), targets=(names[(at + 1) % 5],))
         for at, name in enumerate(names)
     ]
     model = run_model(5, ring, 120.0)
     assert_converged(model, 120.0)
-    assert not checks.wrong_deaths(model.all_lives, model.saws)
+    assert not checks.find_wrong_deaths(model.lifetimes, model.observations)
 
 
 def test_views_converge_after_a_partition_with_changes_on_both_sides() -> None:
     sides = (("l1", "l2"), ("l3", "l4", "l5"))
     faults = [
-        Fault(Kind.SPLIT, 10.0, 60.0, sides=sides),
-        Fault(Kind.KILL, 20.0, math.inf, on=("l2",)),
-        Fault(Kind.STOP, 25.0, 45.0, on=("l3",)),
-        Fault(Kind.KILL, 30.0, 50.0, on=("l4",)),
+        Fault(FaultKind.SPLIT, 10.0, 60.0, sides=sides),
+        Fault(FaultKind.KILL, 20.0, math.inf, members=("l2",)),
+        Fault(FaultKind.STOP, 25.0, 45.0, members=("l3",)),
+        Fault(FaultKind.KILL, 30.0, 50.0, members=("l4",)),
     ]
     assert assert_converged(run_model(5, faults, 120.0), 120.0) < 15.0
 
 
 def test_later_process_with_a_conflicting_name_terminates() -> None:
     model = run_model(3, [], 10.0)
-    later_process = model._make(
+    later_process = model._make_state_machine(
         "l2", "other:1", 7, 9999, [("l1", "l1")], MembershipOptions(), random.Random(1), 10_000.0
     )
     later_process.tick(10_000.0)
@@ -211,10 +215,10 @@
         10_001.0,
         "l1",
         "l1",
-        PushPull(model.nodes["l1"].peers.view.records, 0, 1),
+        PushPull(model.nodes["l1"].membership.view.records, 0, 1),
     )
     later_process.take_actions()
-    later_process.name_conflict_found(10_002.0, model.nodes["l2"].peers.instance_id, 10_000.0)
+    later_process.name_conflict_found(10_002.0, model.nodes["l2"].membership.instance_id, 10_000.0)
     (end,) = [action for action in later_process.take_actions() if type(action).__name__ == "Terminate"]
     assert "the name l2 is in use at l2" in end.reason and later_process.has_ended
 
@@ -224,37 +228,39 @@
     node = model.nodes["l1"]
     false_records = tuple(MemberRecord(f"x{at}", f"x:{at}", 5, MemberState.ALIVE, 1) for at in range(2000))
     for at in range(0, 2000, 100):
-        node.peers.message_received(10_000.0, "l5", "l5", Gossip(false_records[at : at + 100]))
-    assert len(node.peers.view.members) <= 4 * MembershipOptions().max_members
-    victim = model.nodes["l2"].peers.view.get("l2")
+        node.membership.message_received(10_000.0, "l5", "l5", Gossip(false_records[at : at + 100]))
+    assert len(node.membership.view.members) <= 4 * MembershipOptions().max_members
+    victim = model.nodes["l2"].membership.view.get("l2")
     assert victim
     dead = MemberRecord("l2", "l2", victim.incarnation, MemberState.DEAD, victim.instance_id, "l5")
-    node.peers.message_received(10_000.0, "l5", "l5", Gossip((dead,)))
-    model._after(node)
-    model.run(15.0)
-    record = node.peers.view.get("l2")
+    node.membership.message_received(10_000.0, "l5", "l5", Gossip((dead,)))
+    model._carry_out_actions(node)
+    model.run_until(15.0)
+    record = node.membership.view.get("l2")
     assert record and record.state is MemberState.ALIVE and record.incarnation > victim.incarnation
 
 
 def test_removing_a_live_member_requires_force() -> None:
     model = run_model(3, [], 10.0)
     node = model.nodes["l1"]
-    assert "--force" in node.peers.remove_member(10_000.0, "l2", False)
-    assert "known are" in node.peers.remove_member(10_000.0, "l9", False)
-    assert node.peers.remove_member(10_000.0, "l2", True) == ""
-    model._after(node)
-    model.run(12.0)
-    assert [(name, why) for _, name, why in model.ended] == [("l2", "l1 declared this member gone")]
+    assert "--force" in node.membership.remove_member(10_000.0, "l2", False)
+    assert "known are" in node.membership.remove_member(10_000.0, "l9", False)
+    assert node.membership.remove_member(10_000.0, "l2", True) == ""
+    model._carry_out_actions(node)
+    model.run_until(12.0)
+    assert [(name, why) for _, name, why in model.terminations] == [("l2", "l1 declared this member gone")]
 
 
 def test_relayed_probes_of_a_flooding_member_are_bounded() -> None:
     model = run_model(40, [], 10.0)
     node = model.nodes["l1"]
     for seq in range(2 * MAX_RELAYED_PROBES):
-        node.peers.message_received(10_000.0, "l5", "l5", PingRequest((), seq, "l7", "l7"))
-    assert len(node.peers.prober.relayed_probes) == MAX_RELAYED_PROBES
+        node.membership.message_received(10_000.0, "l5", "l5", PingRequest((), seq, "l7", "l7"))
+    assert len(node.membership.prober.relayed_probes) == MAX_RELAYED_PROBES
     assert (
-        sum(type(a).__name__ == "Send" and isinstance(a.message, Ping) for a in node.peers.take_actions())
+        sum(
+            type(a).__name__ == "Send" and isinstance(a.message, Ping) for a in node.membership.take_actions()
+        )
         <= MAX_RELAYED_PROBES + 1
     )  # type: ignore[union-attr]
 
@@ -262,10 +268,10 @@
 # --- Successors and pauses -----------------------------------------------------------------------------
 def test_successor_inherits_the_age_that_decides_a_name_conflict() -> None:
     model = run_model(3, [], 10.0)
-    predecessor = model.nodes["l2"].peers
+    predecessor = model.nodes["l2"].membership
     records = predecessor.hand_over()
     for age_ms, ends in ((10_000.0, False), (0.0, True)):
-        successor = model._member("l2", 1)
+        successor = model._make_member("l2", 1)
         successor.take_over(10_000.0, records, age_ms)
         successor.name_conflict_found(10_001.0, predecessor.instance_id + 1, 5_000.0)
         assert (successor.has_ended, successor.instance_id, successor.view.ring) == (
@@ -279,11 +285,13 @@
 @pytest.mark.parametrize("count", [3, 12, 40, 200])
 def test_upgrade_changes_no_view(count: int) -> None:
     on = tuple(f"l{at + 1}" for at in range(0, count, 3))
-    model = run_model(count, [Fault(Kind.UPGRADE, 15.0, math.inf, on=on)], 45.0)
+    model = run_model(count, [Fault(FaultKind.UPGRADE, 15.0, math.inf, members=on)], 45.0)
     assert_converged(model, 45.0)
     # Later views hold only what a successor took over: members alive, in their first incarnations.
-    first = {(saw.name, saw.incarnation, "alive") for saw in model.saws if saw.at_s < 15.0}
-    assert {(saw.name, saw.incarnation, saw.state) for saw in model.saws if saw.at_s >= 15.0} <= first
+    first = {(saw.member, saw.incarnation, "alive") for saw in model.observations if saw.at_s < 15.0}
+    assert {
+        (saw.member, saw.incarnation, saw.state) for saw in model.observations if saw.at_s >= 15.0
+    } <= first
 
 
 class SingleMember:
@@ -394,24 +402,28 @@
 
 
 def test_shortened_suspicion_is_not_taken_for_a_pause() -> None:
-    split = Fault(Kind.SPLIT, 10.0, 40.0, sides=(("l1", "l2"), ("l3", "l4", "l5")))
+    split = Fault(FaultKind.SPLIT, 10.0, 40.0, sides=(("l1", "l2"), ("l3", "l4", "l5")))
     for seed in range(4):
-        model = Model(
+        model = FleetModel(
             [f"l{at + 1}" for at in range(5)],
             MembershipOptions(silent_ms=1500.0),
             [split],
             seed,
-            make=NeverPaused,
+            make_state_machine=NeverPaused,
         )
-        model.run(60.0)
+        model.run_until(60.0)
         assert_converged(model, 60.0)
 
 
 def test_occasional_message_loss_is_not_reported_as_a_broken_link() -> None:
     names = tuple(f"l{at + 1}" for at in range(12))
-    model = run_model(12, [Fault(Kind.DROP, 10.0, 70.0, sources=names, targets=names, part=0.05)], 70.0)
-    assert sum(node.peers.view.members[name].record.self_report for name, node in model.nodes.items()) < 12
-    assert not checks.wrong_deaths(model.all_lives, model.saws)
+    model = run_model(
+        12, [Fault(FaultKind.DROP, 10.0, 70.0, sources=names, targets=names, fraction=0.05)], 70.0
+    )
+    assert (
+        sum(node.membership.view.members[name].record.self_report for name, node in model.nodes.items()) < 12
+    )
+    assert not checks.find_wrong_deaths(model.lifetimes, model.observations)
 
 
 def test_unconfirmed_connection_refusal_counts_as_silence() -> None:
@@ -454,11 +466,11 @@
 
 
 def test_partition_heals_without_seeds() -> None:
-    split = Fault(Kind.SPLIT, 10.0, 60.0, sides=(("l1", "l2", "l3"), ("l4", "l5")))
+    split = Fault(FaultKind.SPLIT, 10.0, 60.0, sides=(("l1", "l2", "l3"), ("l4", "l5")))
     model = run_model(5, [split], 5.0)
     for node in model.nodes.values():
-        node.peers.set_seeds(())
-    model.run(120.0)
+        node.membership.set_seeds(())
+    model.run_until(120.0)
     assert_converged(model, 120.0)
 
 
@@ -475,9 +487,9 @@
 
 
 def test_local_health_degrades_at_the_isolated_member_only() -> None:
-    cut = Fault(Kind.SPLIT, 10.0, 60.0, sides=(("l1",), ("l2", "l3", "l4", "l5")))
+    cut = Fault(FaultKind.SPLIT, 10.0, 60.0, sides=(("l1",), ("l2", "l3", "l4", "l5")))
     model = run_model(5, [cut], 14.0)
-    scores = {name: node.peers.prober.health_score for name, node in model.nodes.items()}
+    scores = {name: node.membership.prober.health_score for name, node in model.nodes.items()}
     assert scores["l1"] >= 3 and max(scores[name] for name in ("l2", "l3", "l4", "l5")) <= 2
 
 
@@ -495,7 +507,7 @@
 
 def test_refuting_a_suspicion_degrades_local_health() -> None:
     model = run_model(3, [], 10.0)
-    peers = model.nodes["l1"].peers
+    peers = model.nodes["l1"].membership
     own = peers.view.get("l1")
     assert own and peers.prober.health_score == 0
     peers.message_received(
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -15,11 +15,11 @@
 from basaltpoint.peers.messages import MemberRecord
 from basaltpoint.peers.state_machine import MembershipStateMachine
 from basaltpoint.rehearsal import checks, probe, scenario
-from basaltpoint.rehearsal.events import Life, Saw, Told
-from basaltpoint.rehearsal.faults import Fault, Kind
-from basaltpoint.rehearsal.model import Model
-from basaltpoint.rehearsal.page import page
-from basaltpoint.rehearsal.probe import Asked, Record
+from basaltpoint.rehearsal.events import Observation, OperatorCommand, ProcessLifetime
+from basaltpoint.rehearsal.faults import Fault, FaultKind
+from basaltpoint.rehearsal.model import FleetModel
+from basaltpoint.rehearsal.page import render_page
+from basaltpoint.rehearsal.probe import ProbeOperation, ProbeRecord
 from basaltpoint.rehearsal.system_faults.library import find_compiler
 
 EXAMPLES = sorted((Path(__file__).parent.parent / "examples/rehearsals").glob("*.toml"))
@@ -103,76 +103,87 @@
         "members": {"detected_s": [], "agreed_s": None, "wrong_deaths": 1},
         "findings": [{"at_s": 1, "kind": "<b>", "members": ["l1"], "expected": "a < b"}],
     }  # fmt: skip
-    shown = page("<x>", made, result)
+    shown = render_page("<x>", made, result)
     assert "<b>" not in shown and "&lt;b&gt;" in shown and "&lt;l1&gt;" in shown and "&lt;x&gt;" in shown
 
 
 # --- Checks can fail -----------------------------------------------------------------------------------
-LIVES = [Life("l1", 0, math.inf), Life("l2", 0, math.inf), Life("l3", 0, 50, incarnation=1)]
+LIVES = [
+    ProcessLifetime("l1", 0, math.inf),
+    ProcessLifetime("l2", 0, math.inf),
+    ProcessLifetime("l3", 0, 50, first_incarnation=1),
+]
 
 
-def saws(*rows: tuple[float, str, str, int, str]) -> list[Saw]:
-    return [Saw(*row) for row in rows]
+def saws(*rows: tuple[float, str, str, int, str]) -> list[Observation]:
+    return [Observation(*row) for row in rows]
 
 
 def test_each_check_finds_what_it_is_for() -> None:
     wrong = saws((10, "l1", "l3", 1, "dead"))
-    assert [finding.members for finding in checks.wrong_deaths(LIVES, wrong)] == [("l1", "l3")]
-    assert not checks.wrong_deaths(LIVES, saws((60, "l1", "l3", 1, "dead")))
-    assert not checks.wrong_deaths(LIVES, saws((10, "l1", "l3", 0, "dead")))  # of an earlier life
+    assert [finding.members for finding in checks.find_wrong_deaths(LIVES, wrong)] == [("l1", "l3")]
+    assert not checks.find_wrong_deaths(LIVES, saws((60, "l1", "l3", 1, "dead")))
+    assert not checks.find_wrong_deaths(LIVES, saws((10, "l1", "l3", 0, "dead")))  # of an earlier life
     again = saws((10, "l1", "l3", 4, "dead"), (11, "l1", "l3", 4, "alive"))
-    assert [finding.kind for finding in checks.back_to_life(LIVES, again)] == ["back to life"]
-    assert not checks.back_to_life(LIVES, saws((10, "l1", "l3", 4, "dead"), (11, "l1", "l3", 5, "alive")))
+    assert [finding.kind for finding in checks.find_resurrections(LIVES, again)] == ["back to life"]
+    assert not checks.find_resurrections(
+        LIVES, saws((10, "l1", "l3", 4, "dead"), (11, "l1", "l3", 5, "alive"))
+    )
     all_dead = saws((10, "l1", "l3", 1, "dead"), (10, "l2", "l3", 1, "dead"))
-    assert checks.held_dead_by_all(LIVES, all_dead, [], 50)
-    cut = [Fault(Kind.CUT, 0, 20, sources=("l1", "l2"), targets=("l3",))]
-    assert not checks.held_dead_by_all(LIVES, all_dead, cut, 50)
+    assert checks.find_reachable_dead_to_all(LIVES, all_dead, [], 50)
+    cut = [Fault(FaultKind.CUT, 0, 20, sources=("l1", "l2"), targets=("l3",))]
+    assert not checks.find_reachable_dead_to_all(LIVES, all_dead, cut, 50)
     seen = saws(
         *((1.0, by, name, 1, "alive") for by in ("l1", "l2") for name in ("l1", "l2", "l3")),
         (52.0, "l1", "l3", 1, "dead"),
     )
-    took, apart = checks.agreed(LIVES, seen, 50, 60)
+    took, apart = checks.time_to_agreement(LIVES, seen, 50, 60)
     assert math.isinf(took) and [finding.members for finding in apart] == [("l2", "l3")]
-    took, apart = checks.agreed(LIVES, [*seen, *saws((55.0, "l2", "l3", 1, "left"))], 50, 60)
+    took, apart = checks.time_to_agreement(LIVES, [*seen, *saws((55.0, "l2", "l3", 1, "left"))], 50, 60)
     assert took == 5.0 and not apart
-    (kill,) = checks.kills(LIVES, seen, 60)
-    assert kill.detected_s == {"l1": 2.0} and kill.missing == ("l2",)
+    (kill,) = checks.find_crashes(LIVES, seen, 60)
+    assert kill.detected_s == {"l1": 2.0} and kill.undetected_by == ("l2",)
 
 
 def test_each_check_of_the_store_finds_what_it_is_for() -> None:
-    def found(reads: list[Asked], heard: list[tuple[int, float]]) -> list[tuple[str, str]]:
-        record = Record([Asked(1, 0.0, 1.0), Asked(2, 2.0, 3.0)], reads, heard)
-        return [(one.kind, one.expected) for one in probe.findings(record)]
+    def found(reads: list[ProbeOperation], heard: list[tuple[int, float]]) -> list[tuple[str, str]]:
+        record = ProbeRecord([ProbeOperation(1, 0.0, 1.0), ProbeOperation(2, 2.0, 3.0)], reads, heard)
+        return [(one.kind, one.expected) for one in probe.find_violations(record)]
 
     good = [(1, 1.5), (2, 3.5)]
     # A read that began before the second write was acknowledged may find either.
-    assert not found([Asked(1, 2.5, 4.0), Asked(2, 2.5, 4.0), Asked(2, 5.0, 6.0)], good)
-    assert found([Asked(1, 3.5, 4.0)], good) == [
+    assert not found(
+        [ProbeOperation(1, 2.5, 4.0), ProbeOperation(2, 2.5, 4.0), ProbeOperation(2, 5.0, 6.0)], good
+    )
+    assert found([ProbeOperation(1, 3.5, 4.0)], good) == [
         ("stale read", "a read to find 2, acknowledged before it, not 1")
     ]
     assert found([], [(1, 1.5), (1, 1.6), (2, 3.5)])[0] == ("watch", "the watch to tell of 2, not 1")
     assert found([], [(2, 3.5)]) == [("watch", "the watch to tell of 1, not 2")]
     assert found([], good[:1]) == [("watch", "the watch to tell of 2, not of 1 alone")]
-    record = Record([Asked(1, 0.0, 1.0), Asked(2, 2.0, math.inf)], [], [(1, 1.75)])
-    assert probe.longest(record, 9.0) == {"write_s": 7.0, "read_s": 0.0, "watch_s": 0.75}
+    record = ProbeRecord([ProbeOperation(1, 0.0, 1.0), ProbeOperation(2, 2.0, math.inf)], [], [(1, 1.75)])
+    assert probe.longest_delays(record, 9.0) == {"write_s": 7.0, "read_s": 0.0, "watch_s": 0.75}
 
 
 def test_a_send_after_a_drain_is_found_but_for_a_limiter_that_no_replica_reached() -> None:
-    told = [Told("drain", "s1", "l1", 9.5, 10.0), Told("undrain", "s1", "l1", 30.0, 30.5)]
+    told = [
+        OperatorCommand("drain", "s1", "l1", 9.5, 10.0),
+        OperatorCommand("undrain", "s1", "l1", 30.0, 30.5),
+    ]
 
     def late(came_s: float, *faults: Fault, server: str = "s1") -> tuple[int, int]:
-        count, found = checks.late_sends(
+        count, found = checks.find_late_sends(
             told, [ServerAttempt("c-1-1", server, came_s, None, True, via="l2")], faults, ["r1", "r2"]
         )
         return count, len(found)
 
     assert late(12.0) == (1, 1)
     assert late(10.5) == late(31.0) == late(12.0, server="s2") == (0, 0)
-    one = Fault(Kind.CUT, 5, 20, sources=("r1",), targets=("l2",))
-    both = Fault(Kind.CUT, 5, 20, sources=("r1", "r2"), targets=("l2",))
+    one = Fault(FaultKind.CUT, 5, 20, sources=("r1",), targets=("l2",))
+    both = Fault(FaultKind.CUT, 5, 20, sources=("r1", "r2"), targets=("l2",))
     assert late(11.5, one) == (1, 0) and late(12.5, one) == (1, 1)  # it has to turn to the other replica
-    assert late(12.5, both) == (1, 0) and late(12.5, Fault(Kind.PAUSE, 5, 9, on=("l2",))) == (1, 1)
-    assert late(12.5, Fault(Kind.PAUSE, 5, 13, on=("l2",))) == (1, 0)
+    assert late(12.5, both) == (1, 0) and late(12.5, Fault(FaultKind.PAUSE, 5, 9, members=("l2",))) == (1, 1)
+    assert late(12.5, Fault(FaultKind.PAUSE, 5, 13, members=("l2",))) == (1, 0)
 
 
 class Silent(MembershipStateMachine):
@@ -192,17 +203,17 @@
 @pytest.mark.parametrize(
     ("make", "fault"),
     [
-        (Silent, Fault(Kind.PAUSE, 10, 40, on=("l2",))),
-        (Deaf, Fault(Kind.SPLIT, 10, 60, sides=(("l1", "l2"), ("l3", "l4", "l5")))),
+        (Silent, Fault(FaultKind.PAUSE, 10, 40, members=("l2",))),
+        (Deaf, Fault(FaultKind.SPLIT, 10, 60, sides=(("l1", "l2"), ("l3", "l4", "l5")))),
     ],
 )
 def test_a_defect_planted_in_the_machine_is_found(make: type[MembershipStateMachine], fault: Fault) -> None:
     names = [f"l{at + 1}" for at in range(5)]
 
     def held(kind: type[MembershipStateMachine]) -> bool:
-        model = Model(names, faults=[fault], seed=3, make=kind)
-        model.run(120)
-        _, apart = checks.agreed(model.all_lives, model.saws, fault.end_s, 120)
+        model = FleetModel(names, faults=[fault], seed=3, make_state_machine=kind)
+        model.run_until(120)
+        _, apart = checks.time_to_agreement(model.lifetimes, model.observations, fault.end_s, 120)
         return not apart
 
     assert held(MembershipStateMachine) and not held(make)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,13 +19,13 @@
 from basaltpoint.handover.link import socket_path
 from basaltpoint.handover.upgrade_state import VERSION, HandoverError, Hello, UpgradeState
 from basaltpoint.rehearsal import processes
-from basaltpoint.rehearsal.processes import READY, Processes
+from basaltpoint.rehearsal.processes import SUCCESSOR_READY_TEXT, FleetProcesses
 
 STEADY = "silent_ms = 20000\nprobe_ms = 200"
 
 
-def log_count(made: Processes, name: str, text: str) -> int:
-    return made.log(name).count(text)
+def log_count(made: FleetProcesses, name: str, text: str) -> int:
+    return made.read_log(name).count(text)
 
 
 async def ask(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, path: bytes = b"/") -> int:
@@ -40,9 +40,9 @@
 def test_an_upgraded_member_keeps_its_place_and_its_clients_connections(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 3, STEADY) as made:
-            reader, writer = await asyncio.open_connection(*parse_address(made.members["l2"].listen))
+            reader, writer = await asyncio.open_connection(*parse_address(made.members["l2"].client_address))
             assert await ask(reader, writer) == 401  # the key is unknown; any response shows that it serves
-            before = {by: [s for s in made.journal()[0] if s.by == by] for by in ("l1", "l3")}
+            before = {by: [s for s in made.read_journals()[0] if s.observer == by] for by in ("l1", "l3")}
             for times in range(1, 4):
                 older = made.members["l2"].process
                 await made.upgrade("l2")
@@ -54,7 +54,7 @@
             await wait_until_agreed(made, "l1", "l2", "l3")
             # The other members saw no change: no suspicion, no death, no new incarnation.
             for by, rows in before.items():
-                assert [s for s in made.journal()[0] if s.by == by] == rows
+                assert [s for s in made.read_journals()[0] if s.observer == by] == rows
             assert_no_resurrection(made)
             writer.close()
 
@@ -64,35 +64,35 @@
 def test_a_place_handed_over_during_a_one_way_partition_is_accepted_by_all_members(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 4, STEADY) as made:
-            fault = processes.Fault(processes.Kind.CUT, 0, 1, sources=("l2",), targets=("l1",))
-            await made.begin(fault)
+            fault = processes.Fault(processes.FaultKind.CUT, 0, 1, sources=("l2",), targets=("l1",))
+            await made.begin_fault(fault)
             await made.upgrade("l2")
-            passed = made.links.passed.total()
-            await until(lambda: made.links.passed.total() > passed + 200)
-            await made.over(fault)
+            passed = made.proxies.forwarded_frames.total()
+            await until(lambda: made.proxies.forwarded_frames.total() > passed + 200)
+            await made.end_fault(fault)
             await wait_until_agreed(made, "l1", "l2", "l3", "l4")
-            assert not [saw for saw in made.journal()[0] if saw.state == "dead"]
+            assert not [saw for saw in made.read_journals()[0] if saw.state == "dead"]
 
     run(test())
 
 
-async def start_waiting_successor(made: Processes, name: str) -> Any:
+async def start_waiting_successor(made: FleetProcesses, name: str) -> Any:
     """Starts a successor and returns it when it waits for the handover."""
-    before = log_count(made, name, READY)
-    successor = made._process(made.members[name])
-    await until(lambda: log_count(made, name, READY) > before)
+    before = log_count(made, name, SUCCESSOR_READY_TEXT)
+    successor = made._start_process(made.members[name])
+    await until(lambda: log_count(made, name, SUCCESSOR_READY_TEXT) > before)
     return successor
 
 
 def test_the_successor_starts_a_new_incarnation_if_the_predecessor_is_killed(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_fleet(tmp_path, 3) as made:
-            first = made.journal()[1]["l2"][-1][1]
+            first = made.read_journals()[1]["l2"][-1][1]
             successor = await start_waiting_successor(made, "l2")
-            await made.end("l2")
-            made.members["l2"].process, made.members["l2"].began_s = successor, 0.0
-            await until(lambda: made.journal()[1]["l2"][-1][1] > first)
-            assert "the predecessor ended without sending its state" in made.log("l2")
+            await made.terminate("l2")
+            made.members["l2"].process, made.members["l2"].started_s = successor, 0.0
+            await until(lambda: made.read_journals()[1]["l2"][-1][1] > first)
+            assert "the predecessor ended without sending its state" in made.read_log("l2")
             await wait_until_agreed(made, "l1", "l2", "l3")
 
     run(test())
@@ -106,16 +106,18 @@
                 successor.send_signal(number)
                 await asyncio.to_thread(successor.wait, TEST_TIMEOUT_S)
                 await until(lambda times=times: log_count(made, "l2", "the successor ended") == times)  # type: ignore[misc]
-                reader, writer = await asyncio.open_connection(*parse_address(made.members["l2"].listen))
+                reader, writer = await asyncio.open_connection(
+                    *parse_address(made.members["l2"].client_address)
+                )
                 assert await ask(reader, writer) == 401
                 writer.close()
-            assert await made.end("l2", signal.SIGTERM) == 0
+            assert await made.terminate("l2", signal.SIGTERM) == 0
             await wait_until_seen(made, "l1", "l2", "left")
 
     run(test())
 
 
-def predecessor_listener_of_l1(made: Processes) -> socket.socket:
+def predecessor_listener_of_l1(made: FleetProcesses) -> socket.socket:
     """Listens, in place of a predecessor, at the path to which a starting process of l1 connects."""
     path = socket_path(made._sockets, "l1")
     assert path
@@ -142,12 +144,12 @@
                 process = made.members["l1"].process
                 assert process and await asyncio.to_thread(process.wait, TEST_TIMEOUT_S) == 1
                 other.close()
-            assert why in made.log("l1") and "end it first" in made.log("l1")
+            assert why in made.read_log("l1") and "end it first" in made.read_log("l1")
 
     run(test())
 
 
-@pytest.mark.parametrize("held", ["listen", "own"], ids=["clients", "fleet"])
+@pytest.mark.parametrize("held", ["client_address", "own_address"], ids=["clients", "fleet"])
 def test_the_successor_waits_until_a_killed_predecessors_address_is_free(tmp_path: Path, held: str) -> None:
     """A killed process's descriptors close one by one, often the handover link before its listeners."""
 
@@ -161,12 +163,12 @@
                     assert process
                     older, _ = await asyncio.to_thread(listener.accept)
                     older.send(b"d" + upgrade_state.encode(Hello(VERSION, "l1")))
-                    await until(lambda: log_count(made, "l1", READY) == 1)
+                    await until(lambda: log_count(made, "l1", SUCCESSOR_READY_TEXT) == 1)
                     older.close()
-                    await until(lambda: "in use" in made.log("l1"))
-                await until(lambda: "listens at" in made.log("l1") or process.poll() is not None)
-                assert process.poll() is None, made.log("l1")
-            reader, writer = await asyncio.open_connection(*parse_address(made.members["l1"].listen))
+                    await until(lambda: "in use" in made.read_log("l1"))
+                await until(lambda: "listens at" in made.read_log("l1") or process.poll() is not None)
+                assert process.poll() is None, made.read_log("l1")
+            reader, writer = await asyncio.open_connection(*parse_address(made.members["l1"].client_address))
             assert await ask(reader, writer) == 401
             writer.close()
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -26,7 +26,7 @@
 
     async def test() -> None:
         async with running_fleet(tmp_path / "fleet", 3) as made:
-            await made.end("l2")
+            await made.terminate("l2")
             await wait_until_seen(made, "l1", "l2", "dead")
             table.step_wall_clock(step_s)  # also for the running processes
             made.start("l2")
