--- a/basaltpoint/rehearsal/soak/__init__.py
+++ b/basaltpoint/rehearsal/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's limiter as many processes under random, overlapping faults, judged by its rules."""
+"""Soak test: many limiter processes under random, overlapping faults, checked against invariants."""
--- a/basaltpoint/rehearsal/soak/clients.py
+++ b/basaltpoint/rehearsal/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the platform's protocol: open-loop requests to many limiters, each answer written down."""
+"""Stand-in clients of the platform's protocol: send requests open-loop and record the responses."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 from basaltpoint.rehearsal.soak.records import RequestRecord
 
-CLASSES = {"read": "safe", "upload": "keyed", "fix": "unsafe"}
-MIX = (0.6, 0.2, 0.2)
-WAITS_S = (0.15, 1.8)  # that clients wait for their answers
-HASTY_S = (0.005, 0.05)  # and those with very little time left
-HASTY = 0.03  # part of the requests
-BODIES = (0, 0, 1_000, 30_000, 100_000, 300_000)  # bytes of a POST's body, drawn; the long ones are streamed
-CHUNKED = 0.3  # part of the bodies that tell no length
-CHUNK = 20_000  # bytes
-SLOW_PIECES = 12  # in which a client writes slowly, at most
-STAY_S = 6.0  # how long a client that stopped in the middle stays
-PATIENCE_S = 4.0  # beyond its wait a client stays connected for so long, to see what comes
+EFFECTS_BY_CLASS = {"read": "safe", "upload": "keyed", "fix": "unsafe"}
+CLASS_WEIGHTS = (0.6, 0.2, 0.2)
+TIMEOUT_RANGE_S = (0.15, 1.8)  # that clients wait for a response
+SHORT_TIMEOUT_RANGE_S = (0.005, 0.05)  # the same for requests with very little time
+SHORT_TIMEOUT_FRACTION = 0.03  # of the requests
+BODY_SIZES_BYTES = (0, 0, 1_000, 30_000, 100_000, 300_000)  # of a POST; limiters stream the large ones
+CHUNKED_FRACTION = 0.3  # of the bodies
+CHUNK_BYTES = 20_000
+MAX_SLOW_PIECES = 12  # of a request that a client writes slowly
+INCOMPLETE_TIMEOUT_S = 6.0  # that a client stays connected after a partial request
+LATE_RESPONSE_WAIT_S = 4.0  # after its time-out, in which a client still records a late response
 
 
 @dataclass(slots=True)
 class ClientBehavior:
-    """How clients behave now."""
+    """How clients currently behave; fractions of their requests."""
 
-    disconnect_fraction: float = 0.02  # part that closes its connection early
-    incomplete_fraction: float = 0.005  # part that stops in the middle of its request
-    slow_fraction: float = 0.02  # part that writes in pieces
+    disconnect_fraction: float = 0.02  # they close the connection early
+    incomplete_fraction: float = 0.005  # they stop in the middle of the request
+    slow_fraction: float = 0.02  # they write in small pieces
 
 
 @dataclass(slots=True, eq=False)
@@ -42,7 +42,7 @@
 
 @dataclass(eq=False)
 class Clients:
-    """All clients; `asked` takes each request down."""
+    """All stand-in clients; `requests` collects the record of each request."""
 
     addresses: Sequence[tuple[str, str, int]]  # a limiter's name, host and port
     rng: random.Random
@@ -51,53 +51,53 @@
     customer_count: int = 40
 
     def __post_init__(self) -> None:
-        self._idle: dict[str, list[_Connection]] = defaultdict(list)
+        self._idle_connections: dict[str, list[_Connection]] = defaultdict(list)
         self._tasks: set[asyncio.Task[None]] = set()
-        self._count = 0
+        self._request_count = 0
 
-    async def generate_load(self, per_second: float, seconds: float) -> None:
-        """Ask at random times, whatever is still out; returns when all is over."""
-        end = monotonic() + seconds
+    async def generate_load(self, requests_per_s: float, duration_s: float) -> None:
+        """Sends requests at random times without waiting for responses; returns when all have ended."""
+        end = monotonic() + duration_s
         while monotonic() < end:
-            task = asyncio.create_task(self._one())
+            task = asyncio.create_task(self._send_request())
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
-            await asyncio.sleep(self.rng.expovariate(per_second))
+            await asyncio.sleep(self.rng.expovariate(requests_per_s))
         if self._tasks:
-            await asyncio.wait(list(self._tasks), timeout=STAY_S + PATIENCE_S)
+            await asyncio.wait(list(self._tasks), timeout=INCOMPLETE_TIMEOUT_S + LATE_RESPONSE_WAIT_S)
 
     def close(self) -> None:
         for task in list(self._tasks):
             task.cancel()
-        for connections in self._idle.values():
+        for connections in self._idle_connections.values():
             for connection in connections:
                 connection.writer.transport.abort()
 
     # --- One request -----------------------------------------------------------------------------------
-    def _message(self, cls: str, ident: str, wait_s: float) -> bytes:
+    def _encode_request(self, class_name: str, request_id: str, timeout_s: float) -> bytes:
         customer = self.rng.randrange(self.customer_count)
-        rows = [
-            f"{'GET' if cls == 'read' else 'POST'} /{cls}/{customer} HTTP/1.1",
+        header_lines = [
+            f"{'GET' if class_name == 'read' else 'POST'} /{class_name}/{customer} HTTP/1.1",
             "Host: backend.local",
-            f"Req-Id: {ident}",
-            f"Req-Kind: {cls}",
+            f"Req-Id: {request_id}",
+            f"Req-Kind: {class_name}",
             "X-Tier: basic",
             f"X-Api-Key: {customer:016x}",
-            f"Req-Deadline: {wait_s:.3f}",
+            f"Req-Deadline: {timeout_s:.3f}",
             "X-Call-Terms: units=1,spread=1,first=0",
         ]
-        if cls == "upload":
-            rows.append(f"Idempotency-Key: {ident}")
-        if cls == "read":
-            return "\r\n".join([*rows, "", ""]).encode()
-        body = b"x" * self.rng.choice(BODIES)
-        if body and self.rng.random() < CHUNKED:
-            rows.append("Transfer-Encoding: chunked")
-            pieces = [body[at : at + CHUNK] for at in range(0, len(body), CHUNK)]
+        if class_name == "upload":
+            header_lines.append(f"Idempotency-Key: {request_id}")
+        if class_name == "read":
+            return "\r\n".join([*header_lines, "", ""]).encode()
+        body = b"x" * self.rng.choice(BODY_SIZES_BYTES)
+        if body and self.rng.random() < CHUNKED_FRACTION:
+            header_lines.append("Transfer-Encoding: chunked")
+            pieces = [body[at : at + CHUNK_BYTES] for at in range(0, len(body), CHUNK_BYTES)]
             body = b"".join(b"%x\r\n%s\r\n" % (len(piece), piece) for piece in (*pieces, b""))
         else:
-            rows.append(f"Content-Length: {len(body)}")
-        return "\r\n".join([*rows, "", ""]).encode() + body
+            header_lines.append(f"Content-Length: {len(body)}")
+        return "\r\n".join([*header_lines, "", ""]).encode() + body
 
     async def _connect(self, name: str, host: str, port: int) -> _Connection | None:
         with contextlib.suppress(OSError, TimeoutError):
@@ -105,73 +105,82 @@
                 return _Connection(*await asyncio.open_connection(host, port))
         return None
 
-    async def _one(self) -> None:
+    async def _send_request(self) -> None:
         rng = self.rng
-        self._count += 1
-        ident, cls = f"{self._count:016x}", rng.choices(list(CLASSES), MIX)[0]
+        self._request_count += 1
+        request_id, class_name = (
+            f"{self._request_count:016x}",
+            rng.choices(list(EFFECTS_BY_CLASS), CLASS_WEIGHTS)[0],
+        )
         name, host, port = rng.choice(self.addresses)
-        wait_s = rng.uniform(*(HASTY_S if rng.random() < HASTY else WAITS_S))
-        raw, habits = self._message(cls, ident, wait_s), self.behavior
-        leaves, half, slow = (
+        timeout_s = rng.uniform(
+            *(SHORT_TIMEOUT_RANGE_S if rng.random() < SHORT_TIMEOUT_FRACTION else TIMEOUT_RANGE_S)
+        )
+        message, behavior = self._encode_request(class_name, request_id, timeout_s), self.behavior
+        disconnects, is_incomplete, is_slow = (
             rng.random() < p
-            for p in (habits.disconnect_fraction, habits.incomplete_fraction, habits.slow_fraction)
+            for p in (behavior.disconnect_fraction, behavior.incomplete_fraction, behavior.slow_fraction)
+        )
+        idle_connection = self._idle_connections[name].pop() if self._idle_connections[name] else None
+        connection = idle_connection or await self._connect(name, host, port)
+        request = RequestRecord(
+            request_id, name, EFFECTS_BY_CLASS[class_name], monotonic(), timeout_s, idle_connection is None
         )
-        kept = self._idle[name].pop() if self._idle[name] else None
-        connection = kept or await self._connect(name, host, port)
-        asked = RequestRecord(ident, name, CLASSES[cls], monotonic(), wait_s, kept is None)
-        self.requests.append(asked)
+        self.requests.append(request)
         if connection is None:
-            asked.is_unsent = True
+            request.is_unsent = True
             return
-        for again in (True, False):
-            sent = False
+        for may_resend in (True, False):
+            is_sent = False
             try:
                 if connection.writer.transport.is_closing():
                     raise ConnectionResetError("closed before any of the request was sent")
-                if half:
-                    connection.writer.write(raw[: len(raw) // 2])
-                    asked.is_complete = False
-                elif slow:
-                    size = max(60, len(raw) // SLOW_PIECES)
-                    for start in range(0, len(raw), size):
+                if is_incomplete:
+                    connection.writer.write(message[: len(message) // 2])
+                    request.is_complete = False
+                elif is_slow:
+                    size = max(60, len(message) // MAX_SLOW_PIECES)
+                    for start in range(0, len(message), size):
                         if connection.writer.transport.is_closing():
                             raise ConnectionResetError("closed before all of the request was sent")
-                        connection.writer.write(raw[start : start + size])
+                        connection.writer.write(message[start : start + size])
                         await asyncio.sleep(0.01)
                 else:
-                    connection.writer.write(raw)
+                    connection.writer.write(message)
                     await connection.writer.drain()
-                asked.sent_at, sent = monotonic(), True
-                await self._answer(connection, asked, wait_s, leaves)
+                request.sent_at, is_sent = monotonic(), True
+                await self._read_response(connection, request, timeout_s, disconnects)
                 return
             except (OSError, asyncio.IncompleteReadError, TimeoutError) as error:
-                asked.ended_at = monotonic()
+                request.ended_at = monotonic()
                 connection.writer.transport.abort()
-                if not sent:  # not all of it: nothing was taken
-                    asked.is_unsent = True
+                if not is_sent:  # a partly written request was not accepted
+                    request.is_unsent = True
                     return
-                unread = not isinstance(error, TimeoutError) and not getattr(error, "partial", b"")
-                if not (again and unread and not asked.is_new_connection):
+                has_no_response = not isinstance(error, TimeoutError) and not getattr(error, "partial", b"")
+                if not (may_resend and has_no_response and not request.is_new_connection):
                     return
-                # A kept connection may be closed between requests; the request is sent once more.
-                asked.is_new_connection, asked.ended_at = True, None
-                fresh = await self._connect(name, host, port)
-                if fresh is None:
-                    asked.is_unsent = True
+                # A limiter may close an idle connection between requests, so the client retries once.
+                request.is_new_connection, request.ended_at = True, None
+                new_connection = await self._connect(name, host, port)
+                if new_connection is None:
+                    request.is_unsent = True
                     return
-                connection = fresh
+                connection = new_connection
 
-    async def _answer(
-        self, connection: _Connection, asked: RequestRecord, wait_s: float, leaves: bool
+    async def _read_response(
+        self, connection: _Connection, request: RequestRecord, timeout_s: float, disconnects: bool
     ) -> None:
-        if leaves:
+        if disconnects:
             await asyncio.sleep(self.rng.uniform(0.0, 0.3))
-            asked.disconnected_at = monotonic()
+            request.disconnected_at = monotonic()
             connection.writer.close()
             return
-        async with asyncio.timeout(STAY_S if not asked.is_complete else wait_s + PATIENCE_S):
+        async with asyncio.timeout(
+            INCOMPLETE_TIMEOUT_S if not request.is_complete else timeout_s + LATE_RESPONSE_WAIT_S
+        ):
             head = (await connection.reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
-            code = int(head.split(" ")[1])
+            status_code = int(head.split(" ")[1])
             if "transfer-encoding: chunked" in head:
                 while size := int(await connection.reader.readuntil(b"\r\n"), 16):
                     await connection.reader.readexactly(size + 2)
@@ -181,8 +190,8 @@
                 await connection.reader.readexactly(length)
             else:
                 await connection.reader.read()
-        asked.ended_at, asked.status_code = monotonic(), code
-        if "connection: close" in head or not asked.is_complete:
+        request.ended_at, request.status_code = monotonic(), status_code
+        if "connection: close" in head or not request.is_complete:
             connection.writer.close()
         else:
-            self._idle[asked.limiter].append(connection)
+            self._idle_connections[request.limiter].append(connection)
--- a/basaltpoint/rehearsal/soak/command.py
+++ b/basaltpoint/rehearsal/soak/command.py
@@ -1,4 +1,4 @@
-"""`basaltpoint soak`: random, overlapping faults on many of the platform's limiters, judged by the rules."""
+"""`basaltpoint soak`: runs soak tests with random, overlapping faults and reports broken invariants."""
 
 from __future__ import annotations
 
@@ -14,24 +14,26 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("--seed", type=int, default=1, help="of the first run")
-    parser.add_argument("--seeds", type=int, default=1, help="how many runs, one seed after the other")
+    parser.add_argument("--seed", type=int, default=1, help="seed of the first run")
+    parser.add_argument("--seeds", type=int, default=1, help="number of runs, with consecutive seeds")
     parser.add_argument("--limiters", type=int, default=24)
     parser.add_argument("--servers", type=int, default=12)
-    parser.add_argument("--seconds", type=float, default=20.0, help="of load, in each run")
-    parser.add_argument("--per-limiter", type=float, default=12.0, help="requests a second")
+    parser.add_argument("--seconds", type=float, default=20.0, help="duration of the load in each run")
+    parser.add_argument(
+        "--per-limiter", type=float, default=12.0, help="requests per second for each limiter"
+    )
     parser.add_argument(
         "--system-faults",
         action="store_true",
-        help="system calls of limiters fail and wall clocks step, too (needs a C compiler)",
+        help="also let system calls of limiters fail and their wall clocks step (needs a C compiler)",
     )
-    parser.add_argument("--trace", action="store_true", help="limiters log each step of each request")
-    parser.add_argument("--keep", type=Path, help="folder for the logs of runs with findings")
+    parser.add_argument("--trace", action="store_true", help="let limiters log each step of each request")
+    parser.add_argument("--keep", type=Path, help="folder for the report and the logs of each run")
 
 
 def run(args: argparse.Namespace) -> int:
-    """0 where no rule broke, else 1."""
-    broken = 0
+    """Runs all seeds; returns 0 if there are no findings, else 1."""
+    failed_runs = 0
     for seed in range(args.seed, args.seed + args.seeds):
         options = SoakOptions(
             seed,
@@ -54,6 +56,6 @@
             print(text, flush=True)
             if args.keep:
                 (folder / "report.txt").write_text(text + "\n")
-            broken += bool(verdict.findings)
-    print(f"{args.seeds - broken} of {args.seeds} runs without a finding", file=sys.stderr)
-    return 1 if broken else 0
+            failed_runs += bool(verdict.findings)
+    print(f"{args.seeds - failed_runs} of {args.seeds} runs without a finding", file=sys.stderr)
+    return 1 if failed_runs else 0
--- a/basaltpoint/rehearsal/soak/invariants.py
+++ b/basaltpoint/rehearsal/soak/invariants.py
@@ -1,6 +1,6 @@
-"""The rules, as pure functions over a soak's record; each returns what broke it.
+"""The invariants of a soak test: pure functions over its record, each of which yields the violations.
 
-The slack of 50 ms on every time limit is the protocol page's. To it comes how late the driver itself was.
+Every time limit is extended by 50 ms, which the protocol page grants, and by the driver's measured delay.
 """
 
 from __future__ import annotations
@@ -14,222 +14,265 @@
 
 from basaltpoint.rehearsal.soak.records import Arrival, ProcessRecord, RequestRecord, SoakRecord
 
-SLACK_S = 0.05  # on every time limit (protocol page)
-LATE_S = 0.5  # a final answer so much after the client's wait is lost (STANDING)
-LEFT_S = 0.1  # an attempt that begins so long after its client's end is a lost request (STANDING)
-DEADLINE_S = 0.15  # by which the time told to a server may pass what the client has left (STANDING)
-SILENT_S = 6.0  # what a silent watch misses counts as told so long after it fell silent (STANDING)
-MOVED_S = 4.0  # and what a new agent has so long after the change of configuration (STANDING)
-STALLED_S = 3.0  # a client that stops in the middle of a request is answered or closed by then (STANDING)
-FEW_CALLS = 30.0  # under which chance weighs more (STANDING)
-INFORMED = 2 / 3  # of the requests that a cold server fell under: from limiters told of its start (STANDING)
-IN_TIME_S = 0.05  # an answer that comes so much before its client's time is up can be passed on
-ENOUGH = 10  # cases under which a share says nothing
-INTERPRETER_S = 0.1  # from a process's start until its program may hear signals (daemon/signals.py)
-SIGKILL_DELAY_S = 0.7  # after the longest deadline from SIGTERM on, SIGKILL may come (protocol page)
+SLACK_S = 0.05  # tolerance of every time limit (protocol page)
+# A final response later than this after the client's time-out counts as lost (STANDING).
+MAX_RESPONSE_DELAY_S = 0.5
+# An attempt that starts later than this after its client disconnected counts as a lost request (STANDING).
+MAX_ATTEMPT_DELAY_S = 0.1
+# By this much the time announced to a server may exceed the client's remaining time (STANDING).
+MAX_DEADLINE_EXCESS_S = 0.15
+# Changes missed on a silent watch count as announced this long after it fell silent (STANDING).
+SILENT_WATCH_DELAY_S = 6.0
+# Changes known to a new agent count as announced this long after the change of configuration (STANDING).
+NEW_AGENT_DELAY_S = 4.0
+# A partial request ends with a response or a closed connection within this time (STANDING).
+STALLED_REQUEST_TIMEOUT_S = 3.0
+SMALL_SAMPLE_REQUESTS = 30.0  # below this the bound allows for more random variation (STANDING)
+# A cold server's overload is a finding if more than this fraction of its requests came from limiters to which
+# its start was announced (STANDING).
+INFORMED_FRACTION = 2 / 3
+FORWARDING_MARGIN_S = 0.05  # before the client's time-out, in which a response may be too late to forward
+MIN_RESPONSES = 10  # with fewer responses the forwarded fraction is not significant
+INTERPRETER_START_S = 0.1  # from a process's start until it can handle signals (daemon/signals.py)
+SIGKILL_DELAY_S = 0.7  # SIGKILL may follow SIGTERM after the longest deadline and this time (protocol page)
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One case of a broken rule."""
+    """One violation of an invariant."""
 
     invariant: str
-    occurred_at: float
+    occurred_at: float  # monotonic seconds; 0 if unknown
     text: str
 
 
 def announced_at(record: SoakRecord, limiter: str, version: int, at: float) -> float:
-    """When a version counts as told to a limiter's process that lives at this time; infinite: not yet."""
-    life = process_at(record, limiter, at)
-    if life is None:
+    """Returns when a version counts as announced to the limiter's process of time `at`; inf if not yet."""
+    process = process_at(record, limiter, at)
+    if process is None:
         return math.inf
-    found = math.inf
+    earliest = math.inf
     agents = record.agents[limiter]
-    for number, (since, agent) in enumerate(agents):
-        until = agents[number + 1][0] if number + 1 < len(agents) else math.inf
-        had = agent.received_at(version)
-        if had is None or had > until:
+    for number, (configured_at, agent) in enumerate(agents):
+        replaced_at = agents[number + 1][0] if number + 1 < len(agents) else math.inf
+        received_at = agent.received_at(version)
+        if received_at is None or received_at > replaced_at:
             continue
-        told = max(had, since + MOVED_S) if number else had
-        for muted in agent.silenced_at:
-            if muted - SLACK_S <= had <= muted + SILENT_S:
-                told = max(told, muted + SILENT_S)
-        found = min(found, told)
-    return max(found, life.started_at)
+        announced = max(received_at, configured_at + NEW_AGENT_DELAY_S) if number else received_at
+        for silenced_at in agent.silenced_at:
+            if silenced_at - SLACK_S <= received_at <= silenced_at + SILENT_WATCH_DELAY_S:
+                announced = max(announced, silenced_at + SILENT_WATCH_DELAY_S)
+        earliest = min(earliest, announced)
+    return max(earliest, process.started_at)
 
 
 def process_at(record: SoakRecord, limiter: str, at: float) -> ProcessRecord | None:
+    """Returns the process of a limiter that ran at this time, or None."""
     return next(
-        (life for life in record.processes if life.limiter == limiter and life.was_running_at(at)), None
+        (
+            process
+            for process in record.processes
+            if process.limiter == limiter and process.was_running_at(at)
+        ),
+        None,
     )
 
 
-def drains(record: SoakRecord) -> Iterator[Finding]:
-    """Nothing goes to a server after its drain was told, beyond the grace."""
-    leaves: dict[str, int] = {}
+def drain_announcements(record: SoakRecord) -> Iterator[Finding]:
+    """No attempt reaches a server later than the grace period after its drain was announced."""
+    leaving_versions: dict[str, int] = {}
     for change in record.list_changes:
         if change.entry["health"] != "active":
-            leaves.setdefault(change.entry["host"], change.version)
-    by_ident = {asked.request_id: asked for asked in record.requests}
+            leaving_versions.setdefault(change.entry["host"], change.version)
+    requests_by_id = {request.request_id: request for request in record.requests}
     for arrival in record.arrivals:
-        asked, version = by_ident.get(arrival.request_id), leaves.get(arrival.server)
-        if asked is None or version is None:
+        request, version = requests_by_id.get(arrival.request_id), leaving_versions.get(arrival.server)
+        if request is None or version is None:
             continue
-        told = announced_at(record, asked.limiter, version, arrival.arrived_at)
-        late = (
+        announced = announced_at(record, request.limiter, version, arrival.arrived_at)
+        excess_s = (
             arrival.arrived_at
-            - told
+            - announced
             - record.drain_grace_s
             - SLACK_S
             - record.driver_lag_at(arrival.arrived_at)
         )
-        if late > 0:
-            text = f"{asked.limiter} sent {asked.request_id} to {arrival.server} {arrival.arrived_at - told:.3f} s after told"
+        if excess_s > 0:
+            text = (
+                f"{request.limiter} sent {request.request_id} to {arrival.server} "
+                f"{arrival.arrived_at - announced:.3f} s after told"
+            )
             yield Finding("drain", arrival.arrived_at, text)
 
 
-def _excused(record: SoakRecord, asked: RequestRecord) -> bool:
-    """Whether the limiter's process was killed, fairly, before the answer was due."""
-    due = asked.sent_at + asked.timeout_s + LATE_S
-    for life in record.processes:
-        if life.limiter != asked.limiter or life.sigkill_at is None:
+def _process_was_killed(record: SoakRecord, request: RequestRecord) -> bool:
+    """Returns whether a SIGKILL without sufficient warning excuses the limiter from responding."""
+    response_due_at = request.sent_at + request.timeout_s + MAX_RESPONSE_DELAY_S
+    for process in record.processes:
+        if process.limiter != request.limiter or process.sigkill_at is None:
             continue
-        fair = life.sigterm_at is None or life.sigkill_at < life.sigterm_at + SIGKILL_DELAY_S
-        # On a busy machine a process keeps its sockets for a while after SIGKILL; it can do nothing any more.
-        gone = max(life.sigkill_at, life.ended_at or 0.0) + SLACK_S
-        if fair and life.started_at <= asked.sent_at <= gone and life.sigkill_at <= due:
+        is_early_kill = (
+            process.sigterm_at is None or process.sigkill_at < process.sigterm_at + SIGKILL_DELAY_S
+        )
+        # On a busy host the sockets of a killed process stay open for a while, although it no longer runs.
+        sockets_closed_at = max(process.sigkill_at, process.ended_at or 0.0) + SLACK_S
+        if (
+            is_early_kill
+            and process.started_at <= request.sent_at <= sockets_closed_at
+            and process.sigkill_at <= response_due_at
+        ):
             return True
     return False
 
 
-def lost(record: SoakRecord) -> Iterator[Finding]:
-    """Whatever was taken gets one final answer, in time."""
-    for asked in record.requests:
+def final_responses(record: SoakRecord) -> Iterator[Finding]:
+    """Every accepted request gets a final response in time."""
+    for request in record.requests:
         if (
-            asked.is_unsent
-            or not asked.is_complete
-            or asked.disconnected_at is not None
-            or _excused(record, asked)
+            request.is_unsent
+            or not request.is_complete
+            or request.disconnected_at is not None
+            or _process_was_killed(record, request)
         ):
             continue
-        limit = asked.timeout_s + LATE_S + SLACK_S + record.driver_lag_at(asked.ended_at or asked.sent_at)
-        took = math.inf if asked.ended_at is None else asked.ended_at - asked.sent_at
-        if asked.status_code == 0:
-            text = f"{asked.limiter} closed on {asked.request_id} after {took:.3f} s with no answer"
-            yield Finding("lost", asked.sent_at, text)
-        elif took > limit:
-            text = f"{asked.limiter} answered {asked.request_id} {asked.status_code} after {took:.3f} s"
-            yield Finding("lost", asked.sent_at, text + f", its client waits {asked.timeout_s:.3f} s")
-
-
-def stalled(record: SoakRecord) -> Iterator[Finding]:
-    """A client that stops in the middle of a request gets an error, or the end of its connection."""
-    for asked in record.requests:
-        if asked.is_complete or asked.is_unsent or asked.disconnected_at is not None:
+        limit_s = (
+            request.timeout_s
+            + MAX_RESPONSE_DELAY_S
+            + SLACK_S
+            + record.driver_lag_at(request.ended_at or request.sent_at)
+        )
+        duration_s = math.inf if request.ended_at is None else request.ended_at - request.sent_at
+        if request.status_code == 0:
+            text = f"{request.limiter} closed on {request.request_id} after {duration_s:.3f} s with no answer"
+            yield Finding("lost", request.sent_at, text)
+        elif duration_s > limit_s:
+            text = (
+                f"{request.limiter} answered {request.request_id} {request.status_code} "
+                f"after {duration_s:.3f} s"
+            )
+            yield Finding("lost", request.sent_at, text + f", its client waits {request.timeout_s:.3f} s")
+
+
+def stalled_requests(record: SoakRecord) -> Iterator[Finding]:
+    """A client that stops in the middle of a request gets an error response or a closed connection."""
+    for request in record.requests:
+        if request.is_complete or request.is_unsent or request.disconnected_at is not None:
             continue
-        limit = STALLED_S + LATE_S + SLACK_S
-        if asked.ended_at is None or asked.ended_at - asked.sent_at > limit + record.driver_lag_at(
-            asked.ended_at
+        limit_s = STALLED_REQUEST_TIMEOUT_S + MAX_RESPONSE_DELAY_S + SLACK_S
+        if request.ended_at is None or request.ended_at - request.sent_at > limit_s + record.driver_lag_at(
+            request.ended_at
         ):
             yield Finding(
-                "stalled", asked.sent_at, f"{asked.limiter} kept half a request, {asked.request_id}"
+                "stalled", request.sent_at, f"{request.limiter} kept half a request, {request.request_id}"
             )
 
 
-def _runs(record: SoakRecord) -> dict[str, list[Arrival]]:
-    found: dict[str, list[Arrival]] = defaultdict(list)
+def _arrivals_by_request(record: SoakRecord) -> dict[str, list[Arrival]]:
+    arrivals_by_id: dict[str, list[Arrival]] = defaultdict(list)
     for arrival in record.arrivals:
-        found[arrival.request_id].append(arrival)
-    return found
+        arrivals_by_id[arrival.request_id].append(arrival)
+    return arrivals_by_id
 
 
-def duplicates(record: SoakRecord) -> Iterator[Finding]:
-    """No effect twice, and no attempt while another is out."""
-    by_ident = {asked.request_id: asked for asked in record.requests}
-    for ident, arrivals in _runs(record).items():
-        asked = by_ident.get(ident)
-        ran = [arrival for arrival in arrivals if arrival.was_executed]
-        if asked and asked.effect != "safe" and len(ran) > 1:
+def duplicate_attempts(record: SoakRecord) -> Iterator[Finding]:
+    """No unsafe or keyed request is executed twice, and no attempt starts while another is outstanding."""
+    requests_by_id = {request.request_id: request for request in record.requests}
+    for request_id, arrivals in _arrivals_by_request(record).items():
+        request = requests_by_id.get(request_id)
+        executed = [arrival for arrival in arrivals if arrival.was_executed]
+        if request and request.effect != "safe" and len(executed) > 1:
             yield Finding(
                 "duplicate",
-                ran[1].arrived_at,
-                f"{asked.limiter} had {asked.effect} {ident} run {len(ran)} times",
+                executed[1].arrived_at,
+                f"{request.limiter} had {request.effect} {request_id} run {len(executed)} times",
             )
         for first, second in pairwise(arrivals):
-            lag = record.driver_lag_at(second.arrived_at)
-            if first.ended_at is None or second.arrived_at < first.ended_at - SLACK_S - lag:
-                yield Finding("copy", second.arrived_at, f"{ident} was sent again while an attempt was out")
+            lag_s = record.driver_lag_at(second.arrived_at)
+            if first.ended_at is None or second.arrived_at < first.ended_at - SLACK_S - lag_s:
+                yield Finding(
+                    "copy", second.arrived_at, f"{request_id} was sent again while an attempt was out"
+                )
 
 
-def after_the_clients_end(record: SoakRecord) -> Iterator[Finding]:
-    """No attempt begins later than 0.1 s after its client has gone."""
-    by_ident = {asked.request_id: asked for asked in record.requests}
+def attempts_after_disconnect(record: SoakRecord) -> Iterator[Finding]:
+    """No attempt starts later than 0.1 s after its client disconnected."""
+    requests_by_id = {request.request_id: request for request in record.requests}
     for arrival in record.arrivals:
-        asked = by_ident.get(arrival.request_id)
-        if asked is None or asked.disconnected_at is None:
+        request = requests_by_id.get(arrival.request_id)
+        if request is None or request.disconnected_at is None:
             continue
-        late = (
+        excess_s = (
             arrival.arrived_at
-            - asked.disconnected_at
-            - LEFT_S
+            - request.disconnected_at
+            - MAX_ATTEMPT_DELAY_S
             - SLACK_S
             - record.driver_lag_at(arrival.arrived_at)
         )
-        if late > 0:
-            text = f"{asked.limiter} sent {asked.request_id} {arrival.arrived_at - asked.disconnected_at:.3f} s after its client left"
+        if excess_s > 0:
+            text = (
+                f"{request.limiter} sent {request.request_id} "
+                f"{arrival.arrived_at - request.disconnected_at:.3f} s after its client left"
+            )
             yield Finding("client left", arrival.arrived_at, text)
 
 
-def deadlines(record: SoakRecord) -> Iterator[Finding]:
-    """The time told to a server is at most what the client has left."""
-    by_ident = {asked.request_id: asked for asked in record.requests}
+def announced_deadlines(record: SoakRecord) -> Iterator[Finding]:
+    """The time announced to a server does not exceed the client's remaining time."""
+    requests_by_id = {request.request_id: request for request in record.requests}
     for arrival in record.arrivals:
-        if (asked := by_ident.get(arrival.request_id)) is None:
+        if (request := requests_by_id.get(arrival.request_id)) is None:
             continue
-        left = asked.sent_at + asked.timeout_s - arrival.arrived_at
-        if arrival.announced_remaining_s > max(0.0, left) + DEADLINE_S + record.driver_lag_at(
-            arrival.arrived_at
-        ):
-            text = f"{asked.limiter} told {arrival.announced_remaining_s:.3f} s for {asked.request_id}, {left:.3f} s were left"
+        remaining_s = request.sent_at + request.timeout_s - arrival.arrived_at
+        if arrival.announced_remaining_s > max(
+            0.0, remaining_s
+        ) + MAX_DEADLINE_EXCESS_S + record.driver_lag_at(arrival.arrived_at):
+            text = (
+                f"{request.limiter} told {arrival.announced_remaining_s:.3f} s for {request.request_id}, "
+                f"{remaining_s:.3f} s were left"
+            )
             yield Finding("deadline", arrival.arrived_at, text)
 
 
-def _unborn(life: ProcessRecord) -> bool:
-    """Whether SIGTERM came before the interpreter was up: it ends any program, and nothing was taken yet."""
-    told = life.sigterm_at
-    return life.exit_code == -signal.SIGTERM and told is not None and told < life.started_at + INTERPRETER_S
+def _ended_before_start(process: ProcessRecord) -> bool:
+    """Returns whether SIGTERM ended the process while the interpreter was starting, before any request."""
+    sigterm_at = process.sigterm_at
+    return (
+        process.exit_code == -signal.SIGTERM
+        and sigterm_at is not None
+        and sigterm_at < process.started_at + INTERPRETER_START_S
+    )
 
 
-def crashes(record: SoakRecord) -> Iterator[Finding]:
-    """A process ends when it is told to, with 0, and logs no fault of its own."""
-    for life in record.processes:
+def process_exits(record: SoakRecord) -> Iterator[Finding]:
+    """A process exits only on SIGTERM, in time and with code 0, and logs no error."""
+    for process in record.processes:
         if (
-            life.ended_at is not None
-            and life.sigkill_at is None
-            and life.exit_code != 0
-            and not _unborn(life)
+            process.ended_at is not None
+            and process.sigkill_at is None
+            and process.exit_code != 0
+            and not _ended_before_start(process)
         ):
-            yield Finding("crash", life.ended_at, f"{life.limiter} ended with {life.exit_code}")
-        overdue = SIGKILL_DELAY_S + record.max_deadline_s
-        told, killed = life.sigterm_at, life.sigkill_at
-        if told is not None and killed is not None and killed >= told + overdue:
-            yield Finding("drain time", killed, f"{life.limiter} did not end after SIGTERM")
+            yield Finding("crash", process.ended_at, f"{process.limiter} ended with {process.exit_code}")
+        max_shutdown_s = SIGKILL_DELAY_S + record.max_deadline_s
+        sigterm_at, sigkill_at = process.sigterm_at, process.sigkill_at
+        if sigterm_at is not None and sigkill_at is not None and sigkill_at >= sigterm_at + max_shutdown_s:
+            yield Finding("drain time", sigkill_at, f"{process.limiter} did not end after SIGTERM")
     for line in record.log_findings:
         yield Finding("log", 0.0, line)
 
 
-def allowed_in_a_window(calls: float) -> float:
-    """Requests within which a cold server stays up, where the settings allow it `calls` (STANDING)."""
-    if calls < FEW_CALLS:
-        return calls + 3 * math.sqrt(calls) + 3
-    return calls + 2 * math.sqrt(calls) + 2
+def max_requests_in_window(allowed_requests: float) -> float:
+    """Returns the requests up to which a cold server stays up if the settings allow that many (STANDING)."""
+    if allowed_requests < SMALL_SAMPLE_REQUESTS:
+        return allowed_requests + 3 * math.sqrt(allowed_requests) + 3
+    return allowed_requests + 2 * math.sqrt(allowed_requests) + 2
 
 
 def cold_servers(record: SoakRecord) -> Iterator[Finding]:
-    """No cold server gets more than it can take from limiters that were told of its start."""
+    """No cold server is overloaded by limiters to which its start was announced."""
     if (slow_start := record.slow_start) is None:
         return
-    by_ident = {asked.request_id: asked for asked in record.requests}
+    requests_by_id = {request.request_id: request for request in record.requests}
     for start in record.server_starts:
         window: deque[Arrival] = deque()
         for arrival in sorted(record.arrivals, key=lambda arrival: arrival.arrived_at):
@@ -239,59 +282,64 @@
             window.append(arrival)
             while window[0].arrived_at <= arrival.arrived_at - slow_start.overload_window_s:
                 window.popleft()
-            most = allowed_in_a_window(slow_start.max_requests(age_s))
-            if len(window) <= most:
+            limit = max_requests_in_window(slow_start.max_requests(age_s))
+            if len(window) <= limit:
                 continue
-            known = sum(
-                _knew(record, by_ident.get(each.request_id), start.version, each.arrived_at)
+            informed = sum(
+                _was_informed(record, requests_by_id.get(each.request_id), start.version, each.arrived_at)
                 for each in window
             )
-            if known > INFORMED * len(window):
-                got = f"{start.server} got {len(window)} requests within {slow_start.overload_window_s:.1f} s"
-                text = f"{got}, {age_s:.1f} s after its start; it can take {most:.1f}"
+            if informed > INFORMED_FRACTION * len(window):
+                summary = (
+                    f"{start.server} got {len(window)} requests within {slow_start.overload_window_s:.1f} s"
+                )
+                text = f"{summary}, {age_s:.1f} s after its start; it can take {limit:.1f}"
                 yield Finding("cold", arrival.arrived_at, text)
                 break
 
 
-def answers_without_a_length(record: SoakRecord) -> Iterator[Finding]:
-    """Half at least of the answers that come whole, in time and without a length are passed on."""
-    by_ident = {asked.request_id: asked for asked in record.requests}
-    came, passed = 0, 0
+def responses_without_length(record: SoakRecord) -> Iterator[Finding]:
+    """At least half of the responses without a length that are complete and in time are forwarded."""
+    requests_by_id = {request.request_id: request for request in record.requests}
+    received, forwarded = 0, 0
     for arrival in record.arrivals:
-        asked = by_ident.get(arrival.request_id)
+        request = requests_by_id.get(arrival.request_id)
         if (
             not arrival.is_without_length
-            or asked is None
-            or asked.disconnected_at is not None
+            or request is None
+            or request.disconnected_at is not None
             or arrival.ended_at is None
         ):
             continue
-        if arrival.ended_at < asked.sent_at + asked.timeout_s - IN_TIME_S:
-            came += 1
-            passed += asked.status_code == 200
-    if came >= ENOUGH and passed < came / 2:
-        yield Finding("no length", 0.0, f"of {came} whole answers without a length {passed} were passed on")
+        if arrival.ended_at < request.sent_at + request.timeout_s - FORWARDING_MARGIN_S:
+            received += 1
+            forwarded += request.status_code == 200
+    if received >= MIN_RESPONSES and forwarded < received / 2:
+        yield Finding(
+            "no length", 0.0, f"of {received} whole answers without a length {forwarded} were passed on"
+        )
 
 
-def _knew(record: SoakRecord, asked: RequestRecord | None, version: int, at: float) -> bool:
-    return asked is not None and announced_at(record, asked.limiter, version, at) <= at
+def _was_informed(record: SoakRecord, request: RequestRecord | None, version: int, at: float) -> bool:
+    return request is not None and announced_at(record, request.limiter, version, at) <= at
 
 
 INVARIANTS: tuple[Callable[[SoakRecord], Iterator[Finding]], ...] = (
-    drains,
-    lost,
-    stalled,
-    duplicates,
-    after_the_clients_end,
-    deadlines,
+    drain_announcements,
+    final_responses,
+    stalled_requests,
+    duplicate_attempts,
+    attempts_after_disconnect,
+    announced_deadlines,
     cold_servers,
-    answers_without_a_length,
-    crashes,
+    responses_without_length,
+    process_exits,
 )
 
 
 def check_invariants(record: SoakRecord) -> list[Finding]:
-    """All cases of all rules, in the order of time."""
+    """Returns the violations of all invariants, ordered by time."""
     return sorted(
-        (finding for rule in INVARIANTS for finding in rule(record)), key=lambda finding: finding.occurred_at
+        (finding for invariant in INVARIANTS for finding in invariant(record)),
+        key=lambda finding: finding.occurred_at,
     )
--- a/basaltpoint/rehearsal/soak/plan.py
+++ b/basaltpoint/rehearsal/soak/plan.py
@@ -1,4 +1,4 @@
-"""Faults as values, and a random, overlapping plan of them for a seed."""
+"""The kinds of faults of a soak test, and the random plan of overlapping faults that a seed gives."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class FaultKind(Enum):
-    """What goes wrong; each value says to whom."""
+    """The kind of a fault. Names and values appear in reports."""
 
     LIMITER_KILL = "SIGKILL to limiters, started again after a while"
     LIMITER_TERM = "SIGTERM to a limiter, started again"
@@ -39,7 +39,7 @@
     WALL_STEP = "the wall clock of limiters steps"
 
 
-# How often each is drawn, beside the others; the incident's own kinds are the commonest.
+# Relative frequencies. The kinds of the original incident are the most frequent.
 FAULT_WEIGHTS = {
     FaultKind.LIMITER_KILL: 4,
     FaultKind.LIMITER_TERM: 3,
@@ -62,7 +62,7 @@
     FaultKind.SERVER_SPOILT: 2,
     FaultKind.CLIENT_LEAVES: 2,
 }
-# Beside them where the limiters' system calls can be made to fail.
+# Additional kinds if the limiters run with the preloaded library.
 SYSTEM_FAULT_WEIGHTS = {
     FaultKind.SYSTEM_ACCEPT: 3,
     FaultKind.SYSTEM_CONNECT: 4,
@@ -72,32 +72,32 @@
     FaultKind.SYSTEM_STALL: 3,
     FaultKind.WALL_STEP: 3,
 }
-MEAN_FAULT_INTERVAL_S = 0.6  # between the beginnings of two faults, on the mean
-FINAL_QUIET_S = 4.0  # at the end: what was begun is over, and all is answered
+MEAN_FAULT_INTERVAL_S = 0.6  # mean time between the starts of two faults
+FINAL_QUIET_S = 4.0  # without new faults at the end, in which faults end and requests are answered
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault: from when, for how long, on which part of those it can strike (at least one)."""
+    """One fault of the plan."""
 
     kind: FaultKind
-    start_s: float
+    start_s: float  # after the start of the load
     duration_s: float
-    target_fraction: float
+    target_fraction: float  # of the possible targets that it affects; at least one
 
 
-def generate_plan(seed: int, seconds: float, system_faults: bool = False) -> tuple[Fault, ...]:
-    """The faults of a run, in the order of their beginnings; the same for the same seed.
+def generate_plan(seed: int, load_s: float, system_faults: bool = False) -> tuple[Fault, ...]:
+    """Returns the faults of a run in the order of their starts; the same seed gives the same plan.
 
-    `system`: failing system calls are among them.
+    `system_faults`: the plan includes failing system calls and steps of the wall clock.
     """
     rng = random.Random(seed)
-    drawn = FAULT_WEIGHTS | SYSTEM_FAULT_WEIGHTS if system_faults else FAULT_WEIGHTS
-    kinds, weights = list(drawn), list(drawn.values())
-    faults, at_s = [], 1.0
-    while (at_s := at_s + rng.expovariate(1 / MEAN_FAULT_INTERVAL_S)) < seconds - FINAL_QUIET_S:
+    weights_by_kind = FAULT_WEIGHTS | SYSTEM_FAULT_WEIGHTS if system_faults else FAULT_WEIGHTS
+    kinds, weights = list(weights_by_kind), list(weights_by_kind.values())
+    faults, start_s = [], 1.0
+    while (start_s := start_s + rng.expovariate(1 / MEAN_FAULT_INTERVAL_S)) < load_s - FINAL_QUIET_S:
         kind = rng.choices(kinds, weights)[0]
         faults.append(
-            Fault(kind, round(at_s, 3), round(rng.uniform(0.3, 3.0), 3), rng.choice((0.05, 0.2, 0.5)))
+            Fault(kind, round(start_s, 3), round(rng.uniform(0.3, 3.0), 3), rng.choice((0.05, 0.2, 0.5)))
         )
     return tuple(faults)
--- a/basaltpoint/rehearsal/soak/records.py
+++ b/basaltpoint/rehearsal/soak/records.py
@@ -1,6 +1,7 @@
-"""What a soak writes down while it runs: requests, their arrivals at servers, processes, lists.
+"""The data that a soak test records: requests, their arrivals at servers, processes and server lists.
 
-Times are monotonic seconds of the driver's process, which plays clients, servers and discovery.
+Times (`..._at`) are seconds of the monotonic clock of the driver, the process that runs the stand-in clients,
+servers and discovery.
 """
 
 from __future__ import annotations
@@ -13,32 +14,32 @@
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One request of a client, from its last byte on."""
+    """One request of a client."""
 
     request_id: str
     limiter: str
     effect: str  # "safe", "keyed" or "unsafe"
-    sent_at: float
-    timeout_s: float
-    is_new_connection: bool  # over a new connection: it may not be closed unread
-    is_complete: bool = True  # all of it was sent
-    disconnected_at: float | None = None  # the client closed the connection
+    sent_at: float  # its last byte
+    timeout_s: float  # that the client announces and waits
+    is_new_connection: bool  # a limiter must not close a new connection before it reads the request
+    is_complete: bool = True  # all of the request was sent
+    disconnected_at: float | None = None  # when the client closed the connection
     ended_at: float | None = None
-    status_code: int = 0  # of the final answer; 0: the connection ended without one
-    is_unsent: bool = False  # the connection could not be made, or was closed between two requests
+    status_code: int = 0  # of the final response; 0 if the connection ended without one
+    is_unsent: bool = False  # the connection failed, or was closed between two requests
 
 
 @dataclass(slots=True)
 class Arrival:
-    """One attempt as a server saw it; `at`: its first byte."""
+    """One attempt as a server received it."""
 
     server: str
-    arrived_at: float
+    arrived_at: float  # its first byte
     request_id: str
     key: str
-    announced_remaining_s: float
-    was_executed: bool = False  # its work was begun and was no dropped repeat
-    is_without_length: bool = False  # it was answered whole, with no length
+    announced_remaining_s: float  # until the deadline, as the limiter announced it
+    was_executed: bool = False  # the server started the work; False for a repeated request that it dropped
+    is_without_length: bool = False  # the response was complete and had no Content-Length
     ended_at: float | None = None
 
 
@@ -48,8 +49,8 @@
 
     limiter: str
     started_at: float
-    sigterm_at: float | None = None  # SIGTERM
-    sigkill_at: float | None = None  # SIGKILL
+    sigterm_at: float | None = None
+    sigkill_at: float | None = None
     ended_at: float | None = None
     exit_code: int | None = None
 
@@ -59,19 +60,26 @@
 
 @dataclass(slots=True)
 class AgentRecord:
-    """What one agent had, and when; `muted_at`: its open watches fell silent."""
+    """The versions of the server list that one agent had."""
 
-    version_history: list[tuple[float, int]] = field(default_factory=list)
-    silenced_at: list[float] = field(default_factory=list)
+    version_history: list[tuple[float, int]] = field(default_factory=list)  # (time, version)
+    silenced_at: list[float] = field(default_factory=list)  # when its open watches stopped delivering changes
 
     def received_at(self, version: int) -> float | None:
-        """When it first had this version or a later one."""
-        return next((at for at, known in self.version_history if known >= version), None)
+        """Returns when the agent first had this version or a later one; None if it has not."""
+        return next(
+            (
+                received_at
+                for received_at, received_version in self.version_history
+                if received_version >= version
+            ),
+            None,
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class ServerStart:
-    """A server that started cold; discovery told it with this version."""
+    """A server that started cold, and the version of the server list that announced it."""
 
     server: str
     started_at: float
@@ -80,47 +88,45 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStart:
-    """What the settings allow a cold server, and what a warm one can do.
-
-    `cold_from`: part of its capacity at its start; `cold_s`: until it is warm; it falls when it gets over
-    `tip_multiple` times its capacity for `fall_s`. `capacity`: requests a second of a warm server.
-    """
+    """The load that a cold server withstands according to the settings."""
 
-    initial_capacity_fraction: float
-    warm_up_s: float
-    overload_ratio: float
-    overload_window_s: float
-    capacity_per_s: float
+    initial_capacity_fraction: float  # of its full capacity that a server has when it starts
+    warm_up_s: float  # until it has its full capacity
+    overload_ratio: float  # it fails above this multiple of its current capacity,
+    overload_window_s: float  # for this long
+    capacity_per_s: float  # full capacity, in requests per second
 
     def max_requests(self, age_s: float) -> float:
-        """Requests in `fall_s` that a server of this age takes."""
-        part = min(
+        """Returns the requests in `overload_window_s` that a server of this age withstands."""
+        capacity_fraction = min(
             1.0,
             self.initial_capacity_fraction + (1.0 - self.initial_capacity_fraction) * age_s / self.warm_up_s,
         )
-        return self.overload_ratio * self.capacity_per_s * part * self.overload_window_s
+        return self.overload_ratio * self.capacity_per_s * capacity_fraction * self.overload_window_s
 
 
 @dataclass(slots=True)
 class SoakRecord:
-    """All of a run. `agents`: of each limiter, since when it was configured with which agent."""
+    """Everything that one run records."""
 
     drain_grace_s: float
-    deduplication_window_s: float
-    max_deadline_s: float
+    deduplication_window_s: float  # in which servers drop a repeated idempotency key
+    max_deadline_s: float  # of all request classes
     requests: list[RequestRecord] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
     processes: list[ProcessRecord] = field(default_factory=list)
+    # By limiter: its agents, each with the time from which the limiter was configured with it.
     agents: dict[str, list[tuple[float, AgentRecord]]] = field(default_factory=dict)
     list_changes: Sequence[ListChange] = ()
     slow_start: SlowStart | None = None
     server_starts: list[ServerStart] = field(default_factory=list)
-    driver_lags: list[tuple[float, float]] = field(default_factory=list)  # when, and how late the driver was
-    log_findings: list[str] = field(default_factory=list)  # lines of the limiters' logs that must not be
-    faults: list[tuple[float, str]] = field(default_factory=list)  # when each began, in words
+    driver_lags: list[tuple[float, float]] = field(default_factory=list)  # (time, delay in s)
+    log_findings: list[str] = field(default_factory=list)  # lines of the limiters' logs that report an error
+    faults: list[tuple[float, str]] = field(default_factory=list)  # (start, description)
 
-    def driver_lag_at(self, at: float, before_s: float = 0.3) -> float:
-        """How late the driver may have noted something at this time."""
+    def driver_lag_at(self, at: float, margin_s: float = 0.3) -> float:
+        """Returns the largest delay (s) of the driver around this time, by which its records may be late."""
         return max(
-            (lag for when, lag in self.driver_lags if at - before_s <= when <= at + before_s), default=0.0
+            (lag_s for noted_at, lag_s in self.driver_lags if at - margin_s <= noted_at <= at + margin_s),
+            default=0.0,
         )
--- a/basaltpoint/rehearsal/soak/run.py
+++ b/basaltpoint/rehearsal/soak/run.py
@@ -1,4 +1,4 @@
-"""A run of the soak: many limiters, servers and agents under the plan of a seed, then the verdict."""
+"""One run of the soak test: injects the fault plan of a seed and checks the invariants afterwards."""
 
 from __future__ import annotations
 
@@ -18,67 +18,67 @@
 from basaltpoint.rehearsal.soak.processes import Limiter, unique_loopback_address
 from basaltpoint.rehearsal.soak.records import AgentRecord, ServerStart, SlowStart, SoakRecord
 from basaltpoint.rehearsal.soak.servers import IdempotencyKeys, PlatformServer, ServerFaults
-from basaltpoint.rehearsal.soak.system import system_fault
+from basaltpoint.rehearsal.soak.system import make_system_fault
 from basaltpoint.rehearsal.system_faults.library import build_library
 from basaltpoint.standins.discovery import Agent, AgentFaults, Registry
 
-GRACE_S = 0.25
-WINDOW_S = 1.0  # in which servers drop repeats under a key
-LONGEST_S = 2.0  # deadline of all classes
-STALL_MOST_S = 0.15  # a limiter may be held up for so long (STANDING)
-SLOW_S = (0.2, 0.9)  # until a slow agent's first word
-REFUSE_MOST_S = 2.0  # a busy discovery refuses calls; for longer a limiter takes it to be away
-READY_TIMEOUT_S = 60.0  # until all limiters take clients; the platform waits for 30 s
-SPARE = 1.25  # capacity of the servers to the load
-FIRST_SERVER = 120  # number of the first server's address; those before are limiters'
-MOST_CASES = 30  # told one by one in a report
-LAG_S = 0.005  # how often the driver looks how late it is
-OUTAGE_FACTOR = 2.0  # of a fault's length: discovery is down for longer than other faults last
-AGENT_DELAY_S = (0.05, 0.25)  # from a change at discovery to an agent's having it
-KILLED_S = (0.3, 1.2)  # until a killed limiter is started again
+DRAIN_GRACE_S = 0.25
+DEDUPLICATION_WINDOW_S = 1.0  # in which servers drop a repeated idempotency key
+MAX_DEADLINE_S = 2.0  # hard limit of all request classes
+MAX_STALL_S = 0.15  # a limiter may stall for this long (STANDING)
+SLOW_RESPONSE_RANGE_S = (0.2, 0.9)  # until a slow agent responds
+MAX_REFUSAL_S = 2.0  # a limiter treats discovery that refuses requests for longer as unavailable
+READY_TIMEOUT_S = 60.0  # until all limiters accept clients; the platform waits 30 s
+CAPACITY_TO_LOAD_RATIO = 1.25  # of all servers, when warm
+FIRST_SERVER_NUMBER = 120  # address numbers below are those of limiters
+MAX_REPORTED_FINDINGS = 30  # listed in a report
+LAG_INTERVAL_S = 0.005  # between two measurements of the driver's delay
+OUTAGE_DURATION_RATIO = 2.0  # discovery outages last longer than the planned duration by this factor
+AGENT_DELAY_RANGE_S = (0.05, 0.25)  # from a change at discovery until an agent has it
+RESTART_DELAY_RANGE_S = (0.3, 1.2)  # between the kill and the restart of a limiter
 
 
 @dataclass(frozen=True, slots=True)
 class SoakOptions:
-    """How large a run is. `per_limiter`: requests a second."""
+    """The size of a run and its switches."""
 
     seed: int
     limiter_count: int = 24
     server_count: int = 12
-    load_s: float = 20.0
-    requests_per_s: float = 12.0
+    load_s: float = 20.0  # duration of the load
+    requests_per_s: float = 12.0  # for each limiter
     trace: bool = False
     system_faults: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What a run showed."""
+    """The result of a run."""
 
     options: SoakOptions
     findings: tuple[Finding, ...]
-    status_counts: dict[int, int]  # final answers by code
+    status_counts: dict[int, int]  # final responses by status code
     attempt_count: int
     fault_counts: Counter[str]
     max_driver_lag_s: float
 
     @property
     def served_fraction(self) -> float:
-        """The part of the answered requests that a server answered."""
+        """The fraction of the final responses that are a 200 from a server."""
         return self.status_counts.get(200, 0) / max(1, sum(self.status_counts.values()))
 
 
 def limiter_settings(options: SoakOptions) -> dict[str, Any]:
-    """As the platform tells a limiter."""
-    long_ms = LONGEST_S * 1000
-    common = {"aimMs": 1000.0, "hardLimitMs": long_ms}
+    """Returns the settings as the platform passes them to a limiter."""
+    max_deadline_ms = MAX_DEADLINE_S * 1000
+    common = {"aimMs": 1000.0, "hardLimitMs": max_deadline_ms}
     return {
         "balancers": options.limiter_count,
         "me": 0,
         "zones": ["hall-a"],
         "services": [
             {"name": "read", "effect": "idempotent", **common},
-            {"name": "upload", "effect": "deduplicated", "windowMs": WINDOW_S * 1000, **common},
+            {"name": "upload", "effect": "deduplicated", "windowMs": DEDUPLICATION_WINDOW_S * 1000, **common},
             {"name": "fix", "effect": "at_most_once", **common},
         ],
         "contracts": [{"name": "basic", "rate": 1000.0, "mostAtOnce": 2000.0}],
@@ -87,7 +87,7 @@
             "coldMs": 4000.0,
             "tipMultiple": 2.0,
             "fallMs": 1000.0,
-            "drainGraceMs": GRACE_S * 1000,
+            "drainGraceMs": DRAIN_GRACE_S * 1000,
         },
         "ceilings": {"maxAttempts": 3, "cancel": True, "connectTimeoutMs": 250.0, "connIdleMs": 15000.0},
         "specifics": {"mostUnits": 6},
@@ -96,9 +96,9 @@
 
 
 def server_slow_start(options: SoakOptions) -> SlowStart:
-    """What servers can take: warm ones a quarter more than all of the load, shared out evenly."""
+    """Returns the servers' capacity: warm servers withstand a quarter more than an even share of the load."""
     guarantees = limiter_settings(options)["guarantees"]
-    capacity = SPARE * options.requests_per_s * options.limiter_count / options.server_count
+    capacity = CAPACITY_TO_LOAD_RATIO * options.requests_per_s * options.limiter_count / options.server_count
     return SlowStart(
         guarantees["coldFrom"],
         guarantees["coldMs"] / 1000,
@@ -109,13 +109,15 @@
 
 
 class Soak:
-    """One run."""
+    """One run of the soak test."""
 
     def __init__(self, options: SoakOptions, folder: Path) -> None:
         self.options = options
         self.rng = random.Random(options.seed * 7919 + 1)
-        self.record = SoakRecord(GRACE_S, WINDOW_S, LONGEST_S, slow_start=server_slow_start(options))
-        self.keys = IdempotencyKeys(WINDOW_S)
+        self.record = SoakRecord(
+            DRAIN_GRACE_S, DEDUPLICATION_WINDOW_S, MAX_DEADLINE_S, slow_start=server_slow_start(options)
+        )
+        self.keys = IdempotencyKeys(DEDUPLICATION_WINDOW_S)
         self.servers: list[PlatformServer] = []
         library = build_library(folder) if options.system_faults else None
         self.limiters = [
@@ -124,19 +126,19 @@
         ]
         self.agents: dict[str, Agent] = {}
         self._all_agents: list[Agent] = []
-        self._named = 0
+        self._server_count = 0
 
-    # --- Putting it together -------------------------------------------------------------------------
-    def _server(self) -> PlatformServer:
-        self._named += 1
+    # --- Start and stop ------------------------------------------------------------------------------
+    def _new_server(self) -> PlatformServer:
+        self._server_count += 1
         rng = random.Random(self.rng.random())
-        made = PlatformServer(f"s-{self._named:03d}", rng, self.keys, self.record.arrivals.append)
-        made.address = unique_loopback_address(FIRST_SERVER + self._named)
-        return made
+        server = PlatformServer(f"s-{self._server_count:03d}", rng, self.keys, self.record.arrivals.append)
+        server.address = unique_loopback_address(FIRST_SERVER_NUMBER + self._server_count)
+        return server
 
-    async def _agent(self, limiter: Limiter) -> Agent:
-        """A new agent for a limiter, which is told of it by its configuration."""
-        agent = Agent(self.registry, random.Random(self.rng.random()), AGENT_DELAY_S)
+    async def _new_agent(self, limiter: Limiter) -> Agent:
+        """Starts a new agent for a limiter; the caller configures the limiter with its address."""
+        agent = Agent(self.registry, random.Random(self.rng.random()), AGENT_DELAY_RANGE_S)
         await agent.start()
         self._all_agents.append(agent)
         self.agents[limiter.name] = agent
@@ -144,47 +146,49 @@
         return agent
 
     async def run(self) -> Verdict:
-        """Start all, play the plan, end all; whatever fails, no process is left behind."""
+        """Starts everything, runs the plan and stops everything, also if a step fails."""
         try:
-            await self._start()
-            await self._play_all()
+            await self._start_processes()
+            await self._run_plan()
         finally:
             await self._stop()
-        return self._verdict()
+        return self._make_verdict()
 
-    async def _start(self) -> None:
+    async def _start_processes(self) -> None:
         for _ in range(self.options.server_count):
-            self.servers.append(self._server())
+            self.servers.append(self._new_server())
             await self.servers[-1].start()
         self.registry = Registry([server.list_entry() for server in self.servers])
         self.record.list_changes = self.registry.changes
         for limiter in self.limiters:
-            agent = await self._agent(limiter)
+            agent = await self._new_agent(limiter)
             limiter.configure(agent.address, self.registry.list_at(1))
             await limiter.start()
         async with asyncio.timeout(READY_TIMEOUT_S):
             await asyncio.gather(*(limiter.wait_until_ready() for limiter in self.limiters))
 
-    async def _play_all(self) -> None:
+    async def _run_plan(self) -> None:
         addresses = [
-            (lim.name, lim.address.split(":")[0], int(lim.address.split(":")[1])) for lim in self.limiters
+            (limiter.name, limiter.address.split(":")[0], int(limiter.address.split(":")[1]))
+            for limiter in self.limiters
         ]
         self.clients = Clients(addresses, random.Random(self.rng.random()), self.record.requests)
-        lag = asyncio.create_task(self._measure_lag())
-        begun = monotonic()
-        load = asyncio.create_task(
+        lag_task = asyncio.create_task(self._measure_lag())
+        started_at = monotonic()
+        load_task = asyncio.create_task(
             self.clients.generate_load(
                 self.options.requests_per_s * self.options.limiter_count, self.options.load_s
             )
         )
-        faults = [
-            asyncio.create_task(self._play(fault, begun))
+        fault_tasks = [
+            asyncio.create_task(self._inject(fault, started_at))
             for fault in generate_plan(self.options.seed, self.options.load_s, self.options.system_faults)
         ]
         try:
-            await asyncio.gather(load, *faults)
+            await asyncio.gather(load_task, *fault_tasks)
         finally:
-            for task in (lag, load, *faults):  # where one failed, another would start a limiter again
+            # If one task failed, another could restart a limiter after _stop.
+            for task in (lag_task, load_task, *fault_tasks):
                 task.cancel()
             self.clients.close()
 
@@ -193,7 +197,7 @@
             limiter.signal(signal.SIGCONT)
             limiter.signal(signal.SIGTERM)
         for limiter in self.limiters:
-            if not await limiter.wait_for_exit(LONGEST_S + SIGKILL_DELAY_S + 1.0):
+            if not await limiter.wait_for_exit(MAX_DEADLINE_S + SIGKILL_DELAY_S + 1.0):
                 await limiter.kill()
             limiter.scan_log()
         for agent in self._all_agents:
@@ -204,28 +208,28 @@
     async def _measure_lag(self) -> None:
         while True:
             before = monotonic()
-            await asyncio.sleep(LAG_S)
-            lag = monotonic() - before - LAG_S
-            if lag > LAG_S:
-                self.record.driver_lags.append((monotonic(), lag))
+            await asyncio.sleep(LAG_INTERVAL_S)
+            lag_s = monotonic() - before - LAG_INTERVAL_S
+            if lag_s > LAG_INTERVAL_S:
+                self.record.driver_lags.append((monotonic(), lag_s))
 
-    def _verdict(self) -> Verdict:
+    def _make_verdict(self) -> Verdict:
         record = self.record
         return Verdict(
             self.options,
             tuple(check_invariants(record)),
-            dict(Counter(asked.status_code for asked in record.requests if asked.status_code)),
+            dict(Counter(request.status_code for request in record.requests if request.status_code)),
             len(record.arrivals),
             Counter(text.partition(" ")[0] for _, text in record.faults),
-            max((lag for _, lag in record.driver_lags), default=0.0),
+            max((lag_s for _, lag_s in record.driver_lags), default=0.0),
         )
 
     # --- Faults --------------------------------------------------------------------------------------
-    def _some(self, of: list[Any], part: float) -> list[Any]:
-        return self.rng.sample(of, max(1, int(len(of) * part))) if of else []
+    def _sample(self, candidates: list[Any], fraction: float) -> list[Any]:
+        return self.rng.sample(candidates, max(1, int(len(candidates) * fraction))) if candidates else []
 
-    async def _play(self, fault: Fault, begun: float) -> None:
-        await asyncio.sleep(max(0.0, begun + fault.start_s - monotonic()))
+    async def _inject(self, fault: Fault, started_at: float) -> None:
+        await asyncio.sleep(max(0.0, started_at + fault.start_s - monotonic()))
         kind = fault.kind
         if kind in (
             FaultKind.LIMITER_KILL,
@@ -233,145 +237,147 @@
             FaultKind.LIMITER_RELOAD,
             FaultKind.LIMITER_STALL,
         ):
-            part = fault.target_fraction if kind is not FaultKind.LIMITER_TERM else 0.0
-            struck = [limiter for limiter in self._some(self.limiters, part) if not limiter.has_active_fault]
-            self._note(fault, [limiter.name for limiter in struck])
-            await asyncio.gather(*(self._strike_limiter(kind, limiter) for limiter in struck))
+            fraction = fault.target_fraction if kind is not FaultKind.LIMITER_TERM else 0.0
+            affected = [
+                limiter for limiter in self._sample(self.limiters, fraction) if not limiter.has_active_fault
+            ]
+            self._record_fault(fault, [limiter.name for limiter in affected])
+            await asyncio.gather(*(self._inject_limiter_fault(kind, limiter) for limiter in affected))
         elif kind in (FaultKind.SERVER_REPLACED, FaultKind.SERVER_CRASH):
-            await self._strike_one_server(fault)
+            await self._inject_server_restart(fault)
         elif kind.name.startswith("SERVER"):
-            await self._strike_servers(fault)
+            await self._inject_server_fault(fault)
         elif kind is FaultKind.CLIENT_LEAVES:
-            self._note(fault, [])
+            self._record_fault(fault, [])
             self.clients.behavior = ClientBehavior(
                 disconnect_fraction=0.4, incomplete_fraction=0.05, slow_fraction=0.1
             )
             await asyncio.sleep(fault.duration_s)
             self.clients.behavior = ClientBehavior()
         elif kind is FaultKind.DISCOVERY_OUTAGE:
-            await self._strike_discovery(fault)
+            await self._inject_discovery_outage(fault)
         elif kind in SYSTEM_FAULT_WEIGHTS:
-            await self._strike_system(fault)
+            await self._inject_system_fault(fault)
         else:
-            await self._strike_agents(fault)
+            await self._inject_agent_fault(fault)
 
-    async def _strike_system(self, fault: Fault) -> None:
-        struck = self._some(self.limiters, fault.target_fraction)
-        strike = system_fault(fault, self.rng)
-        self._note(fault, [limiter.name for limiter in struck], strike.text)
-        tables = [limiter.fault_table for limiter in struck if limiter.fault_table]
+    async def _inject_system_fault(self, fault: Fault) -> None:
+        affected = self._sample(self.limiters, fault.target_fraction)
+        system_fault = make_system_fault(fault, self.rng)
+        self._record_fault(fault, [limiter.name for limiter in affected], system_fault.text)
+        tables = [limiter.fault_table for limiter in affected if limiter.fault_table]
         for table in tables:
-            strike.begin(table)
-        await asyncio.sleep(strike.duration_s)
+            system_fault.begin(table)
+        await asyncio.sleep(system_fault.duration_s)
         for table in tables:
-            strike.end(table)
+            system_fault.end(table)
 
-    def _note(self, fault: Fault, struck: list[str], more: str = "") -> None:
-        text = f"{fault.kind.name.lower()} {fault.duration_s:.1f} s: {' '.join(struck)} {more}".rstrip()
+    def _record_fault(self, fault: Fault, affected: list[str], detail: str = "") -> None:
+        text = f"{fault.kind.name.lower()} {fault.duration_s:.1f} s: {' '.join(affected)} {detail}".rstrip()
         self.record.faults.append((monotonic(), text))
 
-    async def _strike_limiter(self, kind: FaultKind, limiter: Limiter) -> None:
+    async def _inject_limiter_fault(self, kind: FaultKind, limiter: Limiter) -> None:
         limiter.has_active_fault = True
         if kind is FaultKind.LIMITER_STALL:
             limiter.signal(signal.SIGSTOP)
-            await asyncio.sleep(self.rng.uniform(0.02, STALL_MOST_S - 0.02))
+            await asyncio.sleep(self.rng.uniform(0.02, MAX_STALL_S - 0.02))
             limiter.signal(signal.SIGCONT)
         elif kind is FaultKind.LIMITER_RELOAD:
-            agent = await self._agent(limiter)
+            agent = await self._new_agent(limiter)
             limiter.configure(agent.address, self.registry.list_at(self.registry.version))
             limiter.signal(signal.SIGHUP)
         else:
             if kind is FaultKind.LIMITER_TERM:
                 limiter.signal(signal.SIGTERM)
-                await limiter.wait_for_exit(LONGEST_S + SIGKILL_DELAY_S)
-            # The page on starts: the list as this limiter last had it, so as of its process's end.
-            known = self.registry.list_at(self.agents[limiter.name].version)
+                await limiter.wait_for_exit(MAX_DEADLINE_S + SIGKILL_DELAY_S)
+            # The platform's page on starts: a limiter starts with the last list of its previous process.
+            known_list = self.registry.list_at(self.agents[limiter.name].version)
             await limiter.kill()
             if kind is FaultKind.LIMITER_KILL:
-                await asyncio.sleep(self.rng.uniform(*KILLED_S))
-            limiter.configure(self.agents[limiter.name].address, known)
+                await asyncio.sleep(self.rng.uniform(*RESTART_DELAY_RANGE_S))
+            limiter.configure(self.agents[limiter.name].address, known_list)
             await limiter.start()
         limiter.has_active_fault = False
 
-    async def _strike_agents(self, fault: Fault) -> None:
-        names = self._some(sorted(self.agents), fault.target_fraction)
-        self._note(fault, names)
+    async def _inject_agent_fault(self, fault: Fault) -> None:
+        names = self._sample(sorted(self.agents), fault.target_fraction)
+        self._record_fault(fault, names)
         agents = [self.agents[name] for name in names]
         for agent in agents:
-            self._begin_with(agent, fault.kind)
-        length = (
-            min(fault.duration_s, REFUSE_MOST_S)
+            self._begin_agent_fault(agent, fault.kind)
+        duration_s = (
+            min(fault.duration_s, MAX_REFUSAL_S)
             if fault.kind is FaultKind.AGENT_REFUSES
             else fault.duration_s
         )
-        await asyncio.sleep(length)
+        await asyncio.sleep(duration_s)
         for agent in agents:
             if fault.kind is FaultKind.AGENT_DOWN:
                 agent.restore_discovery()
             elif fault.kind in (FaultKind.AGENT_SLOW, FaultKind.AGENT_REFUSES, FaultKind.LIST_PIECES):
                 agent.faults = AgentFaults(down=agent.faults.down)
 
-    async def _strike_discovery(self, fault: Fault) -> None:
-        """All agents are silent, for as long as the run's quiet end allows."""
-        self._note(fault, ["all"])
+    async def _inject_discovery_outage(self, fault: Fault) -> None:
+        """Takes discovery down for all agents, for as long as the quiet end of the run permits."""
+        self._record_fault(fault, ["all"])
         agents = list(self.agents.values())
         for agent in agents:
             agent.faults.down = True
-        await asyncio.sleep(fault.duration_s * OUTAGE_FACTOR)
+        await asyncio.sleep(fault.duration_s * OUTAGE_DURATION_RATIO)
         for agent in agents:
             agent.restore_discovery()
 
-    def _begin_with(self, agent: Agent, kind: FaultKind) -> None:
+    def _begin_agent_fault(self, agent: Agent, kind: FaultKind) -> None:
         match kind:
             case FaultKind.AGENT_DOWN:
                 agent.faults.down = True
             case FaultKind.AGENT_SLOW:
-                agent.faults.response_delay_s = SLOW_S
+                agent.faults.response_delay_s = SLOW_RESPONSE_RANGE_S
             case FaultKind.AGENT_REFUSES:
                 agent.faults.status = 503
             case FaultKind.WATCH_RESET:
                 agent.reset_watches()
             case FaultKind.WATCH_MUTE:
                 agent.silence_watches()
-                for rows in self.record.agents.values():
-                    for _, row in rows:
-                        if row.version_history is agent.versions:
-                            row.silenced_at.append(monotonic())
+                for agent_records in self.record.agents.values():
+                    for _, agent_record in agent_records:
+                        if agent_record.version_history is agent.versions:
+                            agent_record.silenced_at.append(monotonic())
             case FaultKind.LIST_TORN:
                 agent.faults.truncate_next_list = True
             case FaultKind.LIST_PIECES:
                 agent.faults.chunk_bytes = 200
 
-    async def _strike_one_server(self, fault: Fault) -> None:
+    async def _inject_server_restart(self, fault: Fault) -> None:
         server = self.rng.choice(self.servers)
-        self._note(fault, [server.name])
+        self._record_fault(fault, [server.name])
         if fault.kind is FaultKind.SERVER_CRASH:
             await server.crash()
             await asyncio.sleep(min(1.0, fault.duration_s))
             await server.restart()
             if server in self.servers:
-                self._started_cold(server)
+                self._announce_cold_start(server)
             return
-        fresh = self._server()
+        replacement = self._new_server()
         self.servers.remove(server)
-        self.servers.append(fresh)
+        self.servers.append(replacement)
         self.registry.apply_change(server.list_entry("leaving"))
-        await fresh.start()
-        fresh.started_ms = time.time() * 1000
-        self._started_cold(fresh)
+        await replacement.start()
+        replacement.started_ms = time.time() * 1000
+        self._announce_cold_start(replacement)
         await asyncio.sleep(3.0)
         self.registry.apply_change(server.list_entry("left"))
         await asyncio.sleep(1.0)
         await server.crash()
 
-    def _started_cold(self, server: PlatformServer) -> None:
+    def _announce_cold_start(self, server: PlatformServer) -> None:
         version = self.registry.apply_change(server.list_entry())
         self.record.server_starts.append(ServerStart(server.name, monotonic(), version))
 
-    async def _strike_servers(self, fault: Fault) -> None:
-        struck = self._some(self.servers, min(fault.target_fraction, 0.2))
-        self._note(fault, [server.name for server in struck])
-        for server in struck:
+    async def _inject_server_fault(self, fault: Fault) -> None:
+        affected = self._sample(self.servers, min(fault.target_fraction, 0.2))
+        self._record_fault(fault, [server.name for server in affected])
+        for server in affected:
             match fault.kind:
                 case FaultKind.SERVER_HANG:
                     server.faults.is_hanging = True
@@ -384,13 +390,13 @@
                 case _:
                     server.faults.malformed_fraction = server.faults.no_length_fraction = 0.2
         await asyncio.sleep(fault.duration_s)
-        for server in struck:
+        for server in affected:
             server.faults = ServerFaults()
 
 
 def format_report(verdict: Verdict, record: SoakRecord) -> str:
-    """The verdict in words; with findings, the faults and cases in the order of time."""
-    options, start = verdict.options, record.processes[0].started_at if record.processes else 0.0
+    """Returns the verdict as text; if there are findings, with the faults and findings ordered by time."""
+    options, started_at = verdict.options, record.processes[0].started_at if record.processes else 0.0
     lines = [
         f"seed {options.seed}: {options.limiter_count} limiters, {options.server_count} servers, "
         f"{options.load_s:.0f} s, {len(record.requests)} requests, {verdict.attempt_count} attempts, "
@@ -400,8 +406,11 @@
         f"  findings: {dict(Counter(finding.invariant for finding in verdict.findings)) or 'none'}",
     ]
     if verdict.findings:
-        rows = [(at, f"fault  {text}") for at, text in record.faults]
-        cases = verdict.findings[:MOST_CASES]
-        rows += [(finding.occurred_at, f"BROKEN {finding.invariant}: {finding.text}") for finding in cases]
-        lines += [f"  {max(0.0, at - start):7.3f} {text}" for at, text in sorted(rows)]
+        events = [(occurred_at, f"fault  {text}") for occurred_at, text in record.faults]
+        reported_findings = verdict.findings[:MAX_REPORTED_FINDINGS]
+        events += [
+            (finding.occurred_at, f"BROKEN {finding.invariant}: {finding.text}")
+            for finding in reported_findings
+        ]
+        lines += [f"  {max(0.0, at - started_at):7.3f} {text}" for at, text in sorted(events)]
     return "\n".join(lines)
--- a/basaltpoint/rehearsal/soak/system.py
+++ b/basaltpoint/rehearsal/soak/system.py
@@ -1,7 +1,8 @@
-"""Failing system calls and stepped clocks of a soak: what one fault of the plan means in calls.
+"""Failing system calls and steps of the wall clock: turns a fault of the plan into fault table entries.
 
-Errors are those that accept(2), connect(2), socket(2), recv(2) and send(2) document. Errors that end a
-connection strike those to servers only: on a client's connection they would be the client's own end.
+The errors are those that accept(2), connect(2), socket(2), recv(2) and send(2) document. Errors that end a
+connection apply only to connections to servers: on the connection of a client they would mean that the client
+disconnected.
 """
 
 from __future__ import annotations
@@ -36,21 +37,21 @@
     errno.EINTR,
 )
 SOCKET_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-BROKEN_ERRORS = (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH)
-OUTAGE_S = 0.3  # all calls fail at most so long: clients wait for 0.15 s and more
-SHORT_BYTES = (1, 7, 64)
-STALL_US = (20_000, 120_000)  # STANDING: a limiter may be held up for 0.15 s before it writes
-STEPS_S = (-3600.0, -5.0, 5.0, 3600.0)
+CONNECTION_ERRORS = (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH)
+MAX_OUTAGE_S = 0.3  # if all calls fail; clients wait for 0.15 s or longer
+SHORT_TRANSFER_BYTES = (1, 7, 64)
+STALL_RANGE_US = (20_000, 120_000)  # a limiter may stall for 0.15 s before it writes (STANDING)
+WALL_CLOCK_STEPS_S = (-3600.0, -5.0, 5.0, 3600.0)
 
 
 @dataclass(frozen=True, slots=True)
 class SystemFault:
-    """What happens to the system calls of the processes that a fault strikes."""
+    """The effect of a fault on the system calls of the affected processes."""
 
-    text: str
+    text: str  # for the report
     duration_s: float
     call_faults: tuple[CallFault, ...] = ()
-    wall_clock_step_s: float = 0.0  # of the wall clock; it stays
+    wall_clock_step_s: float = 0.0  # permanent
 
     def begin(self, table: FaultTable) -> None:
         for fault in self.call_faults:
@@ -63,59 +64,59 @@
             table.deactivate(fault)
 
 
-def _failing(call: Call, errors: tuple[int, ...]) -> Callable[[Fault, random.Random], SystemFault]:
-    """Some of the calls fail for the fault's time, or all of them for a moment."""
+def _failing_call(call: Call, errors: tuple[int, ...]) -> Callable[[Fault, random.Random], SystemFault]:
+    """Lets some of the calls fail for the duration of the fault, or all of them for at most MAX_OUTAGE_S."""
 
-    def strike(fault: Fault, rng: random.Random) -> SystemFault:
-        error, part = rng.choice(errors), rng.choice((0.2, 0.5, 1.0))
-        if error == errno.EINTR:  # each takes a signal; Python asks again at once, and would stand still
-            part = min(part, 0.5)
-        for_s = min(fault.duration_s, OUTAGE_S) if part == 1.0 else fault.duration_s
-        text = f"{part:.0%} {errno.errorcode[error]} for {for_s:.2f} s"
-        return SystemFault(text, for_s, (CallFault(call, Effect.FAIL, part, error),))
+    def make_fault(fault: Fault, rng: random.Random) -> SystemFault:
+        error, probability = rng.choice(errors), rng.choice((0.2, 0.5, 1.0))
+        if error == errno.EINTR:  # Python repeats an interrupted call at once: at 1.0 it would never return
+            probability = min(probability, 0.5)
+        duration_s = min(fault.duration_s, MAX_OUTAGE_S) if probability == 1.0 else fault.duration_s
+        text = f"{probability:.0%} {errno.errorcode[error]} for {duration_s:.2f} s"
+        return SystemFault(text, duration_s, (CallFault(call, Effect.FAIL, probability, error),))
 
-    return strike
+    return make_fault
 
 
-def _interrupts(fault: Fault, rng: random.Random) -> SystemFault:
-    most = rng.choice(SHORT_BYTES)
+def _interrupted_calls(fault: Fault, rng: random.Random) -> SystemFault:
+    max_bytes = rng.choice(SHORT_TRANSFER_BYTES)
     interrupted = (
         CallFault(call, Effect.FAIL, 0.2, errno.EINTR) for call in (Call.READ, Call.WRITE, Call.POLL)
     )
-    short = (CallFault(call, Effect.SHORT, 0.3, value=most) for call in (Call.READ, Call.WRITE))
-    return SystemFault(f"at most {most} bytes", fault.duration_s, (*interrupted, *short))
+    short = (CallFault(call, Effect.SHORT, 0.3, value=max_bytes) for call in (Call.READ, Call.WRITE))
+    return SystemFault(f"at most {max_bytes} bytes", fault.duration_s, (*interrupted, *short))
 
 
-def _broken(fault: Fault, rng: random.Random) -> SystemFault:
-    error = rng.choice(BROKEN_ERRORS)
+def _broken_connections(fault: Fault, rng: random.Random) -> SystemFault:
+    error = rng.choice(CONNECTION_ERRORS)
     faults = (
         CallFault(call, Effect.FAIL, 0.05, error, side=Side.CONNECTED) for call in (Call.READ, Call.WRITE)
     )
     return SystemFault(errno.errorcode[error], fault.duration_s, tuple(faults))
 
 
-def _stall(fault: Fault, rng: random.Random) -> SystemFault:
-    value = rng.randrange(*STALL_US)
-    stall = CallFault(Call.WRITE, Effect.STALL, 0.02, value=value)
-    return SystemFault(f"{value / 1000:.0f} ms", fault.duration_s, (stall,))
+def _stalled_writes(fault: Fault, rng: random.Random) -> SystemFault:
+    stall_us = rng.randrange(*STALL_RANGE_US)
+    stall = CallFault(Call.WRITE, Effect.STALL, 0.02, value=stall_us)
+    return SystemFault(f"{stall_us / 1000:.0f} ms", fault.duration_s, (stall,))
 
 
-def _wall_step(fault: Fault, rng: random.Random) -> SystemFault:
-    step_s = rng.choice(STEPS_S)
+def _wall_clock_step(fault: Fault, rng: random.Random) -> SystemFault:
+    step_s = rng.choice(WALL_CLOCK_STEPS_S)
     return SystemFault(f"{step_s:+.0f} s", 0.0, wall_clock_step_s=step_s)
 
 
-_STRIKES = {
-    FaultKind.SYSTEM_ACCEPT: _failing(Call.ACCEPT, ACCEPT_ERRORS),
-    FaultKind.SYSTEM_CONNECT: _failing(Call.CONNECT, CONNECT_ERRORS),
-    FaultKind.SYSTEM_SOCKET: _failing(Call.SOCKET, SOCKET_ERRORS),
-    FaultKind.SYSTEM_INTERRUPTS: _interrupts,
-    FaultKind.SYSTEM_BROKEN: _broken,
-    FaultKind.SYSTEM_STALL: _stall,
-    FaultKind.WALL_STEP: _wall_step,
+_SYSTEM_FAULT_FACTORIES = {
+    FaultKind.SYSTEM_ACCEPT: _failing_call(Call.ACCEPT, ACCEPT_ERRORS),
+    FaultKind.SYSTEM_CONNECT: _failing_call(Call.CONNECT, CONNECT_ERRORS),
+    FaultKind.SYSTEM_SOCKET: _failing_call(Call.SOCKET, SOCKET_ERRORS),
+    FaultKind.SYSTEM_INTERRUPTS: _interrupted_calls,
+    FaultKind.SYSTEM_BROKEN: _broken_connections,
+    FaultKind.SYSTEM_STALL: _stalled_writes,
+    FaultKind.WALL_STEP: _wall_clock_step,
 }
 
 
-def system_fault(fault: Fault, rng: random.Random) -> SystemFault:
-    """What a fault of the plan does; KeyError where its kind strikes no system calls."""
-    return _STRIKES[fault.kind](fault, rng)
+def make_system_fault(fault: Fault, rng: random.Random) -> SystemFault:
+    """Returns the effect of a fault of the plan; raises KeyError if its kind does not affect system calls."""
+    return _SYSTEM_FAULT_FACTORIES[fault.kind](fault, rng)
--- a/basaltpoint/rehearsal/system_faults/__init__.py
+++ b/basaltpoint/rehearsal/system_faults/__init__.py
@@ -1,1 +1,1 @@
-"""System calls that fail on demand in real processes: a preloaded library, and the file that steers it."""
+"""Fault injection into the system calls of real processes: a preloaded library and its control file."""
--- a/basaltpoint/rehearsal/system_faults/library.py
+++ b/basaltpoint/rehearsal/system_faults/library.py
@@ -1,4 +1,4 @@
-"""The preloaded library: built from preload.c where the machine has a C compiler."""
+"""Builds the preloaded library from preload.c; this requires a C compiler on the host."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 
 class BuildError(Exception):
-    """The library can't be built here; says why."""
+    """The library cannot be built on this host; the message says why."""
 
 
 def find_compiler() -> str | None:
-    """The path of a C compiler; None where there is none."""
+    """Returns the path of a C compiler, or None if the host has none."""
     return next((path for name in COMPILERS if (path := shutil.which(name))), None)
 
 
 def build_library(folder: Path) -> Path:
-    """Build the library into a folder; BuildError."""
+    """Builds the library into `folder` and returns its path; raises BuildError if that fails."""
     command = find_compiler()
     if command is None:
         raise BuildError(f"there is no C compiler ({', '.join(COMPILERS)})")
-    made = folder / "basaltpoint-faults.so"
+    library = folder / "basaltpoint-faults.so"
     result = subprocess.run(
-        [command, "-O2", "-shared", "-fPIC", "-o", str(made), str(SOURCE), "-ldl"],
+        [command, "-O2", "-shared", "-fPIC", "-o", str(library), str(SOURCE), "-ldl"],
         capture_output=True,
         text=True,
         timeout=BUILD_TIMEOUT_S,
@@ -38,13 +38,13 @@
     )
     if result.returncode:
         raise BuildError(result.stderr[-1000:])
-    return made
+    return library
 
 
 def preload_environment(library: Path, table: FaultTable) -> dict[str, str]:
-    """What a process is started with for its calls to fail by this table."""
-    before = os.environ.get("LD_PRELOAD", "")
+    """Returns the environment variables with which a process loads the library and reads `table`."""
+    inherited = os.environ.get("LD_PRELOAD", "")
     return {
-        "LD_PRELOAD": f"{library}:{before}" if before else str(library),
+        "LD_PRELOAD": f"{library}:{inherited}" if inherited else str(library),
         "BASALTPOINT_FAULTS": str(table.path),
     }
--- a/basaltpoint/rehearsal/system_faults/preload.c
+++ b/basaltpoint/rehearsal/system_faults/preload.c
@@ -1,8 +1,8 @@
-/* System calls that fail on demand, for rehearsals: preloaded into a limiter (LD_PRELOAD).
+/* Fault injection into system calls, for rehearsals and soak tests: preloaded into a limiter (LD_PRELOAD).
  *
- * The file named by BASALTPOINT_FAULTS is mapped and read at each call; table.py writes it and describes its
- * layout. Without the variable every call goes through. Only IPv4 stream sockets, regular files other than the
- * standard streams, epoll and the wall clock are touched.
+ * The file that BASALTPOINT_FAULTS names is mapped and read at each call; table.py writes it and describes its
+ * layout. Without the variable no call is changed. Faults apply only to IPv4 stream sockets, to regular files
+ * other than the standard streams, to epoll and to the wall clock.
  *
  * Sources: accept(2), connect(2), socket(2), recv(2), send(2), fsync(2), clock_gettime(2) of the Linux manual.
  */
@@ -31,7 +31,7 @@
 struct fault {
     uint32_t call, effect, side;
     int32_t error;  /* errno of FAIL */
-    uint32_t part;  /* of 65,536 calls that are struck; 0: none, the entry is free */
+    uint32_t part;  /* probability in 65,536ths; 0: the entry is free */
     uint32_t value; /* bytes of SHORT, microseconds of STALL */
 };
 #define FAULTS 32
@@ -66,7 +66,7 @@
     if (!real)                                                                                                 \
         real = (__typeof__(&name))lookup(#name)
 
-static uint32_t draw(void) { /* xorshift64; races between threads only spoil the randomness */
+static uint32_t draw(void) { /* xorshift64; races between threads only affect the randomness */
     chance ^= chance << 13;
     chance ^= chance >> 7;
     chance ^= chance << 17;
@@ -95,7 +95,7 @@
     return descriptor >= 0 && descriptor < DESCRIPTORS && sides[descriptor] == fault->side;
 }
 
-/* Stand still, but not twice in a row: two short stalls would be one that is too long. */
+/* Sleeps, but not twice within STALL_APART_S: two stalls in a row could exceed the longest permitted stall. */
 static void stall(uint32_t microseconds) {
     static time_t last;
     struct timespec now, wait = {0, (long)microseconds * 1000};
@@ -106,7 +106,7 @@
     nanosleep(&wait, NULL);
 }
 
-/* What strikes this call now: the errno of a failure, or 0. SHORT narrows `*most`, STALL waits here. */
+/* Returns the errno with which this call fails, or 0. SHORT lowers `*most`; STALL sleeps here. */
 static int struck(enum call call, int descriptor, size_t *most) {
     if (!table)
         return 0;
@@ -115,7 +115,7 @@
         const volatile struct fault *fault = &table->faults[at];
         if (!fits(fault, call, descriptor))
             continue;
-        if (!relevant) { /* looked at last: it costs system calls */
+        if (!relevant) { /* checked last, because it costs system calls */
             if ((call == READ || call == WRITE) && !is_stream(descriptor))
                 break;
             if ((call == FILE_WRITE || call == FILE_SYNC) && !is_file(descriptor))
@@ -133,7 +133,7 @@
     return error;
 }
 
-/* A connection that has failed stays so: the peer sees its end, as after a reset or a time-out. */
+/* Shuts a failed connection down: it stays failed, and the peer sees its end, as after a reset or time-out. */
 static void ends(int descriptor, int error) {
     if (error != EINTR && error != EAGAIN && error != ENOBUFS && error != ENOMEM)
         shutdown(descriptor, SHUT_RDWR);
--- a/benchmarks/servers.py
+++ b/benchmarks/servers.py
@@ -181,7 +181,7 @@
             "balancers": LIMITERS,
             "zones": [f"hall-{n}" for n in range(5)],
         }
-        record = SoakRecord(soak.GRACE_S, soak.WINDOW_S, soak.LONGEST_S)
+        record = SoakRecord(soak.DRAIN_GRACE_S, soak.DEDUPLICATION_WINDOW_S, soak.MAX_DEADLINE_S)
         limiter = Limiter(0, self.folder, settings, record, False)
         limiter.configure(self.agent.address, self.registry.list_at(1))
         await limiter.start()
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -1,4 +1,4 @@
-"""Failing system calls on demand: what the preloaded library does to a real process, by its table."""
+"""System call faults: the preloaded library changes the calls of a process according to the fault table."""
 
 from __future__ import annotations
 
@@ -17,14 +17,15 @@
 pytestmark = pytest.mark.skipif(find_compiler() is None, reason="the library needs a C compiler")
 
 FAIL, SHORT, STALL = Effect.FAIL, Effect.SHORT, Effect.STALL
-PAIR = """
+# Runs before each test's code. result() returns the name of the errno if a call fails.
+SOCKET_PAIR_CODE = """
 import errno, os, socket, sys, time
-def name(call):
+def result(call):
     try:
         return call()
     except OSError as error:
         return errno.errorcode[error.errno]
-listener = name(lambda: socket.create_server(("127.0.0.1", 0)))
+listener = result(lambda: socket.create_server(("127.0.0.1", 0)))
 def pair():
     near = socket.socket()
     near.connect(listener.getsockname())
@@ -44,10 +45,10 @@
     made.close()
 
 
-def shown(library: Path, table: FaultTable, code: str) -> list[str]:
-    """The lines that a process prints which begins with a pair of connected sockets at hand."""
+def run_code(library: Path, table: FaultTable, code: str) -> list[str]:
+    """Runs `code` after SOCKET_PAIR_CODE in a process with the library; returns the lines that it prints."""
     result = subprocess.run(
-        [sys.executable, "-c", PAIR + code],
+        [sys.executable, "-c", SOCKET_PAIR_CODE + code],
         env=os.environ | preload_environment(library, table),
         capture_output=True,
         text=True,
@@ -62,15 +63,15 @@
     [
         (
             CallFault(Call.ACCEPT, FAIL, 1.0, errno.EPROTO),
-            "near = socket.socket(); near.connect(listener.getsockname()); print(name(listener.accept))",
+            "near = socket.socket(); near.connect(listener.getsockname()); print(result(listener.accept))",
             "EPROTO",
         ),
         (
             CallFault(Call.CONNECT, FAIL, 1.0, errno.EADDRNOTAVAIL),
-            "print(name(lambda: socket.socket().connect(listener.getsockname())))",
+            "print(result(lambda: socket.socket().connect(listener.getsockname())))",
             "EADDRNOTAVAIL",
         ),
-        (CallFault(Call.SOCKET, FAIL, 1.0, errno.ENFILE), "print(name(socket.socket))", "ENFILE"),
+        (CallFault(Call.SOCKET, FAIL, 1.0, errno.ENFILE), "print(result(socket.socket))", "ENFILE"),
         (
             CallFault(Call.WRITE, SHORT, 1.0, value=7),
             "near, far = pair(); print(near.send(b'x' * 100))",
@@ -85,7 +86,7 @@
             CallFault(Call.READ, FAIL, 1.0, errno.ETIMEDOUT, side=Side.CONNECTED),
             "near, far = pair(); far.send(b'a'); near.send(b'b')\n"
             "far.setblocking(False)\n"
-            "print(far.recv(9), name(lambda: near.recv(9)), name(lambda: far.recv(9)))",
+            "print(far.recv(9), result(lambda: near.recv(9)), result(lambda: far.recv(9)))",
             "b'b' ETIMEDOUT b''",
         ),
         (
@@ -95,41 +96,39 @@
         ),
         (
             CallFault(Call.FILE_SYNC, FAIL, 1.0, errno.EIO),
-            "f = os.open(sys.executable, os.O_RDONLY); print(name(lambda: os.fsync(f)))",
+            "f = os.open(sys.executable, os.O_RDONLY); print(result(lambda: os.fsync(f)))",
             "EIO",
         ),
     ],
     ids=["accept", "connect", "socket", "short write", "short read", "broken", "stall", "sync"],
 )
-def test_a_call_fails_as_the_table_says(
+def test_call_fails_as_the_table_says(
     library: Path, table: FaultTable, fault: CallFault, code: str, expected: str
 ) -> None:
     table.activate(fault)
-    assert shown(library, table, code) == [expected]
+    assert run_code(library, table, code) == [expected]
     table.deactivate(fault)
-    assert shown(library, table, code) != [expected]
+    assert run_code(library, table, code) != [expected]
 
 
-def test_a_full_disk_strikes_files_and_not_the_standard_streams(
+def test_full_disk_affects_files_but_not_standard_streams(
     library: Path, table: FaultTable, tmp_path: Path
 ) -> None:
     table.activate(CallFault(Call.FILE_WRITE, FAIL, 1.0, errno.ENOSPC))
     code = f"""
 f = os.open({str(tmp_path / "file")!r}, os.O_CREAT | os.O_WRONLY)
-print(name(lambda: os.write(f, b"x")))
+print(result(lambda: os.write(f, b"x")))
 """
-    assert shown(library, table, code) == ["ENOSPC"]
+    assert run_code(library, table, code) == ["ENOSPC"]
 
 
-def test_the_wall_clock_steps_under_a_running_process_and_the_monotonic_one_does_not(
-    library: Path, table: FaultTable
-) -> None:
+def test_wall_clock_steps_while_the_monotonic_clock_does_not(library: Path, table: FaultTable) -> None:
     code = """
 m = time.monotonic(); w = time.time(); print("ready", flush=True); input()
 print(round((time.time() - w - (time.monotonic() - m)) / 10) * 10)
 """
     with subprocess.Popen(
-        [sys.executable, "-c", PAIR + code],
+        [sys.executable, "-c", SOCKET_PAIR_CODE + code],
         env=os.environ | preload_environment(library, table),
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
@@ -141,12 +140,12 @@
     assert out == "-3600\n"
 
 
-def test_without_a_fault_every_call_goes_through(library: Path, table: FaultTable) -> None:
+def test_calls_succeed_without_faults(library: Path, table: FaultTable) -> None:
     code = "near, far = pair(); print(near.send(b'abc'), far.recv(9), abs(time.time() - time.time()) < 1)"
-    assert shown(library, table, code) == ["3 b'abc' True"]
+    assert run_code(library, table, code) == ["3 b'abc' True"]
 
 
-def test_a_thirty_third_fault_is_an_error(table: FaultTable) -> None:
+def test_more_faults_than_entries_is_an_error(table: FaultTable) -> None:
     for value in range(32):
         table.activate(CallFault(Call.READ, SHORT, 1.0, value=value))
     with pytest.raises(ValueError):
