--- a/basaltpoint/rehearsal/events.py
+++ b/basaltpoint/rehearsal/events.py
@@ -1,4 +1,4 @@
-"""What happened in a rehearsal, as plain records: the checks are pure functions over them."""
+"""Records of what happened in a rehearsal; the checks are pure functions over them."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """A member's view of another changed. Times are seconds of the rehearsal."""
+    """A change in the view that one member has of another."""
 
-    at_s: float
+    at_s: float  # seconds, monotonic or of the model
     observer: str
     member: str
     incarnation: int
-    state: str  # joining, alive, suspect, dead, left; gone where a view no longer holds the name
+    state: str  # joining, alive, suspect, dead, left; gone if the view no longer holds the name
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessLifetime:
-    """A process from its start to its end; infinite where it was still there."""
+    """The time that one process ran; `ended_s` is infinite while it runs. Times are seconds."""
 
     name: str
     started_s: float
     ended_s: float
-    is_announced: bool = False  # it ended in good order, and said so
-    first_incarnation: int = 0  # its first: what is said of a lower one is said of an earlier life
+    is_announced: bool = False  # it left in good order and told its peers
+    first_incarnation: int = 0  # observations of a lower one concern an earlier process
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorCommand:
-    """An operator's command about a server, given to one limiter's links to the store."""
+    """An operator's command about a server, sent to the store over one limiter's links. Times are seconds."""
 
-    command: str  # drain, undrain
+    command: str  # drain or undrain
     server: str
     limiter: str
     started_s: float
@@ -41,9 +41,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """Something that must not be."""
+    """A violation: something that must not happen."""
 
     at_s: float
-    kind: str
+    kind: str  # as it stands in the verdict, e.g. "wrong death"
     members: tuple[str, ...]
     expected: str
--- a/basaltpoint/rehearsal/faults.py
+++ b/basaltpoint/rehearsal/faults.py
@@ -1,4 +1,4 @@
-"""Faults as values: kind, when, on whom. The model and the real processes play the same."""
+"""Faults as plain values: kind, time and targets. The model and the real processes use the same values."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 
 class FaultKind(Enum):
-    """What is done to members, or to the messages from some to others."""
+    """What a fault does to members, or to the messages between them."""
 
-    CUT = "cut"  # messages from `from` to `to` are lost
+    CUT = "cut"  # all messages from `from` to `to` are lost
     SPLIT = "split"  # no message passes between `sides`
-    DROP = "drop"  # a part of the messages is lost
-    DELAY = "delay"  # messages come later, in their order
-    STALL = "stall"  # connections stay, nothing moves
-    RESET = "reset"  # connections are reset, once
-    PAUSE = "pause"  # SIGSTOP, SIGCONT
-    KILL = "kill"  # SIGKILL, started again after `for_s`
-    STOP = "stop"  # SIGTERM, the same
-    WIPE = "wipe"  # killed, its folder lost, started again
-    PUTBACK = "putback"  # killed, an older copy of its folder, started again
-    UPGRADE = "upgrade"  # a new process of the limiter takes over from the one that runs
-    DRAIN = "drain"  # a server's drain is told to the limiter `on`
+    DROP = "drop"  # a fraction of the messages is lost
+    DELAY = "delay"  # messages are delayed and keep their order
+    STALL = "stall"  # connections stay open, and nothing passes
+    RESET = "reset"  # open connections are reset once
+    PAUSE = "pause"  # SIGSTOP, and SIGCONT after `for_s`
+    KILL = "kill"  # SIGKILL, and a restart after `for_s`
+    STOP = "stop"  # SIGTERM, and a restart after `for_s`
+    WIPE = "wipe"  # SIGKILL, and a restart after `for_s` with an empty folder
+    PUTBACK = "putback"  # SIGKILL, and a restart after `for_s` with an older copy of its folder
+    UPGRADE = "upgrade"  # a new process of the limiter takes over from the running one
+    DRAIN = "drain"  # an operator drains a server through the limiter `on`
     UNDRAIN = "undrain"
-    FULL = "full"  # writes to files give ENOSPC
-    SYNC = "sync"  # a part of the syncs of files gives EIO
-    CALLS = "calls"  # a part of a kind of system calls gives an errno
-    CLOCK = "clock"  # the wall clock steps, and stays there
+    FULL = "full"  # writes to files fail with ENOSPC
+    SYNC = "sync"  # a fraction of file syncs fails with EIO
+    CALLS = "calls"  # a fraction of the calls of one system call fails with an errno
+    CLOCK = "clock"  # the wall clock steps and keeps the new offset
 
 
 LINK_FAULTS = (
@@ -48,35 +48,36 @@
     FaultKind.UPGRADE,
 )
 SERVER_FAULTS = (FaultKind.DRAIN, FaultKind.UNDRAIN)
+# These need real processes, as they affect system calls and clocks.
 SYSTEM_FAULTS = (
     FaultKind.FULL,
     FaultKind.SYNC,
     FaultKind.CALLS,
     FaultKind.CLOCK,
-)  # of real processes alone: their calls and clocks
+)
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault; times are seconds of the rehearsal."""
+    """One fault; times are seconds from the start of the rehearsal."""
 
     kind: FaultKind
     start_s: float
-    end_s: float  # infinite: to the end
+    end_s: float  # infinite if it lasts until the end
     members: tuple[str, ...] = ()
     sources: tuple[str, ...] = ()
     targets: tuple[str, ...] = ()
     sides: tuple[tuple[str, ...], ...] = ()
-    fraction: float = 1.0  # of the messages that are lost
+    fraction: float = 1.0  # of messages that are lost, or of system calls that fail
     delay_s: float = 0.0
     jitter_s: float = 0.0
     server: str = ""
-    system_call: str = ""  # of CALLS: which
-    errno_name: str = ""  # and its errno's name
-    clock_step_s: float = 0.0  # of CLOCK
+    system_call: str = ""  # for CALLS: its name in the scenario file
+    errno_name: str = ""  # for CALLS, e.g. ENFILE
+    clock_step_s: float = 0.0  # for CLOCK
 
     def affects_link(self, source: str, target: str) -> bool:
-        """Whether it is on the way from one to the other."""
+        """Whether the fault affects messages from `source` to `target`."""
         if self.kind is FaultKind.SPLIT:
             one, other = (
                 next((at for at, side in enumerate(self.sides) if name in side), -1)
@@ -86,7 +87,7 @@
         return source in self.sources and target in self.targets
 
     def describe(self) -> str:
-        """In a few words, for reports."""
+        """Returns a short description for reports."""
         if self.kind is FaultKind.SPLIT:
             who = " | ".join(" ".join(side) for side in self.sides)
         elif self.kind in LINK_FAULTS:
@@ -104,47 +105,47 @@
 
 @dataclass(slots=True)
 class LinkState:
-    """What holds on the way from one to another now."""
+    """The faults that are active now on the link from one member to another, combined."""
 
-    loss_fraction: float = 0.0  # part of the messages
+    loss_fraction: float = 0.0  # of the messages
     is_stalled: bool = False
     delay_s: float = 0.0
     jitter_s: float = 0.0
 
     @property
     def is_blocked(self) -> bool:
-        """Whether nothing passes: no connection can be made either."""
+        """Whether nothing passes; no connection can be opened either."""
         return self.loss_fraction >= 1.0 or self.is_stalled
 
 
 @dataclass(slots=True)
 class ActiveLinkFaults:
-    """The faults on links that hold now."""
+    """The link faults that are active now."""
 
     faults: list[Fault] = field(default_factory=list)
 
     def link_state(self, source: str, target: str) -> LinkState:
-        made = LinkState()
+        state = LinkState()
         for fault in self.faults:
             if not fault.affects_link(source, target):
                 continue
             match fault.kind:
                 case FaultKind.CUT | FaultKind.SPLIT:
-                    made.loss_fraction = 1.0
+                    state.loss_fraction = 1.0
                 case FaultKind.DROP:
-                    made.loss_fraction = 1.0 - (1.0 - made.loss_fraction) * (1.0 - fault.fraction)
+                    state.loss_fraction = 1.0 - (1.0 - state.loss_fraction) * (1.0 - fault.fraction)
                 case FaultKind.STALL:
-                    made.is_stalled = True
+                    state.is_stalled = True
                 case FaultKind.DELAY:
-                    made.delay_s += fault.delay_s
-                    made.jitter_s += fault.jitter_s
+                    state.delay_s += fault.delay_s
+                    state.jitter_s += fault.jitter_s
                 case _:
                     pass
-        return made
+        return state
 
 
 def restrict_to_members(faults: Iterable[Fault], names: Collection[str]) -> list[Fault]:
-    """What of the faults concerns these alone: members by themselves, or links between two of them."""
+    """Returns the faults restricted to the named members and the links between them."""
     found = []
     for fault in faults:
         on, sources, targets = (
@@ -158,26 +159,26 @@
 
 
 def shift_times(fault: Fault, by_s: float) -> Fault:
-    """The same by another clock."""
+    """Returns the fault with both times moved by `by_s` seconds, for another clock."""
     return replace(fault, start_s=fault.start_s + by_s, end_s=fault.end_s + by_s)
 
 
 def last_fault_end_s(faults: Sequence[Fault], seconds: float) -> float:
-    """When the last fault is over, where one ends at all."""
-    # A process that never comes back is an event, not a state that others wait for.
+    """Returns when the last fault ends, in seconds; 0 without faults."""
+    # A process that never comes back counts at the start of its fault: the others do not wait for it.
     once = [fault.kind is FaultKind.RESET or (fault.members and fault.end_s >= seconds) for fault in faults]
     ends = [fault.start_s if at_once else fault.end_s for fault, at_once in zip(faults, once, strict=True)]
     return max((min(end, seconds) for end in ends), default=0.0)
 
 
 def separates_until_end(faults: Iterable[Fault], seconds: float) -> bool:
-    """Whether a fault that keeps members apart holds to the end, so that they need not agree."""
+    """Whether a fault that separates members lasts until the end, so that their views need not agree."""
     kinds = {*LINK_FAULTS, FaultKind.PAUSE} - {FaultKind.RESET}
     return any(fault.end_s >= seconds and fault.kind in kinds for fault in faults)
 
 
 def random_faults(rng: random.Random, names: list[str], seconds: float, count: int) -> list[Fault]:
-    """Faults of all kinds at random, each over before the last third."""
+    """Returns `count` random faults on links and processes, all over before the last third of `seconds`."""
     found = []
     for _ in range(count):
         at = rng.uniform(0.1, 0.4) * seconds
--- a/basaltpoint/rehearsal/links.py
+++ b/basaltpoint/rehearsal/links.py
@@ -1,7 +1,7 @@
-"""Links that can be spoilt: a stand-in before each member, through which all others reach it.
+"""Network proxies that inject faults on links: one in front of each member, used by all others.
 
-It reads the greeting of whoever calls, so it knows both ends, and passes whole frames on: each direction
-alone can lose, delay or hold them. Nothing is changed in what passes.
+A proxy reads the greeting of each connection, so it knows both ends, and forwards whole frames. It can lose,
+delay or stall them in each direction separately. It does not change the content of the frames.
 """
 
 from __future__ import annotations
@@ -15,44 +15,44 @@
 from basaltpoint.links.frames import LENGTH_PREFIX, decode_greeting
 from basaltpoint.rehearsal.faults import ActiveLinkFaults
 
-LOOK_S = 0.02  # between two looks whether a held way is free
-LONGEST = 64 << 20  # bytes of a frame; more ends the connection
+POLL_INTERVAL_S = 0.02  # between checks whether a stalled link is free
+MAX_FRAME_BYTES = 64 << 20  # a longer frame closes the connection
 
 
 class LinkProxies:
-    """The stand-ins of one rehearsal."""
+    """The proxies of one rehearsal."""
 
-    def __init__(self, spoilt: ActiveLinkFaults, seed: int = 1) -> None:
-        self.spoilt = spoilt
+    def __init__(self, link_faults: ActiveLinkFaults, seed: int = 1) -> None:
+        self.link_faults = link_faults
         self._rng = random.Random(seed)
-        self.forwarded_frames: Counter[tuple[str, str]] = Counter()  # frames by way
+        self.forwarded_frames: Counter[tuple[str, str]] = Counter()  # by source and target
         self._servers: list[asyncio.Server] = []
         self._tasks: set[asyncio.Task[None]] = set()
-        self._open: dict[asyncio.StreamWriter, tuple[str, str]] = {}
+        self._open_links: dict[asyncio.StreamWriter, tuple[str, str]] = {}
 
     async def add_proxy(self, name: str, address: str, caller: str = "") -> str:
-        """Stand before a member that listens there; the address for the others.
+        """Starts a proxy in front of the member `name`, which listens at `address`; returns its address.
 
-        `caller`: who alone is told of it, where its greeting holds no name.
+        `caller` names the only user of this proxy, for greetings that hold no name.
         """
 
-        async def made(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             task = asyncio.current_task()
             assert task
             self._tasks.add(task)
             try:
-                await self._carry(caller, name, address, reader, writer)
+                await self._forward_connection(caller, name, address, reader, writer)
             except (OSError, EOFError, TimeoutError, asyncio.CancelledError):
-                writer.transport.abort()  # at the rehearsal's end, too: nobody waits for this task
+                writer.transport.abort()  # also at the end of the rehearsal, as nothing awaits this task
             finally:
                 self._tasks.discard(task)
 
-        server = await asyncio.start_server(made, "127.0.0.1", 0)
+        server = await asyncio.start_server(accept, "127.0.0.1", 0)
         self._servers.append(server)
         host, port = server.sockets[0].getsockname()
         return f"{host}:{port}"
 
-    async def _carry(
+    async def _forward_connection(
         self,
         caller: str,
         target: str,
@@ -60,53 +60,53 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        there, back = await asyncio.open_connection(*parse_address(address))
+        target_reader, target_writer = await asyncio.open_connection(*parse_address(address))
         try:
-            greeting = await _frame(reader)
-            said = decode_greeting(greeting)
-            source = (said.name if said else "") or caller
-            self._open[writer] = self._open[back] = (source, target)
-            if not self.spoilt.link_state(source, target).loss_fraction >= 1.0:
-                back.write(greeting)
+            greeting = await _read_frame(reader)
+            decoded = decode_greeting(greeting)
+            source = (decoded.name if decoded else "") or caller
+            self._open_links[writer] = self._open_links[target_writer] = (source, target)
+            if not self.link_faults.link_state(source, target).loss_fraction >= 1.0:
+                target_writer.write(greeting)
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._pass(source, target, reader, back))
-                group.create_task(self._pass(target, source, there, writer))
+                group.create_task(self._forward_frames(source, target, reader, target_writer))
+                group.create_task(self._forward_frames(target, source, target_reader, writer))
         except* (OSError, EOFError):
             pass
         finally:
-            for side in (writer, back):
-                self._open.pop(side, None)
+            for side in (writer, target_writer):
+                self._open_links.pop(side, None)
                 side.transport.abort()
 
-    async def _pass(
+    async def _forward_frames(
         self, source: str, target: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         first = True
         while True:
             try:
-                frame = await _frame(reader)
+                frame = await _read_frame(reader)
             except (OSError, EOFError):
-                # An end is news, too: it passes only where something does.
-                while self.spoilt.link_state(source, target).is_blocked:
-                    await asyncio.sleep(LOOK_S)
+                # The end of a connection is information, too: it passes only if the link lets frames pass.
+                while self.link_faults.link_state(source, target).is_blocked:
+                    await asyncio.sleep(POLL_INTERVAL_S)
                 raise
-            way = self.spoilt.link_state(source, target)
-            while way.is_stalled:
-                await asyncio.sleep(LOOK_S)
-                way = self.spoilt.link_state(source, target)
-            if delay := way.delay_s + self._rng.uniform(0.0, way.jitter_s):
+            state = self.link_faults.link_state(source, target)
+            while state.is_stalled:
+                await asyncio.sleep(POLL_INTERVAL_S)
+                state = self.link_faults.link_state(source, target)
+            if delay := state.delay_s + self._rng.uniform(0.0, state.jitter_s):
                 await asyncio.sleep(delay)
             greeting, first = first and decode_greeting(frame) is not None, False
-            # A lossy way delays what makes a connection, as it is sent again; a cut one lets nothing through.
-            if way.loss_fraction >= 1.0 or (not greeting and self._rng.random() < way.loss_fraction):
+            # Loss does not drop greetings, as TCP would send them again; a cut link drops everything.
+            if state.loss_fraction >= 1.0 or (not greeting and self._rng.random() < state.loss_fraction):
                 continue
             self.forwarded_frames[source, target] += 1
             writer.write(frame)
             await writer.drain()
 
     def reset_connections(self, sources: tuple[str, ...], targets: tuple[str, ...]) -> None:
-        """Reset what is open between them."""
-        for writer, (one, other) in list(self._open.items()):
+        """Resets all open connections between `sources` and `targets`."""
+        for writer, (one, other) in list(self._open_links.items()):
             if (one in sources and other in targets) or (other in sources and one in targets):
                 writer.transport.abort()
 
@@ -120,9 +120,9 @@
             await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def _frame(reader: asyncio.StreamReader) -> bytes:
+async def _read_frame(reader: asyncio.StreamReader) -> bytes:
     head = await reader.readexactly(LENGTH_PREFIX.size)
     (length,) = LENGTH_PREFIX.unpack(head)
-    if length > LONGEST:
+    if length > MAX_FRAME_BYTES:
         raise EOFError
     return head + await reader.readexactly(length)
--- a/basaltpoint/rehearsal/probe.py
+++ b/basaltpoint/rehearsal/probe.py
@@ -1,6 +1,7 @@
-"""What a rehearsal's store did, as one client saw it that writes, reads and watches all the while.
+"""Probes the store of a rehearsal with a client that writes, reads and watches one key all the time.
 
-The client asks the replicas themselves, over links that no fault spoils: what it meets is the store's own.
+The client connects to the replicas directly, without proxies, so no link fault affects its requests: delays
+and errors that it sees are those of the store.
 """
 
 from __future__ import annotations
@@ -16,14 +17,14 @@
 from basaltpoint.store.client import Client
 from basaltpoint.store.state_machine import CompactedError
 
-KEY = "rehearsal/probe"
-WAIT_S = 0.05  # between two writes, and two reads
-FOR_EVER_S = 1e6  # an answer that does not come shows in the record, not as an error
+PROBE_KEY = "rehearsal/probe"
+OPERATION_INTERVAL_S = 0.05  # between two writes, and between two reads
+OPERATION_TIMEOUT_S = 1e6  # so long that a missing response shows in the record, not as an error
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeOperation:
-    """A write of a number, or a read that found it. Infinite `done_s`: not known to be done."""
+    """A write of a number, or a read that returned it; `completed_s` is infinite without a response."""
 
     number: int
     started_s: float
@@ -32,53 +33,67 @@
 
 @dataclass(slots=True)
 class ProbeRecord:
-    """All that the client did and heard, in order; seconds of one clock."""
+    """All operations of the client and events of its watch, in order; times are monotonic seconds."""
 
     writes: list[ProbeOperation] = field(default_factory=list)
     reads: list[ProbeOperation] = field(default_factory=list)
-    watched: list[tuple[int, float]] = field(default_factory=list)  # of the watch: number, when
+    watched: list[tuple[int, float]] = field(default_factory=list)  # by the watch: number, seconds
 
 
 def find_violations(record: ProbeRecord) -> list[Finding]:
-    """What no fault excuses: a read older than an acknowledged write, a watch that skips or turns back."""
+    """Returns the violations that no fault excuses.
+
+    These are reads that miss an acknowledged write, and watches that skip an event or go back.
+    """
     found = []
     done = sorted((write.completed_s, write.number) for write in record.writes)
     for read in record.reads:
-        least = max((number for at, number in done if at < read.started_s), default=0)
-        if read.number < least:
-            expected = f"a read to find {least}, acknowledged before it, not {read.number}"
+        newest = max((number for at, number in done if at < read.started_s), default=0)
+        if read.number < newest:
+            expected = f"a read to return {newest}, acknowledged before it, not {read.number}"
             found.append(Finding(read.started_s, "stale read", (), expected))
-    before = 0
+    previous = 0
     for number, at in record.watched:
-        if number != before + 1:
-            expected = f"the watch to tell of {before + 1}, not {number}"
+        if number != previous + 1:
+            expected = f"the watch to report {previous + 1}, not {number}"
             found.append(Finding(at, "watch", (), expected))
-        before = number
-    known = max((write.number for write in record.writes if write.completed_s < math.inf), default=0)
-    if before < known:
-        found.append(Finding(math.inf, "watch", (), f"the watch to tell of {known}, not of {before} alone"))
+        previous = number
+    acknowledged = max((write.number for write in record.writes if write.completed_s < math.inf), default=0)
+    if previous < acknowledged:
+        found.append(
+            Finding(
+                math.inf, "watch", (), f"the watch to report {acknowledged}; {previous} was its last event"
+            )
+        )
     return found
 
 
 def longest_delays(record: ProbeRecord, end_s: float) -> dict[str, float]:
-    """The longest that a write, a read, and the news of a write took; what never came counts to the end."""
-    heard = dict(record.watched)
-    news = [
-        heard.get(one.number, end_s) - one.completed_s for one in record.writes if one.completed_s < math.inf
+    """Returns the longest write, read and delay of a watch event, in seconds.
+
+    An operation or event that never completed counts until `end_s`.
+    """
+    event_times = dict(record.watched)
+    delays = [
+        event_times.get(one.number, end_s) - one.completed_s
+        for one in record.writes
+        if one.completed_s < math.inf
     ]
     return {
-        "write_s": _longest(record.writes, end_s),
-        "read_s": _longest(record.reads, end_s),
-        "watch_s": max(0.0, max(news, default=0.0)),
+        "write_s": _longest_operation_s(record.writes, end_s),
+        "read_s": _longest_operation_s(record.reads, end_s),
+        "watch_s": max(0.0, max(delays, default=0.0)),
     }
 
 
-def _longest(asked: Sequence[ProbeOperation], end_s: float) -> float:
-    return max((min(one.completed_s, end_s) - one.started_s for one in asked), default=0.0)
+def _longest_operation_s(operations: Sequence[ProbeOperation], end_s: float) -> float:
+    return max(
+        (min(operation.completed_s, end_s) - operation.started_s for operation in operations), default=0.0
+    )
 
 
 class StoreProbe:
-    """The client; it asks from its making on."""
+    """The probing client; it starts when it is created and needs a running event loop."""
 
     def __init__(self, make: Callable[[], Client]) -> None:
         self.record = ProbeRecord()
@@ -89,7 +104,7 @@
         self._tasks = [asyncio.ensure_future(each) for each in work]
 
     async def stop(self, within_s: float) -> None:
-        """End it, once what is out is done and was heard of, or the time is up."""
+        """Stops after the pending operations completed and the watch reported them, or after `within_s`."""
         self._stop = True
         end = time.monotonic() + within_s
         while time.monotonic() < end and not self._settled():
@@ -106,37 +121,38 @@
             return False
         return not record.writes or bool(record.watched and record.watched[-1][0] == record.writes[-1].number)
 
-    async def _asked(self, rows: list[ProbeOperation], number: int, answer: Awaitable[int]) -> None:
-        """The row is there while the answer is not."""
-        began = time.monotonic()
-        rows.append(ProbeOperation(number, began, math.inf))
-        found = await answer
-        rows[-1] = ProbeOperation(found, began, time.monotonic())
-        await asyncio.sleep(WAIT_S)
+    async def _record_operation(
+        self, operations: list[ProbeOperation], number: int, response: Awaitable[int]
+    ) -> None:
+        """Records an operation, also while its response is still pending."""
+        started_s = time.monotonic()
+        operations.append(ProbeOperation(number, started_s, math.inf))
+        value = await response
+        operations[-1] = ProbeOperation(value, started_s, time.monotonic())
+        await asyncio.sleep(OPERATION_INTERVAL_S)
 
     async def _write(self, client: Client) -> None:
         async def put(number: int) -> int:
-            await client.put(
-                KEY, b"%d" % number, within_s=FOR_EVER_S
-            )  # applied once, however often it is asked
+            # The store applies it once, also after retries.
+            await client.put(PROBE_KEY, b"%d" % number, within_s=OPERATION_TIMEOUT_S)
             return number
 
         while not self._stop:
             number = len(self.record.writes) + 1
-            await self._asked(self.record.writes, number, put(number))
+            await self._record_operation(self.record.writes, number, put(number))
 
     async def _read(self, client: Client) -> None:
         async def get() -> int:
-            held = await client.get(KEY, within_s=FOR_EVER_S)
-            return int(held.value) if held else 0
+            entry = await client.get(PROBE_KEY, within_s=OPERATION_TIMEOUT_S)
+            return int(entry.value) if entry else 0
 
         while not self._stop:
-            await self._asked(self.record.reads, 0, get())
+            await self._record_operation(self.record.reads, 0, get())
 
     async def _watch(self, client: Client) -> None:
         while True:
             with contextlib.suppress(CompactedError):
-                async for events, _ in client.watch(KEY, 1):
+                async for events, _ in client.watch(PROBE_KEY, 1):
                     for event in events:
                         if event.value:
                             self.record.watched.append((int(event.value.value), time.monotonic()))
--- a/basaltpoint/rehearsal/processes.py
+++ b/basaltpoint/rehearsal/processes.py
@@ -1,4 +1,4 @@
-"""Real limiters as processes, each behind a link that can be spoilt, and the faults on them."""
+"""Runs limiters and replicas as processes, each behind a proxy, and injects the faults."""
 
 from __future__ import annotations
 
@@ -29,37 +29,36 @@
 from basaltpoint.rehearsal.system_faults.table import Call, CallFault, Effect, FaultTable
 
 JOURNAL_FILE = "journal.jsonl"
-COPY = "copy"  # of what a limiter has, in its folder
-SYSTEM_TABLE = "system-faults"
-STAYS = ("limiter.toml", "log.txt", JOURNAL_FILE, COPY, SYSTEM_TABLE)
-SEEDS = 3  # members that all know at their start
-END_S = 20.0  # for a process to end after SIGTERM
-LOOK_S = 0.02  # between two looks at a log
-SUCCESSOR_READY_TEXT = (
-    "ready: this process serves once"  # in the log of a process that waits for the older one's end
-)
-TELL_S = 30.0  # for an operator's command to be acknowledged
-STORE_CLUSTER = "rehearsal"  # of the store
+COPY_FOLDER = "copy"  # of a limiter's files, in its folder
+SYSTEM_FAULT_FILE = "system-faults"
+REHEARSAL_FILES = ("limiter.toml", "log.txt", JOURNAL_FILE, COPY_FOLDER, SYSTEM_FAULT_FILE)
+SEED_COUNT = 3  # members that each limiter knows at its start
+TERMINATION_TIMEOUT_S = 20.0  # for a process to exit after a signal
+POLL_INTERVAL_S = 0.02  # between two checks of a log
+# Logged by a successor that waits for the exit of its predecessor.
+SUCCESSOR_READY_TEXT = "ready: this process serves once"
+COMMAND_TIMEOUT_S = 30.0  # for the acknowledgement of an operator's command
+STORE_CLUSTER = "rehearsal"  # name of the store's cluster
 PROGRAM = (sys.executable, "-m", "basaltpoint")
 
 
 def free_addresses(count: int) -> list[str]:
-    """Addresses for processes that must come back at the same ones.
+    """Returns free addresses for processes that restart at the same address.
 
-    On a host of the loopback drawn for this rehearsal alone: neither another rehearsal nor a connection that
-    the system gives a port of its own takes one while its process is not there.
+    They are on a random loopback host that only this rehearsal uses. Otherwise another rehearsal, or a
+    connection with an ephemeral port, could take an address while its process is down.
     """
     host = ".".join(["127", *(str(1 + secrets.randbelow(250)) for _ in range(3))])
-    held = [socket.create_server((host, 0)) for _ in range(count)]
+    sockets = [socket.create_server((host, 0)) for _ in range(count)]
     try:
-        return [f"{host}:{sock.getsockname()[1]}" for sock in held]
+        return [f"{host}:{sock.getsockname()[1]}" for sock in sockets]
     finally:
-        for sock in held:
+        for sock in sockets:
             sock.close()
 
 
 def call_fault(fault: Fault) -> CallFault:
-    """Which system calls a fault of the kinds FULL, SYNC and CALLS strikes, and how."""
+    """Returns the system call failure of a fault of the kinds FULL, SYNC or CALLS."""
     match fault.kind:
         case FaultKind.FULL:
             return CallFault(Call.FILE_WRITE, Effect.FAIL, 1.0, errno.ENOSPC)
@@ -76,27 +75,25 @@
 
 
 def _sockets(folder: str, names: list[str]) -> list[str]:
-    """Those that can't be copied: they are made anew at a start."""
+    """Returns the sockets, which can't be copied; a process creates them again at its start."""
     return [name for name in names if (Path(folder) / name).is_socket()]
 
 
 @dataclass(slots=True)
 class MemberProcess:
-    """One limiter."""
+    """One limiter or replica, through all its processes."""
 
     name: str
     folder: Path
-    client_address: str  # for clients
-    own_address: str  # where its peers' socket is
-    advertised_address: str  # where the others reach it
+    client_address: str  # for a limiter's clients
+    own_address: str  # where it listens for peers
+    advertised_address: str  # of its proxy, where the others connect
     subcommand: tuple[str, ...] = ("serve",)
     process: subprocess.Popen[bytes] | None = None
-    ended_lifetimes: list[ProcessLifetime] = field(
-        default_factory=list
-    )  # ended ones, their first incarnation not filled in
-    started_s: float = math.inf
+    ended_lifetimes: list[ProcessLifetime] = field(default_factory=list)  # without first incarnations
+    started_s: float = math.inf  # infinite while no process runs
     is_paused: bool = False
-    system_faults: FaultTable | None = None  # by which its system calls fail
+    system_faults: FaultTable | None = None  # of its failing system calls
 
     @property
     def config_file(self) -> Path:
@@ -104,7 +101,7 @@
 
 
 class FleetProcesses:
-    """The limiters of one rehearsal; times are seconds of the monotonic clock."""
+    """The limiters and replicas of one rehearsal; times are seconds of the monotonic clock."""
 
     def __init__(
         self,
@@ -114,66 +111,86 @@
         fleet_settings: str = "",
         seed: int = 1,
         replicas: Sequence[str] = (),
-        seed_count: int = SEEDS,
+        seed_count: int = SEED_COUNT,
         inject_system_faults: bool = False,
     ) -> None:
-        """`names`: the limiters. `replicas`: of the store that they share, where there are any. `seeds`: how
-        many of the limiters are named in each one's file. `system`: their system calls may fail; BuildError
-        from `prepare` where that can't be had."""
-        self._system = inject_system_faults
+        """Sets up the fleet without creating files or starting processes.
+
+        `names` are the limiters and `replicas` those of the store that they share, if any. `tables` and
+        `fleet_settings` are TOML text for each limiter's file, the latter for its `[fleet]` table.
+        `seed_count` is the number of limiters that each file names as seeds. With `inject_system_faults` system calls can
+        fail; `prepare` then raises BuildError if the preloaded library can't be built.
+        """
+        self._injects_system_faults = inject_system_faults
         self._library: Path | None = None
-        self._seeds = seed_count
+        self._seed_count = seed_count
         self.folder, self.names, self.replicas = folder, list(names), list(replicas)
-        self._tables, self._fleet = tables, fleet_settings
-        self._ways: dict[tuple[str, str], str] = {}  # where a limiter reaches a replica
+        self._limiter_tables, self._fleet_settings = tables, fleet_settings
+        self._replica_proxies: dict[tuple[str, str], str] = {}  # proxy address by limiter and replica
         self.commands: list[OperatorCommand] = []
-        self._telling: set[asyncio.Task[None]] = set()
-        self._sockets = tempfile.mkdtemp(prefix="basaltpoint-")  # of upgrades: a local socket's path is short
+        self._command_tasks: set[asyncio.Task[None]] = set()
+        # For the handover sockets; a short path, as the path of a local socket is limited in length.
+        self._handover_folder = tempfile.mkdtemp(prefix="basaltpoint-")
         self.link_faults = ActiveLinkFaults()
         self.proxies = LinkProxies(self.link_faults, seed)
         self.members: dict[str, MemberProcess] = {}
 
     async def prepare(self) -> None:
-        """Links and files; nothing is started yet."""
-        if self._system:
+        """Creates the proxies and the configuration files; starts nothing yet. May raise BuildError."""
+        if self._injects_system_faults:
             self.folder.mkdir(parents=True, exist_ok=True)
             self._library = build_library(self.folder)
         free = iter(free_addresses(2 * len(self.names) + len(self.replicas)))
         for name in self.replicas + self.names:
             folder = self.folder / name
             folder.mkdir(parents=True, exist_ok=True)
-            own, limits = next(free), name in self.names
+            own_address, is_limiter = next(free), name in self.names
             member = MemberProcess(
-                name, folder, next(free) if limits else "", own, await self.proxies.add_proxy(name, own)
+                name,
+                folder,
+                next(free) if is_limiter else "",
+                own_address,
+                await self.proxies.add_proxy(name, own_address),
             )
             if self._library:
-                member.system_faults = FaultTable(folder / SYSTEM_TABLE)
-            if not limits:
+                member.system_faults = FaultTable(folder / SYSTEM_FAULT_FILE)
+            if not is_limiter:
                 member.subcommand = ("store", "run")
                 for limiter in self.names:
-                    self._ways[limiter, name] = await self.proxies.add_proxy(name, own, limiter)
+                    self._replica_proxies[limiter, name] = await self.proxies.add_proxy(
+                        name, own_address, limiter
+                    )
             self.members[name] = member
         for member in self.members.values():
             member.config_file.write_text(self.config_text(member))
 
     def config_text(self, member: MemberProcess) -> str:
-        """A member's file."""
+        """Returns the configuration file of a member."""
         if member.name in self.replicas:
-            listed = ", ".join(f'"{n}@{self.members[n].advertised_address}"' for n in self.replicas)
+            replica_addresses = ", ".join(
+                f'"{n}@{self.members[n].advertised_address}"' for n in self.replicas
+            )
             return (
                 f'[store]\ncluster = "{STORE_CLUSTER}"\nname = "{member.name}"\n'
                 f'listen = "{member.own_address}"\n'
-                f'advertise = "{member.advertised_address}"\nmembers = [{listed}]\n'
+                f'advertise = "{member.advertised_address}"\nmembers = [{replica_addresses}]\n'
             )
-        asked = ", ".join(f'"{n}@{self._ways[member.name, n]}"' for n in self.replicas)
-        store = f'[store]\ncluster = "{STORE_CLUSTER}"\nname = ""\nmembers = [{asked}]\n' if asked else ""
-        seeds = ", ".join(f'"{n}@{self.members[n].advertised_address}"' for n in self.names[: self._seeds])
+        replica_addresses = ", ".join(f'"{n}@{self._replica_proxies[member.name, n]}"' for n in self.replicas)
+        store = (
+            f'[store]\ncluster = "{STORE_CLUSTER}"\nname = ""\nmembers = [{replica_addresses}]\n'
+            if replica_addresses
+            else ""
+        )
+        seeds = ", ".join(
+            f'"{n}@{self.members[n].advertised_address}"' for n in self.names[: self._seed_count]
+        )
         return (
-            f'name = "{member.name}"\nlisten = "{member.client_address}"\nhandover = "{self._sockets}"\n'
-            f"{self._tables}\n{store}"
+            f'name = "{member.name}"\nlisten = "{member.client_address}"\n'
+            f'handover = "{self._handover_folder}"\n'
+            f"{self._limiter_tables}\n{store}"
             f'[fleet]\nlisten = "{member.own_address}"\nadvertise = "{member.advertised_address}"\n'
             f"seeds = [{seeds}]\n"
-            f'journal = "{JOURNAL_FILE}"\n{self._fleet}\n'
+            f'journal = "{JOURNAL_FILE}"\n{self._fleet_settings}\n'
         )
 
     def start(self, *names: str) -> None:
@@ -195,18 +212,18 @@
             )
 
     async def upgrade(self, name: str) -> None:
-        """Start a new process of a limiter, and end the one that runs once the new one can take over."""
+        """Starts a successor of a limiter's process, and ends the predecessor once it can take over."""
         member = self.members[name]
-        older, said = member.process, self.read_log(name).count(SUCCESSOR_READY_TEXT)
-        if older is None:
+        predecessor, ready_count = member.process, self.read_log(name).count(SUCCESSOR_READY_TEXT)
+        if predecessor is None:
             return
-        newer = self._start_process(member)
-        while self.read_log(name).count(SUCCESSOR_READY_TEXT) == said and newer.poll() is None:
-            await asyncio.sleep(LOOK_S)
-        if newer.poll() is None and member.process is older:  # else a fault has ended one of them
-            member.process = newer
-            older.send_signal(signal.SIGTERM)
-            await asyncio.to_thread(older.wait, END_S)
+        successor = self._start_process(member)
+        while self.read_log(name).count(SUCCESSOR_READY_TEXT) == ready_count and successor.poll() is None:
+            await asyncio.sleep(POLL_INTERVAL_S)
+        if successor.poll() is None and member.process is predecessor:  # otherwise a fault ended one of them
+            member.process = successor
+            predecessor.send_signal(signal.SIGTERM)
+            await asyncio.to_thread(predecessor.wait, TERMINATION_TIMEOUT_S)
 
     def pause(self, name: str) -> None:
         if process := self.members[name].process:
@@ -218,17 +235,17 @@
             process.send_signal(signal.SIGCONT)
             self.members[name].is_paused = False
 
-    async def terminate(self, name: str, number: int = signal.SIGKILL) -> int:
-        """End a process, and wait for it; its exit code."""
+    async def terminate(self, name: str, signal_number: int = signal.SIGKILL) -> int:
+        """Ends a process with a signal, waits for it, and returns its exit code."""
         member = self.members[name]
         process, member.process = member.process, None
         if process is None:
             return 0
-        if number == signal.SIGKILL:
+        if signal_number == signal.SIGKILL:
             member.ended_lifetimes.append(ProcessLifetime(name, member.started_s, time.monotonic()))
-        process.send_signal(number)
-        code = await asyncio.to_thread(process.wait, END_S)
-        if number != signal.SIGKILL:
+        process.send_signal(signal_number)
+        code = await asyncio.to_thread(process.wait, TERMINATION_TIMEOUT_S)
+        if signal_number != signal.SIGKILL:
             member.ended_lifetimes.append(
                 ProcessLifetime(name, member.started_s, time.monotonic(), is_announced=True)
             )
@@ -236,7 +253,7 @@
         return code
 
     async def begin_fault(self, fault: Fault) -> None:
-        """Let a fault begin."""
+        """Starts a fault."""
         match fault.kind:
             case FaultKind.PAUSE:
                 for name in fault.members:
@@ -247,22 +264,22 @@
                 await asyncio.gather(*(self.terminate(name, signal.SIGTERM) for name in fault.members))
             case FaultKind.UPGRADE:
                 for name in fault.members:
-                    self._later(self.upgrade(name))
+                    self._run_in_background(self.upgrade(name))
             case FaultKind.RESET:
                 self.proxies.reset_connections(fault.sources, fault.targets)
             case FaultKind.DRAIN | FaultKind.UNDRAIN:
-                self._later(self._tell(fault, fault.kind.value))
+                self._run_in_background(self._send_command(fault, fault.kind.value))
             case FaultKind.CLOCK:
-                for table in self._tables_of(fault):
+                for table in self._fault_tables(fault):
                     table.step_wall_clock(fault.clock_step_s)
             case FaultKind.FULL | FaultKind.SYNC | FaultKind.CALLS:
-                for table in self._tables_of(fault):
+                for table in self._fault_tables(fault):
                     table.activate(call_fault(fault))
             case _:
                 self.link_faults.faults.append(fault)
 
     async def end_fault(self, fault: Fault) -> None:
-        """Let it end."""
+        """Ends a fault."""
         match fault.kind:
             case FaultKind.PAUSE:
                 for name in fault.members:
@@ -270,72 +287,74 @@
             case FaultKind.KILL | FaultKind.STOP | FaultKind.WIPE | FaultKind.PUTBACK:
                 for name in fault.members:
                     if fault.kind in (FaultKind.WIPE, FaultKind.PUTBACK):
-                        self._lose(self.members[name], older=fault.kind is FaultKind.PUTBACK)
+                        self._replace_files(self.members[name], restore_copy=fault.kind is FaultKind.PUTBACK)
                     if self.members[name].process is None:
                         self.start(name)
             case FaultKind.DRAIN:
-                self._later(self._tell(fault, FaultKind.UNDRAIN.value))
+                self._run_in_background(self._send_command(fault, FaultKind.UNDRAIN.value))
             case FaultKind.RESET | FaultKind.UPGRADE | FaultKind.UNDRAIN | FaultKind.CLOCK:
                 pass
             case FaultKind.FULL | FaultKind.SYNC | FaultKind.CALLS:
-                for table in self._tables_of(fault):
+                for table in self._fault_tables(fault):
                     table.deactivate(call_fault(fault))
             case _:
                 self.link_faults.faults.remove(fault)
 
-    def _tables_of(self, fault: Fault) -> list[FaultTable]:
+    def _fault_tables(self, fault: Fault) -> list[FaultTable]:
         return [table for name in fault.members if (table := self.members[name].system_faults)]
 
-    def _later(self, work: Coroutine[Any, Any, None]) -> None:
-        """A command may wait for a store that faults hold up; the next fault does not."""
+    def _run_in_background(self, work: Coroutine[Any, Any, None]) -> None:
+        """Runs work in a task, so that a command waiting for a faulty store does not delay the next fault."""
         task = asyncio.get_running_loop().create_task(work)
-        self._telling.add(task)
-        task.add_done_callback(self._telling.discard)
+        self._command_tasks.add(task)
+        task.add_done_callback(self._command_tasks.discard)
 
     async def wait_for_commands(self) -> None:
-        """Wait for the commands that are out."""
-        await asyncio.gather(*self._telling)
+        """Waits for the commands that are still running."""
+        await asyncio.gather(*self._command_tasks)
 
-    async def _tell(self, fault: Fault, what: str) -> None:
-        """Have an operator's command told over the links of one limiter, and note its acknowledgement."""
+    async def _send_command(self, fault: Fault, command: str) -> None:
+        """Runs an operator's command over the links of each limiter of the fault, and records its result."""
         for name in fault.members:
-            began = time.monotonic()
+            started_s = time.monotonic()
             process = await asyncio.create_subprocess_exec(
-                *PROGRAM, what, fault.server, "--config", str(self.members[name].config_file),
-                "--within", str(TELL_S), stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.PIPE,
-                env=_environment(),
+                *PROGRAM, command, fault.server, "--config", str(self.members[name].config_file),
+                "--within", str(COMMAND_TIMEOUT_S),
+                stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.PIPE, env=_environment(),
             )  # fmt: skip
             _, text = await process.communicate()
-            problem = text.decode(errors="replace").strip() if process.returncode else ""
-            self.commands.append(OperatorCommand(what, fault.server, name, began, time.monotonic(), problem))
+            error = text.decode(errors="replace").strip() if process.returncode else ""
+            self.commands.append(
+                OperatorCommand(command, fault.server, name, started_s, time.monotonic(), error)
+            )
 
     def save_copies(self) -> None:
-        """Copy what each limiter has in its folder now: what `putback` brings back."""
+        """Copies the present files of each member, which `putback` restores."""
         for member in self.members.values():
-            (member.folder / COPY).mkdir(exist_ok=True)
-            for path in self._own(member):
-                copy = member.folder / COPY / path.name
+            (member.folder / COPY_FOLDER).mkdir(exist_ok=True)
+            for path in self._own_files(member):
+                copy = member.folder / COPY_FOLDER / path.name
                 if path.is_dir():
                     shutil.copytree(path, copy, ignore=_sockets, dirs_exist_ok=True)
                 else:
                     shutil.copy2(path, copy)
 
-    def _own(self, member: MemberProcess) -> list[Path]:
-        """What a limiter wrote for itself; its file, its log and its journal are the rehearsal's."""
-        return [path for path in member.folder.iterdir() if path.name not in STAYS]
+    def _own_files(self, member: MemberProcess) -> list[Path]:
+        """Returns the files that a member wrote for itself, without those that the rehearsal uses."""
+        return [path for path in member.folder.iterdir() if path.name not in REHEARSAL_FILES]
 
-    def _lose(self, member: MemberProcess, older: bool) -> None:
-        """A limiter that does not run loses its folder, or finds the older copy in its place."""
-        for path in self._own(member):
+    def _replace_files(self, member: MemberProcess, restore_copy: bool) -> None:
+        """Removes the files of a limiter that does not run; restores the older copy if `restore_copy`."""
+        for path in self._own_files(member):
             if path.is_dir():
                 shutil.rmtree(path)
             else:
                 path.unlink()
-        if older:
-            shutil.copytree(member.folder / COPY, member.folder, dirs_exist_ok=True)
+        if restore_copy:
+            shutil.copytree(member.folder / COPY_FOLDER, member.folder, dirs_exist_ok=True)
 
     def exited_members(self) -> list[str]:
-        """Members that ended though nobody ended them."""
+        """Returns the members whose process exited by itself."""
         return [
             n for n, member in self.members.items() if member.process and member.process.poll() is not None
         ]
@@ -344,55 +363,57 @@
         return (self.members[name].folder / "log.txt").read_text()
 
     async def close(self) -> None:
-        """End all, whatever state they are in."""
-        for task in self._telling:
+        """Ends all processes and proxies."""
+        for task in self._command_tasks:
             task.cancel()
         for name, member in self.members.items():
             if member.is_paused:
                 self.resume(name)
             await self.terminate(name)
         await self.proxies.close()
-        shutil.rmtree(self._sockets, ignore_errors=True)
+        shutil.rmtree(self._handover_folder, ignore_errors=True)
 
-    # --- What they saw ------------------------------------------------------------------------------------
+    # --- Journals -----------------------------------------------------------------------------------------
     def read_journals(self) -> tuple[list[Observation], dict[str, list[tuple[float, int]]]]:
-        """All changes of all views in their order; and of each name its starts with their incarnations."""
-        saws, starts = list[Observation](), dict[str, list[tuple[float, int]]]()
+        """Returns all observations in order of time, and by member the time and incarnation of each start."""
+        observations, starts = list[Observation](), dict[str, list[tuple[float, int]]]()
         for name, member in self.members.items():
             path = member.folder / JOURNAL_FILE
             for line in path.read_text().splitlines() if path.exists() else ():
-                with contextlib.suppress(ValueError):  # the last line of one that was killed
+                with contextlib.suppress(ValueError):  # the last line of a killed process may be incomplete
                     row: dict[str, Any] = json.loads(line)
                     if row["what"] == "start":
                         starts.setdefault(name, []).append((row["at_s"], row["incarnation"]))
-                    saws.append(
+                    observations.append(
                         Observation(row["at_s"], row["by"], row["name"], row["incarnation"], row["state"])
                     )
-        return sorted(saws, key=lambda saw: saw.at_s), starts
+        return sorted(observations, key=lambda observation: observation.at_s), starts
 
     def lifetimes_and_observations(self) -> tuple[list[ProcessLifetime], list[Observation]]:
-        """Every process that there was, with its first incarnation; and all changes of all views."""
-        saws, starts = self.read_journals()
+        """Returns the lifetime of each limiter process, with its first incarnation, and all observations."""
+        observations, starts = self.read_journals()
         found = []
         for name, member in self.members.items():
-            made = list(member.ended_lifetimes)
+            process_lifetimes = list(member.ended_lifetimes)
             if name in self.replicas:
                 continue
             if member.process:
-                made.append(ProcessLifetime(name, member.started_s, math.inf))
-            for life in made:
+                process_lifetimes.append(ProcessLifetime(name, member.started_s, math.inf))
+            for lifetime in process_lifetimes:
                 first = min(
-                    (inc for at, inc in starts.get(name, ()) if life.started_s <= at < life.ended_s),
+                    (inc for at, inc in starts.get(name, ()) if lifetime.started_s <= at < lifetime.ended_s),
                     default=0,
                 )
-                found.append(replace(life, first_incarnation=first))
-        return found, saws
+                found.append(replace(lifetime, first_incarnation=first))
+        return found, observations
 
     def views(self) -> dict[str, dict[str, str]]:
-        """The last state of each member in each living member's view."""
-        saws, starts = self.read_journals()
+        """Returns by running observer and member the last observed state."""
+        observations, starts = self.read_journals()
         found: dict[str, dict[str, str]] = {}
-        for saw in saws:
-            if self.members[saw.observer].process and saw.at_s >= max(at for at, _ in starts[saw.observer]):
-                found.setdefault(saw.observer, {})[saw.member] = saw.state
+        for observation in observations:
+            if self.members[observation.observer].process and observation.at_s >= max(
+                started_s for started_s, _ in starts[observation.observer]
+            ):
+                found.setdefault(observation.observer, {})[observation.member] = observation.state
         return found
--- a/basaltpoint/rehearsal/scenario.py
+++ b/basaltpoint/rehearsal/scenario.py
@@ -1,4 +1,4 @@
-"""A rehearsal's file: the fleet, its load, and the faults; every problem told at once, with its place."""
+"""Reads the scenario file of a rehearsal: the fleet, its load and the faults; reports all problems."""
 
 from __future__ import annotations
 
@@ -14,35 +14,39 @@
 from basaltpoint.load.scenario import ClassTable, PlanTable
 from basaltpoint.rehearsal.faults import LINK_FAULTS, SERVER_FAULTS, Fault, FaultKind
 
-OURS = {"fleet", "listen", "name"}  # of a limiter's file; where replicas play, `store`, too
-FOREVER = 0.0  # of `for_s`: to the end
+RESERVED_TABLES = {
+    "fleet",
+    "listen",
+    "name",
+}  # tables and keys of a limiter's file that the rehearsal sets; with replicas, `store` too
+UNTIL_END = 0.0  # as `for_s`: the fault lasts until the end
 
 
 class FleetTable(msgspec.Struct, frozen=True, kw_only=True):
-    """`[fleet]`: who takes part."""
+    """`[fleet]`: the processes and the duration."""
 
     limiters: Annotated[int, described("Limiters, named l1, l2, ...", ge=1, le=200)] = 3
     servers: Annotated[int, described("Stand-in servers, named s1, s2, ...", ge=1, le=100)] = 2
-    seconds: Annotated[float, described("How long it plays.", gt=0, le=86400)] = 30.0
+    seconds: Annotated[float, described("Duration of the rehearsal.", gt=0, le=86400)] = 30.0
     store: Annotated[int, described("Replicas of the store, named r1, r2, ...; 0 for none.", ge=0, le=7)] = 0
 
 
 class LoadTable(msgspec.Struct, frozen=True, kw_only=True):
-    """`[load]`: plans and classes as in the load tool's scenarios; without plans nobody asks."""
+    """`[load]`: plans and classes as in scenarios of the load generator; no load without plans."""
 
     plan: tuple[PlanTable, ...] = ()
     class_: tuple[ClassTable, ...] = msgspec.field(name="class", default=())
 
 
 class Scenario(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole file, but for the faults and the limiter's tables, which are read apart."""
+    """The file except for the faults and the limiter's tables, which are read separately."""
 
     fleet: FleetTable = FleetTable()
     load: LoadTable = LoadTable()
 
 
 class Rehearsal(msgspec.Struct, frozen=True, kw_only=True):
-    """A checked file."""
+    """A valid scenario. `limiter` holds tables that replace those of each limiter's file."""
 
     fleet: FleetTable
     load: LoadTable
@@ -58,39 +62,41 @@
         return [f"r{at + 1}" for at in range(self.fleet.store)]
 
 
-CALLS = ("accept", "connect", "socket", "read", "write", "poll")  # whose errno a scenario may set
-MOST_STEP_S = 1e9  # of the wall clock
-MISSING = {
+SYSTEM_CALLS = ("accept", "connect", "socket", "read", "write", "poll")  # those that a scenario may let fail
+MAX_CLOCK_STEP_S = 1e9  # of the wall clock, in both directions
+EXPECTED_VALUES = {
     "server": "the name of a server",
     "call": "a system call",
     "error": "an errno's name",
     "by_s": "seconds",
 }
-NUMBERS = {"at_s": 0.0, "for_s": FOREVER, "part": 0.2, "ms": 0.0, "jitter_ms": 0.0}
+NUMBER_DEFAULTS = {"at_s": 0.0, "for_s": UNTIL_END, "part": 0.2, "ms": 0.0, "jitter_ms": 0.0}
 
 
 def load(path: Path) -> Rehearsal:
-    """Read and check; FileError with every problem."""
+    """Reads and checks a scenario file; raises FileError with all problems."""
     out, raw = ProblemCollector(str(path)), dict(load_toml(path))
     faults, limiter = raw.pop("fault", []), raw.pop("limiter", {})
     scenario = decode(Scenario, raw, out) or Scenario()
     if not isinstance(limiter, dict):
         out.add("limiter", f"found {format_value(limiter)}", "a table")
-    elif wrong := sorted(({*OURS, "store"} if scenario.fleet.store else OURS) & limiter.keys()):
-        out.add(f"limiter.{wrong[0]}", "given", "any table that the rehearsal does not set itself")
+    elif reserved := sorted(
+        ({*RESERVED_TABLES, "store"} if scenario.fleet.store else RESERVED_TABLES) & limiter.keys()
+    ):
+        out.add(f"limiter.{reserved[0]}", "given", "any table that the rehearsal does not set itself")
     if not isinstance(faults, list):
         out.add("fault", f"found {format_value(faults)}", "a list of tables, [[fault]]")
         faults = []
-    made = [_fault(f"fault[{at}]", row, scenario.fleet, out) for at, row in enumerate(faults)]
+    decoded = [_decode_fault(f"fault[{at}]", row, scenario.fleet, out) for at, row in enumerate(faults)]
     if scenario.load.plan and not scenario.load.class_:
-        out.add("load.class", "none", "one [[load.class]] at least, where there are plans")
+        out.add("load.class", "none", "at least one [[load.class]] if there are plans")
     out.raise_problems()
     return Rehearsal(
-        fleet=scenario.fleet, load=scenario.load, limiter=limiter, faults=tuple(f for f in made if f)
+        fleet=scenario.fleet, load=scenario.load, limiter=limiter, faults=tuple(f for f in decoded if f)
     )
 
 
-def _names(path: str, value: Any, known: list[str], out: ProblemCollector) -> tuple[str, ...]:
+def _decode_names(path: str, value: Any, known: list[str], out: ProblemCollector) -> tuple[str, ...]:
     listed = [value] if isinstance(value, str) else value
     if not isinstance(listed, list) or not listed or not all(isinstance(name, str) for name in listed):
         out.add(path, f"found {format_value(value)}", "a name, or a list of names")
@@ -103,7 +109,7 @@
     return tuple(listed)
 
 
-def _fault(path: str, row: Any, fleet: FleetTable, out: ProblemCollector) -> Fault | None:
+def _decode_fault(path: str, row: Any, fleet: FleetTable, out: ProblemCollector) -> Fault | None:
     before = len(out.problems)
     if not isinstance(row, dict):
         out.add(path, f"found {format_value(row)}", "a table")
@@ -119,7 +125,7 @@
             "one of " + ", ".join(k.value for k in FaultKind),
         )
         return None
-    # A replica whose disk was lost never comes again under its name; upgrades and drains are limiters'.
+    # A replica that lost its disk must not return under its name; upgrades and drains apply to limiters only.
     names = (
         limiters
         if kind in (*SERVER_FAULTS, FaultKind.WIPE, FaultKind.PUTBACK, FaultKind.UPGRADE)
@@ -139,25 +145,31 @@
         out.add(
             f"{path}.{key}", f"not for {kind.value}", "one of " + ", ".join(sorted(keys | {"at_s", "for_s"}))
         )
-    for key in sorted(keys - row.keys() - NUMBERS.keys()):
-        out.add(f"{path}.{key}", "missing", MISSING.get(key, "names"))
-    number = {key: _number(f"{path}.{key}", row.get(key, least), out) for key, least in NUMBERS.items()}
+    for key in sorted(keys - row.keys() - NUMBER_DEFAULTS.keys()):
+        out.add(f"{path}.{key}", "missing", EXPECTED_VALUES.get(key, "names"))
+    number = {
+        key: _decode_number(f"{path}.{key}", row.get(key, default), out)
+        for key, default in NUMBER_DEFAULTS.items()
+    }
     if number["at_s"] >= fleet.seconds:
         out.add(f"{path}.at_s", f"found {number['at_s']:g}", f"below fleet.seconds, {fleet.seconds:g}")
     if not 0 < number["part"] <= 1:
         out.add(f"{path}.part", f"found {number['part']:g}", "above 0, up to 1")
     listed = {
-        key: _names(f"{path}.{key}", row[key], names, out) for key in ("on", "from", "to") if key in row
+        key: _decode_names(f"{path}.{key}", row[key], names, out)
+        for key in ("on", "from", "to")
+        if key in row
     }
     sides = tuple(
-        _names(f"{path}.sides[{at}]", side, names, out) for at, side in enumerate(_list(row.get("sides", [])))
+        _decode_names(f"{path}.sides[{at}]", side, names, out)
+        for at, side in enumerate(_as_list(row.get("sides", [])))
     )
-    twice = [name for at, side in enumerate(sides) for name in side if any(name in s for s in sides[:at])]
-    if kind is FaultKind.SPLIT and (len(sides) < 2 or twice):
+    repeated = [name for at, side in enumerate(sides) for name in side if any(name in s for s in sides[:at])]
+    if kind is FaultKind.SPLIT and (len(sides) < 2 or repeated):
         out.add(
             f"{path}.sides",
-            f"found {len(sides)}, {twice or 'none'} twice",
-            "two lists at least, each name in one",
+            f"found {len(sides)}, {repeated or 'none'} twice",
+            "at least two lists, each name in only one",
         )
     servers = [f"s{at + 1}" for at in range(fleet.servers)]
     if kind in SERVER_FAULTS and "server" in row and row["server"] not in servers:
@@ -165,8 +177,8 @@
             f"{path}.server", f"found {format_value(row['server'])}", f"one of {servers[0]} to {servers[-1]}"
         )
     if kind in SERVER_FAULTS and not fleet.store:
-        out.add(f"{path}.kind", f"found {kind.value}", "with fleet.store: drains are told through the store")
-    _system(path, row, keys, out)
+        out.add(f"{path}.kind", f"found {kind.value}", "with fleet.store: drains go through the store")
+    _check_system_keys(path, row, keys, out)
     if len(out.problems) > before:
         return None
     end = number["at_s"] + number["for_s"] if number["for_s"] else math.inf
@@ -177,26 +189,26 @@
     )  # fmt: skip
 
 
-def _system(path: str, row: dict[str, Any], keys: set[str], out: ProblemCollector) -> None:
-    """Check what tells of system calls and clocks."""
-    if "call" in keys & row.keys() and row["call"] not in CALLS:
-        out.add(f"{path}.call", f"found {format_value(row['call'])}", "one of " + ", ".join(CALLS))
+def _check_system_keys(path: str, row: dict[str, Any], keys: set[str], out: ProblemCollector) -> None:
+    """Checks the keys of faults of system calls and clocks."""
+    if "call" in keys & row.keys() and row["call"] not in SYSTEM_CALLS:
+        out.add(f"{path}.call", f"found {format_value(row['call'])}", "one of " + ", ".join(SYSTEM_CALLS))
     if "error" in keys & row.keys() and row["error"] not in errno.errorcode.values():
-        out.add(f"{path}.error", f"found {format_value(row['error'])}", "an errno's name, as ENFILE")
+        out.add(f"{path}.error", f"found {format_value(row['error'])}", "an errno's name, e.g. ENFILE")
     by_s = row.get("by_s", 0.0)
-    if isinstance(by_s, bool) or not isinstance(by_s, int | float) or not abs(by_s) <= MOST_STEP_S:
+    if isinstance(by_s, bool) or not isinstance(by_s, int | float) or not abs(by_s) <= MAX_CLOCK_STEP_S:
         out.add(
             f"{path}.by_s",
             f"found {format_value(by_s)}",
-            f"seconds, from {-MOST_STEP_S:g} to {MOST_STEP_S:g}",
+            f"seconds, from {-MAX_CLOCK_STEP_S:g} to {MAX_CLOCK_STEP_S:g}",
         )
 
 
-def _list(value: Any) -> list[Any]:
+def _as_list(value: Any) -> list[Any]:
     return value if isinstance(value, list) else [value]
 
 
-def _number(path: str, value: Any, out: ProblemCollector) -> float:
+def _decode_number(path: str, value: Any, out: ProblemCollector) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= 86_400_000:
         out.add(path, f"found {format_value(value)}", "a number from 0 on")
         return 0.5
--- a/basaltpoint/rehearsal/verdict.py
+++ b/basaltpoint/rehearsal/verdict.py
@@ -1,4 +1,4 @@
-"""What held in a rehearsal, as plain values: the same for real processes and for the model."""
+"""Builds the verdict of a rehearsal as plain values, in one form for real processes and for the model."""
 
 from __future__ import annotations
 
@@ -12,39 +12,43 @@
 
 
 def build_verdict(
-    lives: Sequence[ProcessLifetime],
-    saws: Sequence[Observation],
+    lifetimes: Sequence[ProcessLifetime],
+    observations: Sequence[Observation],
     faults: Sequence[Fault],
     seconds: float,
-    began_s: float,
+    started_s: float,
     end_s: float,
 ) -> dict[str, Any]:
-    """`members`, `findings` and `views`, their times from the rehearsal's begin on.
+    """Returns `members`, `findings` and `views`, with times in seconds from the start of the rehearsal.
 
-    `lives` and `saws` are by a clock at which the rehearsal began at `began_s` and was judged at `end_s`.
+    `lifetimes` and `observations` have times of a clock that read `started_s` at the start of the rehearsal
+    and `end_s` when it was judged. The times of `faults` and `seconds`, its duration, count from its start.
     """
-    shifted = [shift_times(fault, began_s) for fault in faults]
-    agreed_s, apart = checks.time_to_agreement(
-        lives, saws, began_s + last_fault_end_s(faults, seconds), end_s
+    shifted = [shift_times(fault, started_s) for fault in faults]
+    agreed_s, disagreements = checks.time_to_agreement(
+        lifetimes, observations, started_s + last_fault_end_s(faults, seconds), end_s
     )
-    found = checks.find_resurrections(lives, saws) + checks.find_reachable_dead_to_all(
-        lives, saws, shifted, end_s
+    violations = checks.find_resurrections(lifetimes, observations) + checks.find_reachable_dead_to_all(
+        lifetimes, observations, shifted, end_s
     )
-    found += [] if separates_until_end(faults, seconds) else apart
+    violations += [] if separates_until_end(faults, seconds) else disagreements
     return {
         "members": {
             "detected_s": [
-                {"name": kill.member, "at_s": kill.at_s - began_s, "by": kill.detected_s}
-                for kill in checks.find_crashes(lives, saws, end_s)
+                {"name": crash.member, "at_s": crash.at_s - started_s, "by": crash.detected_s}
+                for crash in checks.find_crashes(lifetimes, observations, end_s)
             ],
-            "wrong_deaths": len(checks.find_wrong_deaths(lives, saws)),
+            "wrong_deaths": len(checks.find_wrong_deaths(lifetimes, observations)),
             "agreed_s": None if math.isinf(agreed_s) else agreed_s,
         },
-        "findings": [finding_to_dict(f.at_s - began_s, f.kind, f.members, f.expected) for f in found],
-        "views": [[saw.at_s - began_s, saw.observer, saw.member, saw.state] for saw in saws],
+        "findings": [finding_to_dict(f.at_s - started_s, f.kind, f.members, f.expected) for f in violations],
+        "views": [
+            [observation.at_s - started_s, observation.observer, observation.member, observation.state]
+            for observation in observations
+        ],
     }
 
 
 def finding_to_dict(at_s: float, kind: str, members: tuple[str, ...], expected: str) -> dict[str, Any]:
-    """One thing that must not be."""
+    """Returns one violation as it stands in the verdict."""
     return {"at_s": at_s, "kind": kind, "members": list(members), "expected": expected}
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -119,7 +119,9 @@
                 made.members["l2"].own_address, later_process.own_address
             )
             text = text.replace(made.members["l2"].client_address, later_process.client_address)
-            text = text.replace(made._sockets, other._sockets)  # in the same folder it would start a handover
+            text = text.replace(
+                made._handover_folder, other._handover_folder
+            )  # in the same folder it would start a handover
             text = text.replace(
                 f'advertise = "{made.members["l2"].advertised_address}"',
                 f'advertise = "{later_process.advertised_address}"',
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -115,31 +115,35 @@
 ]
 
 
-def saws(*rows: tuple[float, str, str, int, str]) -> list[Observation]:
+def observations(*rows: tuple[float, str, str, int, str]) -> list[Observation]:
     return [Observation(*row) for row in rows]
 
 
 def test_each_check_finds_what_it_is_for() -> None:
-    wrong = saws((10, "l1", "l3", 1, "dead"))
+    wrong = observations((10, "l1", "l3", 1, "dead"))
     assert [finding.members for finding in checks.find_wrong_deaths(LIVES, wrong)] == [("l1", "l3")]
-    assert not checks.find_wrong_deaths(LIVES, saws((60, "l1", "l3", 1, "dead")))
-    assert not checks.find_wrong_deaths(LIVES, saws((10, "l1", "l3", 0, "dead")))  # of an earlier life
-    again = saws((10, "l1", "l3", 4, "dead"), (11, "l1", "l3", 4, "alive"))
+    assert not checks.find_wrong_deaths(LIVES, observations((60, "l1", "l3", 1, "dead")))
+    assert not checks.find_wrong_deaths(
+        LIVES, observations((10, "l1", "l3", 0, "dead"))
+    )  # of an earlier life
+    again = observations((10, "l1", "l3", 4, "dead"), (11, "l1", "l3", 4, "alive"))
     assert [finding.kind for finding in checks.find_resurrections(LIVES, again)] == ["back to life"]
     assert not checks.find_resurrections(
-        LIVES, saws((10, "l1", "l3", 4, "dead"), (11, "l1", "l3", 5, "alive"))
+        LIVES, observations((10, "l1", "l3", 4, "dead"), (11, "l1", "l3", 5, "alive"))
     )
-    all_dead = saws((10, "l1", "l3", 1, "dead"), (10, "l2", "l3", 1, "dead"))
+    all_dead = observations((10, "l1", "l3", 1, "dead"), (10, "l2", "l3", 1, "dead"))
     assert checks.find_reachable_dead_to_all(LIVES, all_dead, [], 50)
     cut = [Fault(FaultKind.CUT, 0, 20, sources=("l1", "l2"), targets=("l3",))]
     assert not checks.find_reachable_dead_to_all(LIVES, all_dead, cut, 50)
-    seen = saws(
+    seen = observations(
         *((1.0, by, name, 1, "alive") for by in ("l1", "l2") for name in ("l1", "l2", "l3")),
         (52.0, "l1", "l3", 1, "dead"),
     )
     took, apart = checks.time_to_agreement(LIVES, seen, 50, 60)
     assert math.isinf(took) and [finding.members for finding in apart] == [("l2", "l3")]
-    took, apart = checks.time_to_agreement(LIVES, [*seen, *saws((55.0, "l2", "l3", 1, "left"))], 50, 60)
+    took, apart = checks.time_to_agreement(
+        LIVES, [*seen, *observations((55.0, "l2", "l3", 1, "left"))], 50, 60
+    )
     assert took == 5.0 and not apart
     (kill,) = checks.find_crashes(LIVES, seen, 60)
     assert kill.detected_s == {"l1": 2.0} and kill.undetected_by == ("l2",)
@@ -156,11 +160,11 @@
         [ProbeOperation(1, 2.5, 4.0), ProbeOperation(2, 2.5, 4.0), ProbeOperation(2, 5.0, 6.0)], good
     )
     assert found([ProbeOperation(1, 3.5, 4.0)], good) == [
-        ("stale read", "a read to find 2, acknowledged before it, not 1")
+        ("stale read", "a read to return 2, acknowledged before it, not 1")
     ]
-    assert found([], [(1, 1.5), (1, 1.6), (2, 3.5)])[0] == ("watch", "the watch to tell of 2, not 1")
-    assert found([], [(2, 3.5)]) == [("watch", "the watch to tell of 1, not 2")]
-    assert found([], good[:1]) == [("watch", "the watch to tell of 2, not of 1 alone")]
+    assert found([], [(1, 1.5), (1, 1.6), (2, 3.5)])[0] == ("watch", "the watch to report 2, not 1")
+    assert found([], [(2, 3.5)]) == [("watch", "the watch to report 1, not 2")]
+    assert found([], good[:1]) == [("watch", "the watch to report 2; 1 was its last event")]
     record = ProbeRecord([ProbeOperation(1, 0.0, 1.0), ProbeOperation(2, 2.0, math.inf)], [], [(1, 1.75)])
     assert probe.longest_delays(record, 9.0) == {"write_s": 7.0, "read_s": 0.0, "watch_s": 0.75}
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -119,7 +119,7 @@
 
 def predecessor_listener_of_l1(made: FleetProcesses) -> socket.socket:
     """Listens, in place of a predecessor, at the path to which a starting process of l1 connects."""
-    path = socket_path(made._sockets, "l1")
+    path = socket_path(made._handover_folder, "l1")
     assert path
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     listener.bind(path)
