--- a/basaltpoint/interface.py
+++ b/basaltpoint/interface.py
@@ -222,7 +222,7 @@
     server: int
     status: Status
     elapsed_ms: float
-    closed: bool  # the request has ended with this attempt
+    closed: bool  # the request has ended, with this attempt or before
     usage: int | None = None
     units: float = 0.0
     report: tuple[float, ...] = ()
--- a/basaltpoint/policy/pool.py
+++ b/basaltpoint/policy/pool.py
@@ -114,7 +114,7 @@
         return self.caps[lane] + CAP_MARGIN_ROOTS * math.sqrt(self.caps[lane]) - self.lane_outstanding[lane]
 
     def _light_load_latency(self, index: int, latencies: list[float]) -> float:
-        """Returns the 10th-percentile latency in ms, of which a rise is followed only slowly.
+        """Returns the 10th-percentile latency in ms; a rise of it is followed only slowly.
 
         In an overload the fastest requests wait, too, and the load would be estimated too low. When requests
         really become heavier, the value is too low for some seconds.
--- a/basaltpoint/policy/quota.py
+++ b/basaltpoint/policy/quota.py
@@ -67,7 +67,8 @@
 class MeterClock:
     """Learns which metered period a usage reading describes, from its phase and its lag.
 
-    Without it, draws of another period would be held against a reading and falsify the quota bucket.
+    Without it, a reading would be compared with the draws of another period, and the quota bucket's level
+    would become wrong.
     """
 
     def __init__(self, period_ms: float, first_request_ms: float = -INF) -> None:
--- a/basaltpoint/policy/send_rules.py
+++ b/basaltpoint/policy/send_rules.py
@@ -16,7 +16,8 @@
 from basaltpoint.policy.server_set import ServerRecord
 from basaltpoint.policy.thresholds import INF
 
-# A process may stall for this long between reading its clock and writing (STANDING); bounds allow for it.
+# A process may stall for this long between reading its clock and writing (the platform's rules); bounds
+# allow for it.
 MAX_STALL_S = 0.15
 # Of the median latency: a retry with less time left would be wasted work and would add to an overload.
 MIN_TIME_LEFT_RATIO = 0.5
--- a/basaltpoint/policy/server_set.py
+++ b/basaltpoint/policy/server_set.py
@@ -17,7 +17,7 @@
 from basaltpoint.policy.thresholds import INF
 
 LATENCY_WINDOW_MS = 5000.0  # holds some hundred completions at tens of requests a second
-# Above this fraction of the ready servers, suspects indicate an overload back end and not lost servers.
+# Above this fraction of the ready servers, suspects indicate an overloaded back end and not lost servers.
 MAX_SUSPECT_FRACTION = 0.6
 INITIAL_LATENCY_MS = 200.0  # assumed mean latency until one is measured
 MIN_RETEST_DELAY_MS = 1000.0  # before a suspect's first trial request; doubles up to 8 times this
@@ -25,7 +25,7 @@
 MIN_SUSPECT_ERRORS = 2
 FULL_SERVER_PAUSE_MS = 200.0  # a server that rejected an attempt as FULL is avoided for this time
 COLD_RATE_FRACTION = 0.8  # of a cold server's permitted rate; the rest is margin for random variation
-UTILIZATION_WEIGHT = 2.0  # requests that a reported utilization of 1.0 counts as; 0 and 6 were no better
+UTILIZATION_WEIGHT = 2.0  # requests that a reported utilization of 1.0 counts as
 SAMPLE_SIZE = 12  # random servers examined for an attempt
 # If no server of the sample is acceptable, a pool of up to MAX_FULL_SCAN servers is examined whole. In a
 # larger pool each call examines the next servers of the subset, of those not suspect and of all ready
