--- a/basaltpoint/core/table.py
+++ b/basaltpoint/core/table.py
@@ -6,7 +6,7 @@
 
 - a request gets exactly one `Reply`, at its client's deadline at the latest;
 - no attempt starts while another is active, after the reply, past the deadline or beyond `max_attempts`;
-- the end of each started attempt is reported to the module exactly once, also after the reply;
+- the end of each started attempt is reported to the decision module exactly once, also after the reply;
 - a response whose forwarding has started ends complete or visibly truncated, never as another response.
 """
 
@@ -25,8 +25,8 @@
 from basaltpoint.telemetry.figures import Counts, Figures
 
 LATE_TICK_DELAY_MS = 2.0  # how much later a reply may come when the event loop was blocked
-FINAL_DEADLINE_GRACE_MS = 20.0  # lets the module reply itself to what is due at the final deadline
-MAX_SUPERSEDED_SENDS = 100  # superseded sends reported to the module in one processing run
+FINAL_DEADLINE_GRACE_MS = 20.0  # lets the decision module reply itself to what is due at the final deadline
+MAX_SUPERSEDED_SENDS = 100  # superseded sends reported to the decision module in one processing run
 TIMER_COMPACTION_SIZE = 256  # from this heap size on, the heap is rebuilt once most entries are obsolete
 
 
@@ -37,8 +37,8 @@
     REFUSED = "refused"  # the client may safely retry
     FAILED = "failed"  # the request may have been executed
     CUT = "cut"  # the response had started and could not be completed
-    OVERDUE = "overdue"  # the module did not decide before the deadline
-    FAULT = "fault"  # the module raised an exception on the request
+    OVERDUE = "overdue"  # the decision module did not decide before the deadline
+    FAULT = "fault"  # the decision module raised an exception on the request
     BUSY = "busy"  # not admitted: too many requests are open
     DUPLICATE = "twin"  # not admitted: a request with the same key is open
 
@@ -56,7 +56,7 @@
     units: float
     limiter_count: int
     client_wait_ms: float
-    reply_margin_ms: float = 0.0  # how long before the client's deadline the module's deadline lies
+    reply_margin_ms: float = 0.0  # how long before the client's deadline the decision module's lies
     pool: int = 0
     key: bytes = b""
 
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """An invariant was violated, by the module or by this program; `text` describes it for the log."""
+    """An invariant was violated, by the decision module or this program; `text` describes it for the log."""
 
     text: str
 
@@ -139,7 +139,7 @@
 
     key: bytes
     counts: Counts
-    deadline_ms: float  # the module's deadline, not the client's
+    deadline_ms: float  # the decision module's deadline, not the client's
     attempts_sent: int = 0
     active_attempt: int | None = None
     attempt_server: int = 0  # server number of the last attempt
@@ -179,9 +179,9 @@
 class RequestTable:
     """All requests that are open or have an active attempt. Times are in ms."""
 
-    def __init__(self, module: EventHandler, max_attempts: int, max_open: int, figures: Figures) -> None:
+    def __init__(self, handler: EventHandler, max_attempts: int, max_open: int, figures: Figures) -> None:
         """`figures`: counts each final reply, by the request's class."""
-        self.handler = module
+        self.handler = handler
         self.figures = figures
         self.max_attempts = max_attempts
         self.max_open = max_open
@@ -191,7 +191,7 @@
         self.final_deadline_ms = math.inf  # no request is replied to later; see `shorten_deadlines`
         self._last_request = 0
         self._superseded_sends = 0  # in the current processing run
-        self._timers: list[tuple[float, int, int]] = []  # heap of (time, request or 0, module's timer token)
+        self._timers: list[tuple[float, int, int]] = []  # heap of (time, request or 0, timer token)
         self._events: deque[api.Event] = deque()
         self._effects: list[Effect] = []
 
@@ -260,7 +260,7 @@
         payload: object = None,
         is_final: bool = False,
     ) -> list[Effect]:
-        """An attempt has ended. The first successful one is the reply; the module is notified of each.
+        """An attempt has ended. The first successful one is the reply; the decision module receives each.
 
         `usage`: the customer's metered use in percent, if the server reported it. `report`: the load report
         of the server. `units`: the request's true cost as reported by the server; 0: the estimate stands.
@@ -307,8 +307,8 @@
     def shorten_deadlines(self, now: float, final_deadline_ms: float) -> list[Effect]:
         """Bounds all deadlines, those of requests still being uploaded included, because the process ends.
 
-        The module keeps its own deadlines; attempts that it would start later are superseded. Responses that
-        are being streamed are not affected.
+        The decision module keeps its own deadlines; attempts that it would start later are superseded.
+        Responses that are being streamed are not affected.
         """
         self.final_deadline_ms = final_deadline_ms
         for ident, entry in self.requests.items():
@@ -324,7 +324,7 @@
         return self._process(now)
 
     def handle_event(self, now: float, event: api.Event) -> list[Effect]:
-        """Passes an event to the module that the table itself has no use for.
+        """Passes an event that the table itself does not use to the decision module.
 
         Examples are server lists, probe results and new settings.
         """
@@ -348,7 +348,7 @@
         return entry.is_open and not entry.response_started_ms and not entry.is_uploading and not was_moved
 
     def tick(self, now: float) -> list[Effect]:
-        """Fires the module's timers that are due and replies to requests whose deadline has passed."""
+        """Fires the decision module's due timers and replies to requests whose deadline has passed."""
         while (when_ms := self.next_tick_ms) is not None and when_ms <= now:
             _, ident, token = heapq.heappop(self._timers)
             if not ident:
@@ -360,10 +360,11 @@
         return self._process(now)
 
     def _deadline_passed(self, now: float, ident: int, late: bool) -> None:
-        """Replies to a request whose deadline passed without a decision of the module.
+        """Replies to a request whose deadline passed without a decision.
 
         If `tick` is late because the event loop was blocked, the active attempt may have timed out in the
-        same turn. The module decides what that means, so the deadline is postponed once to report it first.
+        same turn. The decision module decides what that means, so the deadline is postponed once to report it
+        first.
         """
         entry = self.requests[ident]
         if (
@@ -390,9 +391,9 @@
             self._timers = [t for t in self._timers if not t[1] or t[1] in self.requests]
             heapq.heapify(self._timers)
 
-    # --- Actions of the module ----------------------------------------------------------------
+    # --- Actions of the decision module -------------------------------------------------------
     def _process(self, now: float) -> list[Effect]:
-        """Delivers all pending events to the module and returns the effects."""
+        """Delivers all pending events to the decision module and returns the effects."""
         self._deliver_events(now)
         effects, self._effects = self._effects, []
         return effects
@@ -465,9 +466,10 @@
         )
 
     def _report_superseded(self, outcome: api.Outcome) -> None:
-        """Reports a superseded send to the module.
+        """Reports a superseded send to the decision module.
 
-        The number is limited: a module that reacts to each one with another send must not block the process.
+        The number is limited: a decision module that reacts to each one with another send must not block the
+        process.
         """
         self._superseded_sends += 1
         if self._superseded_sends <= MAX_SUPERSEDED_SENDS:
@@ -487,7 +489,7 @@
             self._reply(ident, entry, Reply(ident, result, retry_ms, reason))
 
     def _reply_without_handler(self, ident: int, result: RequestResult) -> None:
-        """Replies without a decision of the module, which is told that the request was abandoned."""
+        """Replies without the decision module, which is notified that the request was abandoned."""
         entry = self.requests.get(ident)
         if entry and entry.is_open:
             self._reply(
