--- a/basaltpoint/membership/backoff.py
+++ b/basaltpoint/membership/backoff.py
@@ -21,7 +21,7 @@
     the rule on drains. A fleet therefore avoids a thundering herd by jitter and by waiting on open calls
     (`Watch` gives one up after silence only), not by longer delays: when the limiters of a fleet took turns
     (20 s at 200 limiters), one release broke the rule on drains 1,871 times. The cost falls on a discovery
-    that refuses many calls: a limiter in a fleet of 40 then calls up to four times as often.
+    service that refuses many calls: a limiter in a fleet of 40 then calls up to four times as often.
     """
 
     def __init__(self, rng: random.Random, drain_bound_s: float = math.inf) -> None:
--- a/basaltpoint/membership/lease.py
+++ b/basaltpoint/membership/lease.py
@@ -23,15 +23,16 @@
 
 from basaltpoint.policy.send_rules import MAX_STALL_S
 
-# Changes missed on a silent watch count as delivered after this time (STANDING).
+# Changes missed on a silent watch count as delivered after this time (the platform's rules).
 WATCH_SILENCE_TIMEOUT_S = 6.0
-# Changes known to a new agent count as delivered this long after the change of configuration (STANDING).
+# Changes known to a new agent count as delivered this long after the change of configuration (the
+# platform's rules).
 AGENT_CHANGE_TIMEOUT_S = 4.0
-# A limiter whose calls fail may miss changes for this many times `askWithinMs` (protocol page).
+# A limiter whose calls fail may miss changes for this many times `askWithinMs` (the platform's protocol).
 FAILED_CALL_INTERVALS = 4
 # Counted from the first call without a response. A longer time withholds requests on limiters that restart
-# during an outage (2.5 s: 0.06 of the requests of the herd+mass scenario); a shorter one breaks the rule on
-# drains if the agent is this slow.
+# during an outage (2.5 s: a fraction of 0.06 of the requests of the herd+mass scenario). A shorter one breaks
+# the rule on drains if the agent is this slow.
 UNREACHABLE_TIMEOUT_S = 1.25
 REFUSED_TIMEOUT_S = 3.0  # the same after discovery has refused a call: it runs, and may respond soon
 MIN_UNREACHABLE_CALLS = 2  # a single call may have been lost on the network
@@ -84,7 +85,8 @@
     def closed_by_peer(self) -> None:
         """Records that the peer closed an open call: discovery is running, or back after an outage.
 
-        A host that was cut off resets its open connections once it returns (protocol page, "The network").
+        A host that was cut off resets its open connections once it returns (the platform's
+        protocol, "The network").
         """
         self._first_call_at, self._calls = None, 0
 
--- a/basaltpoint/upstream/buffered.py
+++ b/basaltpoint/upstream/buffered.py
@@ -17,7 +17,7 @@
 log = logging.getLogger(__name__)
 
 MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a buffered response can still be replaced by that of a retry
-MAX_BODY_BYTES = 64 << 20  # twice the largest body that PROTOCOL's later pages specify
+MAX_BODY_BYTES = 64 << 20  # twice the largest body that the later pages of the platform's protocol specify
 MAX_HEAD_BYTES = 16 * 1024
 DECIMAL_NUMBER = re.compile(rb"[0-9]{1,5}(\.[0-9]{1,6})?")
 PARTIAL_RESPONSE_TIMEOUT_S = 0.25  # a buffered response that stalls for longer is rejected
--- a/basaltpoint/upstream/streams.py
+++ b/basaltpoint/upstream/streams.py
@@ -24,7 +24,7 @@
 
 
 class ResponseReceiver(Protocol):
-    """Receives an attempt's response, and is told when it may send more of the request's body."""
+    """Receives an attempt's response, and is notified when it may send more of the request's body."""
 
     def interim(self, code: int, headers: Headers) -> None:
         """An interim response (1xx) was received."""
