--- a/basaltpoint/fronts/platform/client_connection.py
+++ b/basaltpoint/fronts/platform/client_connection.py
@@ -190,11 +190,11 @@
         return self.is_idle and peek(self._sock) is not UnreadData.BYTES
 
     @property
-    def client_left_unnoticed(self) -> bool:
-        """Whether the client left while reading was paused: its end follows unread data."""
-        return self._is_read_paused and self.is_client_gone()
+    def client_disconnected_unnoticed(self) -> bool:
+        """Whether the client disconnected while reading was paused: the end of stream follows unread data."""
+        return self._is_read_paused and self.has_client_disconnected()
 
-    def is_client_gone(self) -> bool:
+    def has_client_disconnected(self) -> bool:
         """Returns whether the client has closed its side, even if data is unread before that."""
         try:
             state = self._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
@@ -361,8 +361,8 @@
             if self._ignores_input and not self._requests:
                 self._end_after_response()  # the response was sent before the body ended
             return
-        if self._may_have_waited and self.is_client_gone():
-            self._ignores_input = True  # left while the request was unread; the end is read next
+        if self._may_have_waited and self.has_client_disconnected():
+            self._ignores_input = True  # left while the request was unread; the end of stream is read next
             return
         keep = self._can_keep_alive
         self._ignores_input = not keep
--- a/basaltpoint/fronts/platform/client_request.py
+++ b/basaltpoint/fronts/platform/client_request.py
@@ -11,11 +11,11 @@
     """What a request needs of its client connection."""
 
     @property
-    def client_left_unnoticed(self) -> bool:
-        """Whether the client left while reading was paused."""
+    def client_disconnected_unnoticed(self) -> bool:
+        """Whether the client disconnected while reading was paused."""
 
-    def is_client_gone(self) -> bool:
-        """Returns whether the client has left, according to the kernel."""
+    def has_client_disconnected(self) -> bool:
+        """Returns whether the client has disconnected, according to the kernel."""
 
     def abort(self, reason: str) -> None:
         """Closes the connection at once."""
@@ -86,13 +86,13 @@
         return self.exchange.request_id.decode("latin-1") if self.exchange else "without an id"
 
     @property
-    def client_left_unnoticed(self) -> bool:
-        """Whether the client left while reading was paused."""
-        return self._connection.client_left_unnoticed
+    def client_disconnected_unnoticed(self) -> bool:
+        """Whether the client disconnected while reading was paused."""
+        return self._connection.client_disconnected_unnoticed
 
-    def is_client_gone(self) -> bool:
-        """Returns whether the client has left, according to the kernel (two system calls)."""
-        return self._connection.is_client_gone()
+    def has_client_disconnected(self) -> bool:
+        """Returns whether the client has disconnected, according to the kernel (two system calls)."""
+        return self._connection.has_client_disconnected()
 
     def close_connection(self) -> None:
         self._connection.abort("its client has left")
--- a/basaltpoint/fronts/platform/close_guard.py
+++ b/basaltpoint/fronts/platform/close_guard.py
@@ -1,8 +1,8 @@
 """Checks each close of a client's connection, and counts the violations found.
 
 Every accepted request gets one final answer, and a request whose bytes are unread in a closed socket gets
-none (STANDING). Each place that closes a connection has to ensure this; the check here covers all of them. A
-violation is counted, and logged with the reason of the close and the requests that were lost.
+none (the platform's rules). Each place that closes a connection has to ensure this; the check here covers all
+of them. A violation is counted, and logged with the reason of the close and the requests that were lost.
 """
 
 from __future__ import annotations
--- a/basaltpoint/fronts/platform/limiter.py
+++ b/basaltpoint/fronts/platform/limiter.py
@@ -318,10 +318,10 @@
         request_number, exchange = (
             effect.request,
             self._exchanges[effect.request],
-        )  # the table starts no others
+        )  # the table starts attempts for open requests only
         client = exchange.client
-        # The first attempt directly follows the reading of the request; before a retry the kernel is asked.
-        if client.is_client_gone() if effect.attempt else client.client_left_unnoticed:
+        # The first attempt directly follows the reading of the request; before a retry the kernel is queried.
+        if client.has_client_disconnected() if effect.attempt else client.client_disconnected_unnoticed:
             client.close_connection()
             self.abandon(exchange)
             self.apply_effects(
--- a/basaltpoint/fronts/platform/listed_servers.py
+++ b/basaltpoint/fronts/platform/listed_servers.py
@@ -34,7 +34,9 @@
         now: Callable[[], float],
         apply_list: Callable[[api.ServerList], None],
     ) -> None:
-        """`numbers`: of the predecessor; `now`: the module's clock, ms; `apply_list`: passes a list to it."""
+        """`numbers`: of the predecessor; `now`: the decision module's clock, ms; `apply_list`: passes a list
+        to the decision module.
+        """
         self.hosts: dict[str, Host] = {}
         self.numbers = dict(numbers)  # of the servers that are not removed
         self.starts = starts
--- a/basaltpoint/fronts/platform/request_check.py
+++ b/basaltpoint/fronts/platform/request_check.py
@@ -1,4 +1,4 @@
-"""Validates a client's request: the headers that the platform's protocol page requires, and its terms."""
+"""Validates a client's request: the headers that the platform's protocol requires, and its terms."""
 
 from __future__ import annotations
 
--- a/basaltpoint/fronts/platform/request_exchange.py
+++ b/basaltpoint/fronts/platform/request_exchange.py
@@ -10,7 +10,8 @@
 from basaltpoint.upstream.servers import AttemptResult
 from basaltpoint.upstream.streams import StreamConnection
 
-CLIENT_CHECK_AFTER_S = 0.05  # an attempt that starts 0.1 s after its client left counts as a lost request
+# An attempt that starts 0.1 s after its client has disconnected counts as a lost request.
+CLIENT_CHECK_AFTER_S = 0.05
 MAX_READ_AHEAD_BYTES = 4 * MAX_BUFFERED_BODY_BYTES  # of a streamed body, before a server accepts any
 
 STATUS_CODES = {
@@ -35,9 +36,9 @@
     @property
     def chunked(self) -> bool: ...  # the length of the streamed body is unknown
     @property
-    def client_left_unnoticed(self) -> bool: ...  # the client left while reading was paused
-    def is_client_gone(self) -> bool: ...  # according to the kernel
-    def close_connection(self) -> None: ...  # closes it at once; the client has left
+    def client_disconnected_unnoticed(self) -> bool: ...  # while reading was paused
+    def has_client_disconnected(self) -> bool: ...  # according to the kernel
+    def close_connection(self) -> None: ...  # closes it at once; the client has disconnected
     def send_response(
         self, code: int, body: bytes = b"", content_type: bytes = b"", retry_s: float = 0.0
     ) -> None: ...
@@ -94,7 +95,7 @@
         self.wait_ms = wait_ms  # for the response, from the last byte of the body
         self.request_number = 0
         self.attempt_number = 0  # of the outstanding attempt
-        self.attempt_deadline_ms = 0.0  # of the outstanding attempt, by the module's clock
+        self.attempt_deadline_ms = 0.0  # of the outstanding attempt, by the decision module's clock
         self.attempt: BufferedAttempt | None = None
         self.stream: StreamConnection | None = (
             None  # the server connection, if the body or response is streamed
@@ -154,7 +155,7 @@
 
     def is_wanted(self, waited_s: float) -> bool:
         """Returns whether the client is still connected; asks the kernel if the attempt waited."""
-        return waited_s <= CLIENT_CHECK_AFTER_S or not self.client.is_client_gone()
+        return waited_s <= CLIENT_CHECK_AFTER_S or not self.client.has_client_disconnected()
 
     def current_message(self) -> bytes:
         return self._handler.message(self)
--- a/basaltpoint/fronts/shell.py
+++ b/basaltpoint/fronts/shell.py
@@ -18,7 +18,7 @@
 # The decision module's clock starts here, so that no server's start time becomes 0, which means "long ago".
 CLOCK_START_MS = 1e9
 MIN_WAIT_MS = 1.0  # of a request that expired before it was read: it gets a response and no attempt
-# The module's deadline lies this long before the client's: the response has to be transmitted, too.
+# The decision module's deadline lies this long before the client's: the response has to be transmitted, too.
 RESPONSE_MARGIN_MS = 10.0
 # Means no limit while a body is uploaded; timeouts for stalled connections end an upload without progress.
 UPLOAD_TIMEOUT_S = 86400.0
@@ -59,7 +59,7 @@
         return (time.monotonic() - self._clock_origin_s) * 1000 + CLOCK_START_MS
 
     def to_loop_time(self, ms: float) -> float:
-        """Converts a time of the module's clock (ms) to the event loop's clock (seconds)."""
+        """Converts a time of the decision module's clock (ms) to the event loop's clock (seconds)."""
         return (ms - CLOCK_START_MS) / 1000 + self._clock_origin_s
 
     def apply_effects(self, effects: list[Effect]) -> None:
--- a/tests/test_moments_servers.py
+++ b/tests/test_moments_servers.py
@@ -225,7 +225,7 @@
                 sock.shutdown(socket.SHUT_WR)
             else:
                 sock.close()
-            await until(lambda: client.is_client_gone())
+            await until(lambda: client.has_client_disconnected())
             for request in requests:
                 request.reply("500 Internal Server Error")  # each would be retried
             await until(lambda: not rig.clients._open and not rig.limiter.open_requests)
@@ -242,7 +242,7 @@
         async with backend() as server, limiter(host("a", server.address)) as rig:
             sock, requests, client = await client_with_unread_requests(server, rig)
             sock.shutdown(socket.SHUT_WR)
-            await until(lambda: client.is_client_gone())
+            await until(lambda: client.has_client_disconnected())
             for request in requests:
                 await echo(request)
             await until(lambda: not rig.clients._open)
--- a/tests/test_unread_time.py
+++ b/tests/test_unread_time.py
@@ -16,7 +16,7 @@
 from basaltpoint.system.listening import open_listener
 
 UNREAD_S = 0.4
-SLACK_S = 0.15  # by which a server's deadline may exceed the client's (STANDING)
+SLACK_S = 0.15  # by which a server's deadline may exceed the client's (the platform's rules)
 WAIT_S = 1.0
 LONG_BODY = 1_000_000  # bytes; an unread socket buffers a tenth of it
 
