--- a/basaltpoint/handover/link.py
+++ b/basaltpoint/handover/link.py
@@ -122,7 +122,7 @@
         self._flush()
 
     def send_request_completed(self, name: bytes) -> None:
-        """Tells the other process that the request with this Req-Id is answered."""
+        """Notifies the other process that the request with this Req-Id is answered."""
         self._send_queue.append(REQUEST_COMPLETED + name[:MAX_MESSAGE_BYTES])
         self._flush()
 
--- a/basaltpoint/handover/platform_state.py
+++ b/basaltpoint/handover/platform_state.py
@@ -1,7 +1,7 @@
 """The versioned document that a limiter on the platform passes to its successor. No I/O.
 
-Each part of the module's state is imported separately: a part that is missing, unknown or out of range is
-reported and left out, and the limiter starts without it, as it does without a predecessor.
+Each part of the decision module's state is imported separately: a part that is missing, unknown or out of
+range is reported and left out, and the limiter starts without it, as it does without a predecessor.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 class PlatformState:
     """The decoded document.
 
-    `origin_s` is the start of the module's clock on the host's monotonic clock, `unix_offset_ms` the module's
-    time minus Unix time. `servers` is the last list of servers in discovery's form, `server_numbers` maps the
-    servers to their numbers in the module. `open_req_ids` are the Req-Ids of requests that the predecessor
-    still handles, `module` is the decision module's exported state.
+    `origin_s` is the start of the decision module's clock on the host's monotonic clock, `unix_offset_ms` the
+    time of the decision module's clock minus Unix time. `servers` is the last list of servers in discovery's
+    form, `server_numbers` maps the servers to their numbers in the decision module. `open_req_ids` are the
+    Req-Ids of requests that the predecessor still handles, `module` is the decision module's exported state.
     """
 
     origin_s: float
@@ -57,7 +57,8 @@
 def decode(text: bytes, now_s: float) -> PlatformState:
     """Decodes a document; `now_s` is the time of the monotonic clock, after which no clock can have started.
 
-    Raises PlatformStateError if the document is invalid as a whole; the module's state is not checked here.
+    Raises PlatformStateError if the document is invalid as a whole; the decision module's state is not
+    checked here.
     """
     try:
         raw = json.loads(text)
@@ -96,7 +97,7 @@
 
 
 def import_module_state(decision_module: DecisionModule, module: dict[str, Any], now: float) -> Iterator[str]:
-    """Imports the parts of the module's state separately; yields a text for each failure."""
+    """Imports the parts of the decision module's state separately; yields a text for each failure."""
     parts: tuple[tuple[str, Callable[[DecisionModule, Any, float], None]], ...] = (
         ("clock", state.import_clock),
         ("waits", state.import_class_waits),
--- a/basaltpoint/handover/state.py
+++ b/basaltpoint/handover/state.py
@@ -32,7 +32,7 @@
 
 # --- Export -------------------------------------------------------------------------------------
 def export_state(decision_module: DecisionModule, now: float) -> dict[str, Any]:
-    """Returns the module's state at `now` (module time, ms) in JSON's types, with infinite numbers."""
+    """Returns the decision module's state at `now` (its clock, ms) in JSON's types, with infinite numbers."""
     clock = decision_module.meter_clock
     return {
         "clock": {
@@ -250,8 +250,8 @@
 def merge_customers(decision_module: DecisionModule, rows: Any, now: float, since: float) -> int:
     """Merges the predecessor's final state of its customers; returns how many rows were invalid.
 
-    `since` is when both processes started from the same state (module time, ms): this process's draws after
-    it are added to the predecessor's.
+    `since` is when both processes started from the same state (the decision module's clock, ms): this
+    process's draws after it are added to the predecessor's.
     """
     invalid = 0
     for raw in rows if isinstance(rows, list) else ():
--- a/basaltpoint/handover/upgrade_state.py
+++ b/basaltpoint/handover/upgrade_state.py
@@ -16,7 +16,7 @@
 from basaltpoint.policy import DecisionModule
 
 VERSION = 1  # a document of another version is rejected, as its contents may mean something else
-# By part of the module's state: the key that holds a number, and the kind of thing that it numbers.
+# By part of the decision module's state: the key that holds a number, and the kind of thing that it numbers.
 NUMBERED_PARTS = {
     "customers": ("ident", "account"),
     "servers": ("number", "server"),
@@ -53,9 +53,10 @@
 class UpgradeState(msgspec.Struct, frozen=True):
     """The predecessor's state at the moment from which it accepts no new requests.
 
-    `origin_s` is the start of the module's clock on the host's monotonic clock, `started_ms` the time on the
-    module's clock at which each server was first seen. `names` maps, by kind, each name to the predecessor's
-    number. `listeners` says what the sockets are for that were passed before this document, in their order.
+    `origin_s` is the start of the decision module's clock on the host's monotonic clock, `started_ms` the
+    time on the decision module's clock at which each server was first seen. `names` maps, by kind, each name
+    to the predecessor's number. `listeners` says what the sockets are for that were passed before this
+    document, in their order.
     """
 
     version: int
@@ -104,7 +105,7 @@
     numbers: Mapping[str, Mapping[str, int]],
     now: float,
 ) -> Iterator[str]:
-    """Imports the module's state under this process's numbers; yields a text for each failure."""
+    """Imports the decision module's state under this process's numbers; yields a text for each failure."""
     module = dict(upgrade.module)
     for part, (key, kind) in NUMBERED_PARTS.items():
         new_numbers = {old: numbers[kind].get(name) for name, old in upgrade.names.get(kind, {}).items()}
