--- a/basaltpoint/rehearsal/soak/invariants.py
+++ b/basaltpoint/rehearsal/soak/invariants.py
@@ -18,7 +18,7 @@
 # A final response later than this after the client's time-out counts as lost (STANDING).
 MAX_RESPONSE_DELAY_S = 0.5
 # An attempt that starts later than this after its client disconnected counts as a lost request (STANDING).
-MAX_ATTEMPT_DELAY_S = 0.1
+MAX_DELAY_AFTER_DISCONNECT_S = 0.1
 # By this much the time announced to a server may exceed the client's remaining time (STANDING).
 MAX_DEADLINE_EXCESS_S = 0.15
 # Changes missed on a silent watch count as announced this long after it fell silent (STANDING).
@@ -58,11 +58,11 @@
         received_at = agent.received_at(version)
         if received_at is None or received_at > replaced_at:
             continue
-        announced = max(received_at, configured_at + NEW_AGENT_DELAY_S) if number else received_at
+        counted_from = max(received_at, configured_at + NEW_AGENT_DELAY_S) if number else received_at
         for silenced_at in agent.silenced_at:
             if silenced_at - SLACK_S <= received_at <= silenced_at + SILENT_WATCH_DELAY_S:
-                announced = max(announced, silenced_at + SILENT_WATCH_DELAY_S)
-        earliest = min(earliest, announced)
+                counted_from = max(counted_from, silenced_at + SILENT_WATCH_DELAY_S)
+        earliest = min(earliest, counted_from)
     return max(earliest, process.started_at)
 
 
@@ -105,7 +105,7 @@
             yield Finding("drain", arrival.arrived_at, text)
 
 
-def _process_was_killed(record: SoakRecord, request: RequestRecord) -> bool:
+def _is_excused_by_kill(record: SoakRecord, request: RequestRecord) -> bool:
     """Returns whether a SIGKILL without sufficient warning excuses the limiter from responding."""
     response_due_at = request.sent_at + request.timeout_s + MAX_RESPONSE_DELAY_S
     for process in record.processes:
@@ -132,7 +132,7 @@
             request.is_unsent
             or not request.is_complete
             or request.disconnected_at is not None
-            or _process_was_killed(record, request)
+            or _is_excused_by_kill(record, request)
         ):
             continue
         limit_s = (
@@ -204,7 +204,7 @@
         excess_s = (
             arrival.arrived_at
             - request.disconnected_at
-            - MAX_ATTEMPT_DELAY_S
+            - MAX_DELAY_AFTER_DISCONNECT_S
             - SLACK_S
             - record.driver_lag_at(arrival.arrived_at)
         )
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -9,7 +9,7 @@
 import pytest
 from waiting import run
 
-from basaltpoint.rehearsal.soak import run as soaking
+from basaltpoint.rehearsal.soak import run as soak_run
 from basaltpoint.rehearsal.soak.invariants import announced_at, check_invariants
 from basaltpoint.rehearsal.soak.plan import FAULT_WEIGHTS, FINAL_QUIET_S, FaultKind, generate_plan
 from basaltpoint.rehearsal.soak.records import (
@@ -246,7 +246,7 @@
 
 
 def test_failed_start_leaves_no_process_behind(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(soaking, "READY_TIMEOUT_S", 0.0)
+    monkeypatch.setattr(soak_run, "READY_TIMEOUT_S", 0.0)
 
     async def test() -> None:
         soak = Soak(SoakOptions(1, limiter_count=3, server_count=2, load_s=5.0), tmp_path)
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -40,9 +40,9 @@
 
 @pytest.fixture
 def table(tmp_path: Path) -> Iterator[FaultTable]:
-    made = FaultTable(tmp_path / "faults")
-    yield made
-    made.close()
+    fault_table = FaultTable(tmp_path / "faults")
+    yield fault_table
+    fault_table.close()
 
 
 def run_code(library: Path, table: FaultTable, code: str) -> list[str]:
