--- a/basaltpoint/rehearsal/__init__.py
+++ b/basaltpoint/rehearsal/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet of real limiters, or its model in virtual time, under faults; and checks of what held."""
+"""Runs a fleet of real limiters, or its model in virtual time, with injected faults, and checks the outcome."""
--- a/basaltpoint/rehearsal/command.py
+++ b/basaltpoint/rehearsal/command.py
@@ -92,10 +92,10 @@
     fleet = FleetModel(rehearsal.limiter_names, faults=faults, seed=random.Random(seed).getrandbits(32))
     end = rehearsal.fleet.seconds + MODEL_SETTLE_S
     fleet.run_until(end)
-    found = build_verdict(fleet.lifetimes, fleet.observations, faults, rehearsal.fleet.seconds, 0.0, end)
-    return found | {
+    result = build_verdict(fleet.lifetimes, fleet.observations, faults, rehearsal.fleet.seconds, 0.0, end)
+    return result | {
         "seed": seed,
-        "held": not found["findings"],
+        "held": not result["findings"],
         "requests": dict.fromkeys(("asked", "answered", "none", "twice"), 0),
         "limits": {},
     }
@@ -103,7 +103,7 @@
 
 def format_result(result: dict[str, Any], took_s: float) -> str:
     """Returns a short report as text."""
-    members, asked = result["members"], result["requests"]
+    members, requests = result["members"], result["requests"]
     lines = ["held" if result["held"] else "NOT HELD"]
     for crash in members["detected_s"]:
         by = crash["by"].values()
@@ -112,10 +112,10 @@
     agreed = members["agreed_s"]
     lines.append(f"all views agreed {'never' if agreed is None else f'{agreed:.1f} s'} after the last fault")
     lines.append(f"running members declared dead: {members['wrong_deaths']} changes of views")
-    if asked["asked"]:
+    if requests["asked"]:
         lines.append(
-            f"requests: {asked['asked']} sent, {asked['answered']} answered, "
-            f"{asked['none']} unanswered, {asked['twice']} run twice"
+            f"requests: {requests['asked']} sent, {requests['answered']} answered, "
+            f"{requests['none']} unanswered, {requests['twice']} run twice"
         )
     if store := result.get("store"):
         lines.append(
--- a/basaltpoint/rehearsal/faults.py
+++ b/basaltpoint/rehearsal/faults.py
@@ -148,13 +148,13 @@
     """Returns the faults restricted to the named members and the links between them."""
     found = []
     for fault in faults:
-        on, sources, targets = (
-            tuple(name for name in some if name in names)
-            for some in (fault.members, fault.sources, fault.targets)
+        members, sources, targets = (
+            tuple(name for name in group if name in names)
+            for group in (fault.members, fault.sources, fault.targets)
         )
         sides = tuple(kept for side in fault.sides if (kept := tuple(n for n in side if n in names)))
-        if on or (sources and targets) or len(sides) > 1:
-            found.append(replace(fault, members=on, sources=sources, targets=targets, sides=sides))
+        if members or (sources and targets) or len(sides) > 1:
+            found.append(replace(fault, members=members, sources=sources, targets=targets, sides=sides))
     return found
 
 
@@ -166,8 +166,13 @@
 def last_fault_end_s(faults: Sequence[Fault], seconds: float) -> float:
     """Returns when the last fault ends, in seconds; 0 without faults."""
     # A process that never comes back counts at the start of its fault: the others do not wait for it.
-    once = [fault.kind is FaultKind.RESET or (fault.members and fault.end_s >= seconds) for fault in faults]
-    ends = [fault.start_s if at_once else fault.end_s for fault, at_once in zip(faults, once, strict=True)]
+    ends_at_start = [
+        fault.kind is FaultKind.RESET or (fault.members and fault.end_s >= seconds) for fault in faults
+    ]
+    ends = [
+        fault.start_s if at_start else fault.end_s
+        for fault, at_start in zip(faults, ends_at_start, strict=True)
+    ]
     return max((min(end, seconds) for end in ends), default=0.0)
 
 
@@ -181,24 +186,24 @@
     """Returns `count` random faults on links and processes, all over before the last third of `seconds`."""
     found = []
     for _ in range(count):
-        at = rng.uniform(0.1, 0.4) * seconds
-        end = at + rng.uniform(0.01, 0.25) * seconds
+        start_s = rng.uniform(0.1, 0.4) * seconds
+        end_s = start_s + rng.uniform(0.01, 0.25) * seconds
         kind = rng.choice([*LINK_FAULTS, FaultKind.PAUSE, FaultKind.KILL, FaultKind.STOP, FaultKind.UPGRADE])
-        some = rng.sample(names, rng.randint(1, max(1, len(names) // 2)))
-        rest = [name for name in names if name not in some] or names
+        affected = rng.sample(names, rng.randint(1, max(1, len(names) // 2)))
+        others = [name for name in names if name not in affected] or names
         match kind:
             case FaultKind.SPLIT:
-                found.append(Fault(kind, at, end, sides=(tuple(some), tuple(rest))))
+                found.append(Fault(kind, start_s, end_s, sides=(tuple(affected), tuple(others))))
             case FaultKind.PAUSE | FaultKind.KILL | FaultKind.STOP | FaultKind.UPGRADE:
-                found.append(Fault(kind, at, end, members=tuple(some)))
+                found.append(Fault(kind, start_s, end_s, members=tuple(affected)))
             case _:
                 found.append(
                     Fault(
                         kind,
-                        at,
-                        end,
-                        sources=tuple(some),
-                        targets=tuple(rest),
+                        start_s,
+                        end_s,
+                        sources=tuple(affected),
+                        targets=tuple(others),
                         fraction=rng.uniform(0.05, 0.5) if kind is FaultKind.DROP else 1.0,
                         delay_s=rng.uniform(0.0, 0.2),
                         jitter_s=rng.uniform(0.0, 0.2),
--- a/basaltpoint/rehearsal/page.py
+++ b/basaltpoint/rehearsal/page.py
@@ -68,8 +68,8 @@
         key=lambda pair: (_name_sort_key(pair[0]), _name_sort_key(pair[1])),
     )
     lanes = []
-    for at, (seen, by) in enumerate(pairs):
-        rows = [row for row in result["views"] if (row[2], row[1]) == (seen, by)]
+    for at, (member, observer) in enumerate(pairs):
+        rows = [row for row in result["views"] if (row[2], row[1]) == (member, observer)]
         ends = [row[0] for row in rows[1:]] + [seconds]
         parts = [
             (
@@ -81,7 +81,9 @@
             for row, end in zip(rows, ends, strict=True)
             if end > 0
         ]
-        lanes.append({"y": HEADER_HEIGHT + at * ROW_HEIGHT, "text": f"{seen} seen by {by}", "parts": parts})
+        lanes.append(
+            {"y": HEADER_HEIGHT + at * ROW_HEIGHT, "text": f"{member} seen by {observer}", "parts": parts}
+        )
     bands = [
         (at * pixels_per_s, max(2.0, (end - at) * pixels_per_s), what) for at, end, what in result["faults"]
     ]
--- a/basaltpoint/rehearsal/processes.py
+++ b/basaltpoint/rehearsal/processes.py
@@ -118,8 +118,8 @@
 
         `names` are the limiters and `replicas` those of the store that they share, if any. `tables` and
         `fleet_settings` are TOML text for each limiter's file, the latter for its `[fleet]` table.
-        `seed_count` is the number of limiters that each file names as seeds. With `inject_system_faults` system calls can
-        fail; `prepare` then raises BuildError if the preloaded library can't be built.
+        `seed_count` is the number of limiters that each file names as seeds. With `inject_system_faults`
+        system calls can fail; `prepare` then raises BuildError if the preloaded library can't be built.
         """
         self._injects_system_faults = inject_system_faults
         self._library: Path | None = None
--- a/basaltpoint/rehearsal/scenario.py
+++ b/basaltpoint/rehearsal/scenario.py
@@ -14,11 +14,8 @@
 from basaltpoint.load.scenario import ClassTable, PlanTable
 from basaltpoint.rehearsal.faults import LINK_FAULTS, SERVER_FAULTS, Fault, FaultKind
 
-RESERVED_TABLES = {
-    "fleet",
-    "listen",
-    "name",
-}  # tables and keys of a limiter's file that the rehearsal sets; with replicas, `store` too
+# Tables and keys of a limiter's file that the rehearsal sets itself; with replicas, `store` too.
+RESERVED_TABLES = {"fleet", "listen", "name"}
 UNTIL_END = 0.0  # as `for_s`: the fault lasts until the end
 
 
@@ -97,20 +94,20 @@
 
 
 def _decode_names(path: str, value: Any, known: list[str], out: ProblemCollector) -> tuple[str, ...]:
-    listed = [value] if isinstance(value, str) else value
-    if not isinstance(listed, list) or not listed or not all(isinstance(name, str) for name in listed):
+    names = [value] if isinstance(value, str) else value
+    if not isinstance(names, list) or not names or not all(isinstance(name, str) for name in names):
         out.add(path, f"found {format_value(value)}", "a name, or a list of names")
         return ()
-    for name in listed:
+    for name in names:
         if name not in known:
             groups = [[n for n in known if n[0] == kind] for kind in "lr"]
             allowed = ", ".join(f"{group[0]} to {group[-1]}" for group in groups if group)
             out.add(path, f"found {format_value(name)}", f"one of {allowed}")
-    return tuple(listed)
+    return tuple(names)
 
 
 def _decode_fault(path: str, row: Any, fleet: FleetTable, out: ProblemCollector) -> Fault | None:
-    before = len(out.problems)
+    problem_count = len(out.problems)
     if not isinstance(row, dict):
         out.add(path, f"found {format_value(row)}", "a table")
         return None
@@ -126,7 +123,7 @@
         )
         return None
     # A replica that lost its disk must not return under its name; upgrades and drains apply to limiters only.
-    names = (
+    known_names = (
         limiters
         if kind in (*SERVER_FAULTS, FaultKind.WIPE, FaultKind.PUTBACK, FaultKind.UPGRADE)
         else limiters + replicas
@@ -147,21 +144,21 @@
         )
     for key in sorted(keys - row.keys() - NUMBER_DEFAULTS.keys()):
         out.add(f"{path}.{key}", "missing", EXPECTED_VALUES.get(key, "names"))
-    number = {
+    numbers = {
         key: _decode_number(f"{path}.{key}", row.get(key, default), out)
         for key, default in NUMBER_DEFAULTS.items()
     }
-    if number["at_s"] >= fleet.seconds:
-        out.add(f"{path}.at_s", f"found {number['at_s']:g}", f"below fleet.seconds, {fleet.seconds:g}")
-    if not 0 < number["part"] <= 1:
-        out.add(f"{path}.part", f"found {number['part']:g}", "above 0, up to 1")
-    listed = {
-        key: _decode_names(f"{path}.{key}", row[key], names, out)
+    if numbers["at_s"] >= fleet.seconds:
+        out.add(f"{path}.at_s", f"found {numbers['at_s']:g}", f"below fleet.seconds, {fleet.seconds:g}")
+    if not 0 < numbers["part"] <= 1:
+        out.add(f"{path}.part", f"found {numbers['part']:g}", "above 0, up to 1")
+    names_by_key = {
+        key: _decode_names(f"{path}.{key}", row[key], known_names, out)
         for key in ("on", "from", "to")
         if key in row
     }
     sides = tuple(
-        _decode_names(f"{path}.sides[{at}]", side, names, out)
+        _decode_names(f"{path}.sides[{at}]", side, known_names, out)
         for at, side in enumerate(_as_list(row.get("sides", [])))
     )
     repeated = [name for at, side in enumerate(sides) for name in side if any(name in s for s in sides[:at])]
@@ -179,12 +176,13 @@
     if kind in SERVER_FAULTS and not fleet.store:
         out.add(f"{path}.kind", f"found {kind.value}", "with fleet.store: drains go through the store")
     _check_system_keys(path, row, keys, out)
-    if len(out.problems) > before:
+    if len(out.problems) > problem_count:
         return None
-    end = number["at_s"] + number["for_s"] if number["for_s"] else math.inf
+    end_s = numbers["at_s"] + numbers["for_s"] if numbers["for_s"] else math.inf
     return Fault(
-        kind, number["at_s"], end, listed.get("on", ()), listed.get("from", ()), listed.get("to", ()), sides,
-        number["part"], number["ms"] / 1000, number["jitter_ms"] / 1000, str(row.get("server", "")),
+        kind, numbers["at_s"], end_s,
+        names_by_key.get("on", ()), names_by_key.get("from", ()), names_by_key.get("to", ()), sides,
+        numbers["part"], numbers["ms"] / 1000, numbers["jitter_ms"] / 1000, str(row.get("server", "")),
         str(row.get("call", "")), str(row.get("error", "")), float(row.get("by_s", 0.0)),
     )  # fmt: skip
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,7 +11,7 @@
 
 import pytest
 from fleetprocs import assert_no_resurrection, running_fleet, wait_until_agreed, wait_until_seen
-from test_rehearsal import played
+from test_rehearsal import run_rehearsal
 from waiting import TEST_TIMEOUT_S, run, until
 
 from basaltpoint.config.address import parse_address
@@ -204,7 +204,7 @@
 
 def test_upgrades_under_load_lose_no_request_and_reset_no_quota(tmp_path: Path) -> None:
     faults = "".join(f'[[fault]]\nkind = "upgrade"\nat_s = {at}\non = ["l1", "l2"]\n' for at in (2, 4, 6, 8))
-    result = played(tmp_path, QUOTA + faults)
+    result = run_rehearsal(tmp_path, QUOTA + faults)
     # Without the passed state each of the eight new processes would start with 15 more units, its full burst.
     account, asked = result["limits"]["p-0"], result["requests"]
     assert 160 <= account["sent"] <= account["allowed"] + 15
