--- a/basaltpoint/importers/nginx/reference/evaluate.py
+++ b/basaltpoint/importers/nginx/reference/evaluate.py
@@ -51,7 +51,7 @@
                 if blocks
                 else SourcePosition(tree[0].position.file if tree else "the file", 1)
             )
-            raise SourceError([Problem(position, f"exactly one http block is needed, found {len(blocks)}")])
+            raise SourceError([Problem(position, f"exactly one http block is needed, {len(blocks)} found")])
         self.http = blocks[0]
         self.servers = parse_servers(self.http)
         self.upstreams = parse_upstreams(self.http)
--- a/basaltpoint/importers/nginx/source.py
+++ b/basaltpoint/importers/nginx/source.py
@@ -113,7 +113,7 @@
         include_chain = (*position.include_chain, (position.file, position.line))
         for file_index in parsed.get("includes", ()):
             if file_index in open_file_indexes:
-                self._add_problem(position, f"circular include of {self._files[file_index]['file']}")
+                self._add_problem(position, f"include of {self._files[file_index]['file']} is circular")
             elif len(include_chain) > MAX_INCLUDE_DEPTH:
                 self._add_problem(position, f"includes are nested more than {MAX_INCLUDE_DEPTH} deep")
             else:
