--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -1,9 +1,9 @@
-"""The limiter under the example scenarios: a plan surges, an account runs away, servers stall.
+"""Runs the limiter under the example scenarios: a surge of a plan, a runaway account, stalled servers.
 
     python benchmarks/scenarios.py [surge.toml ...]
 
-For each of examples/load/*.toml: three stand-in servers, a limiter with examples/demo.toml, the load, and
-an audit of the ledger against the servers' logs. Prints one table a scenario.
+For each of examples/load/*.toml, starts three stand-in servers and a limiter with examples/demo.toml, runs
+the load, audits the ledger against the servers' logs, and prints one table.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 from basaltpoint.load.command import read_ledger, read_server_log  # noqa: E402
 from basaltpoint.load.ledger import audit  # noqa: E402
 
-STALLED = {"stall.toml": ["--stall", "10:2"]}
+EXTRA_SERVER_ARGS = {"stall.toml": ["--stall", "10:2"]}
 
 
-def start(*args: str) -> subprocess.Popen[str]:
+def start_command(*args: str) -> subprocess.Popen[str]:
     command = [sys.executable, "-m", "basaltpoint", *args]
     return subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True)
 
@@ -37,7 +37,7 @@
         return f"127.0.0.1:{listener.getsockname()[1]}"
 
 
-def up(address: str) -> None:
+def wait_until_listening(address: str) -> None:
     host, port = address.split(":")
     while True:
         try:
@@ -47,44 +47,44 @@
             time.sleep(0.05)
 
 
-def play(path: Path, folder: Path) -> None:
-    keys = folder / "keys"
-    keys.mkdir()
+def run_scenario(path: Path, folder: Path) -> None:
+    keys_dir = folder / "keys"
+    keys_dir.mkdir()
     servers, logs = [], [folder / f"s{number}.log" for number in (1, 2, 3)]
     text, address = (ROOT / "examples/demo.toml").read_text(), free_address()
     for number, log in enumerate(logs, 1):
-        extra = STALLED.get(path.name, [])
+        extra_args = EXTRA_SERVER_ARGS.get(path.name, [])
         args = ["--name", f"s{number}", "--workers", "8", "--service", "exp:20", "--log", str(log)]
-        args += ["--keys", str(keys), *extra]
-        servers.append(start("standin", *args))
+        args += ["--keys", str(keys_dir), *extra_args]
+        servers.append(start_command("standin", *args))
         assert servers[-1].stdout
         text = text.replace(f"127.0.0.1:900{number}", servers[-1].stdout.readline().strip())
     (folder / "limiter.toml").write_text(text.replace("127.0.0.1:8080", address))
-    load = folder / path.name
-    load.write_text(path.read_text().replace("127.0.0.1:8080", address))
-    limiter = start("serve", str(folder / "limiter.toml"))
+    scenario_file = folder / path.name
+    scenario_file.write_text(path.read_text().replace("127.0.0.1:8080", address))
+    limiter = start_command("serve", str(folder / "limiter.toml"))
     try:
-        up(address)
-        setup = scenario.load(load)
-        run = coordinator.run(load, setup, lambda told: None, ledger=folder / "ledger")
-        made = report.summary(asyncio.run(run), path.name)
+        wait_until_listening(address)
+        loaded = scenario.load(scenario_file)
+        run = coordinator.run(scenario_file, loaded, lambda progress: None, ledger=folder / "ledger")
+        summary = report.summary(asyncio.run(run), path.name)
     finally:
         for process in (limiter, *servers):
             process.send_signal(signal.SIGTERM)
             process.wait()
     findings = audit(read_ledger(folder / "ledger"), [row for log in logs for row in read_server_log(log)])
-    print(f"\n{path.name}\n{report.text(made)}\naudit: {len(findings)} findings")
-    for one in findings:
-        print(f"  {one.kind}: {one.ident}: {one.detail}")
+    print(f"\n{path.name}\n{report.text(summary)}\naudit: {len(findings)} findings")
+    for finding in findings:
+        print(f"  {finding.kind}: {finding.ident}: {finding.detail}")
 
 
 def main() -> None:
-    wanted = sys.argv[1:]
+    selected = sys.argv[1:]
     for path in sorted((ROOT / "examples/load").glob("*.toml")):
-        if wanted and path.name not in wanted:
+        if selected and path.name not in selected:
             continue
         with tempfile.TemporaryDirectory() as folder:
-            play(path, Path(folder))
+            run_scenario(path, Path(folder))
 
 
 if __name__ == "__main__":
--- a/tests/test_moments_rig.py
+++ b/tests/test_moments_rig.py
@@ -21,22 +21,22 @@
 
 def test_a_quota_bucket_computed_by_hand() -> None:
     """At most two units, one per second: two pass at once, the third does not, one more a second later."""
-    store = rig().Store(1.0, 2.0)
-    assert [store.take(0.0) for _ in range(3)] == [True, True, False]
-    assert not store.take(900.0) and store.take(1000.0)
+    bucket = rig().QuotaBucket(1.0, 2.0)
+    assert [bucket.consume(0.0) for _ in range(3)] == [True, True, False]
+    assert not bucket.consume(900.0) and bucket.consume(1000.0)
 
 
 def test_what_the_late_policy_sees_is_a_second_old() -> None:
-    store = rig().Store(1.0, 2.0)
-    assert store.take(5000.0) and store.take(5000.0)
-    assert store.seen(5500.0) == 2.0  # the state at 4.5 s: full
-    assert store.seen(6000.0) == 0.0
-    assert store.seen(6700.0) == pytest.approx(0.7)  # the state at 5.7 s
+    bucket = rig().QuotaBucket(1.0, 2.0)
+    assert bucket.consume(5000.0) and bucket.consume(5000.0)
+    assert bucket.delayed_level(5500.0) == 2.0  # the state at 4.5 s: full
+    assert bucket.delayed_level(6000.0) == 0.0
+    assert bucket.delayed_level(6700.0) == pytest.approx(0.7)  # the state at 5.7 s
 
 
 def test_a_run_is_determined_by_its_seed() -> None:
     """The fleet's price is a fraction of the worth and not negative; a single limiter sees everything."""
     made = rig()
-    first = made.quota(3, 3.0, 1)
-    assert first == made.quota(3, 3.0, 1) != made.quota(3, 3.0, 2)
+    first = made.measure_quota(3, 3.0, 1)
+    assert first == made.measure_quota(3, 3.0, 1) != made.measure_quota(3, 3.0, 2)
     assert all(0.0 <= each <= 1.5 for each in first)
