--- a/benchmarks/moments.py
+++ b/benchmarks/moments.py
@@ -77,7 +77,7 @@
     burst: float
     level: float = 0.0
     updated_at_ms: float = 0.0
-    history: deque[tuple[float, float]] = field(default_factory=deque)
+    history: deque[tuple[float, float]] = field(default_factory=deque)  # time in ms, level
 
     def __post_init__(self) -> None:
         self.level = self.burst
@@ -94,11 +94,11 @@
 
     def delayed_level(self, now_ms: float) -> float:
         """Returns the level `METER_DELAY_MS` ago."""
-        seen_at_ms = now_ms - METER_DELAY_MS
-        while len(self.history) > 1 and self.history[1][0] <= seen_at_ms:
+        state_at_ms = now_ms - METER_DELAY_MS
+        while len(self.history) > 1 and self.history[1][0] <= state_at_ms:
             self.history.popleft()
         recorded_at_ms, level = self.history[0]
-        return min(self.burst, level + self.rate_per_s * max(0.0, seen_at_ms - recorded_at_ms) / 1000.0)
+        return min(self.burst, level + self.rate_per_s * max(0.0, state_at_ms - recorded_at_ms) / 1000.0)
 
 
 @dataclass(slots=True)
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -170,7 +170,7 @@
 
 
 class LoadRun:
-    """Latencies of one measurement, after a warm-up."""
+    """Latencies of one measurement, after a warm-up, and the number of responses other than 200."""
 
     def __init__(self, path_count: int, platform: bool) -> None:
         self.path_count, self.platform = path_count, platform
@@ -228,7 +228,7 @@
 # --- The comparison ----------------------------------------------------------------------------------
 @dataclass
 class ProcessUnderTest:
-    """A process under test."""
+    """A process under test with its address; `platform` selects the format of the requests."""
 
     process: subprocess.Popen[Any]
     address: str
@@ -246,7 +246,7 @@
 
 
 def write_config(server: str, routes: int, accounts: int, folder: Path) -> Path:
-    """Writes a configuration whose plans and classes refuse nothing."""
+    """Writes a configuration with these numbers of routes and accounts; its plans refuse nothing."""
     lines = (
         json.dumps(
             {
--- a/benchmarks/servers.py
+++ b/benchmarks/servers.py
@@ -69,13 +69,13 @@
 class Bound:
     """The usage allowed at a larger size: a multiple of that at the first size, plus allowances."""
 
-    name: str
+    name: str  # of a field of ResourceUsage
     factor: float
-    allowance: float
-    per_thousand_servers: float
+    allowance: float  # in the unit of the field
+    per_thousand_servers: float  # added for each 1,000 servers
 
-    def allowed(self, base: float, servers: int) -> float:
-        return self.factor * base + self.allowance + self.per_thousand_servers * servers / 1000
+    def allowed(self, baseline: float, server_count: int) -> float:
+        return self.factor * baseline + self.allowance + self.per_thousand_servers * server_count / 1000
 
 
 BOUNDS = (
--- a/tests/test_nginx_evaluate.py
+++ b/tests/test_nginx_evaluate.py
@@ -59,12 +59,12 @@
 
 def test_the_uri_follows_a_socket_path_after_a_colon(make_evaluator: MakeEvaluator) -> None:
     """Guards against cutting the socket path at its first slash."""
-    text = make_evaluator(
+    evaluator = make_evaluator(
         "server { location / { proxy_pass http://unix:/run/a.sock; }"
         " location /b/ { proxy_pass http://unix:/run/b.sock:/c/; } }"
     )
-    assert text.evaluate(b"/x").candidates == ("unix:/run/a.sock",)
-    assert sent(text.evaluate(b"/b/x?y")) == ("unix:/run/b.sock", b"/c/x?y")
+    assert evaluator.evaluate(b"/x").candidates == ("unix:/run/a.sock",)
+    assert sent(evaluator.evaluate(b"/b/x?y")) == ("unix:/run/b.sock", b"/c/x?y")
 
 
 REWRITES = """
@@ -127,14 +127,14 @@
 
 
 def test_a_server_may_respond_before_any_location(make_evaluator: MakeEvaluator) -> None:
-    text = make_evaluator(
+    evaluator = make_evaluator(
         "server { if ($arg_gone) { return 410; } rewrite ^/away https://b.org/;"
         " location / { proxy_pass http://main; } }"
     )
-    gone, away = text.evaluate(b"/x?gone=1"), text.evaluate(b"/away")
+    gone, away = evaluator.evaluate(b"/x?gone=1"), evaluator.evaluate(b"/away")
     assert (gone.code, gone.location) == (410, None)
     assert (away.code, away.text) == (302, "https://b.org/")
-    assert sent(text.evaluate(b"/x")) == ("main", b"/x")
+    assert sent(evaluator.evaluate(b"/x")) == ("main", b"/x")
 
 
 IFS = """
@@ -163,12 +163,15 @@
 
 
 def test_set_and_if_choose_the_upstream(make_evaluator: MakeEvaluator) -> None:
-    text = make_evaluator(IFS)
-    assert sent(text.evaluate(b"/x?v=1")) == ("main", b"/x?v=1")
-    assert sent(text.evaluate(b"/x", method="POST")) == ("other", b"/x")
-    assert text.evaluate(b"/x?v=BETA&w=1").text == "/B/?v=BETA&w=1"
-    assert (text.evaluate(b"/x", x_off="1").code, text.evaluate(b"/x", x_off="1").text) == (503, "off")
-    assert sent(text.evaluate(b"/x", x_off="0")) == ("main", b"/x")  # 0 is false
+    evaluator = make_evaluator(IFS)
+    assert sent(evaluator.evaluate(b"/x?v=1")) == ("main", b"/x?v=1")
+    assert sent(evaluator.evaluate(b"/x", method="POST")) == ("other", b"/x")
+    assert evaluator.evaluate(b"/x?v=BETA&w=1").text == "/B/?v=BETA&w=1"
+    assert (evaluator.evaluate(b"/x", x_off="1").code, evaluator.evaluate(b"/x", x_off="1").text) == (
+        503,
+        "off",
+    )
+    assert sent(evaluator.evaluate(b"/x", x_off="0")) == ("main", b"/x")  # 0 is false
 
 
 @pytest.mark.parametrize(("tier", "upstream"), [("", "main"), ("Gold", "other"), ("grey", "main")])
@@ -181,11 +184,11 @@
 
 def test_a_true_if_replaces_the_locations_settings(make_evaluator: MakeEvaluator) -> None:
     """Its proxy_pass applies if it has one; headers and all else are inherited from the location."""
-    text = make_evaluator(IFS)
+    evaluator = make_evaluator(IFS)
     plain, true, other = (
-        text.evaluate(b"/if/x"),
-        text.evaluate(b"/if/x", x_b="b"),
-        text.evaluate(b"/if/x", x_c="1"),
+        evaluator.evaluate(b"/if/x"),
+        evaluator.evaluate(b"/if/x", x_b="b"),
+        evaluator.evaluate(b"/if/x", x_c="1"),
     )
     assert sent(plain) == ("main", b"/sub/x") and plain.headers["x-a"] == "a"
     assert sent(true) == ("main", b"/sub/x") and true.headers["x-a"] == "a"
@@ -259,13 +262,13 @@
 
 
 def test_limit_except_denies_methods_or_proxies_them_elsewhere(make_evaluator: MakeEvaluator) -> None:
-    text = make_evaluator(LIMITED)
-    assert sent(text.evaluate(b"/read", method="HEAD")) == ("main", b"/read")
-    assert text.evaluate(b"/read", method="POST").code == 403
-    assert sent(text.evaluate(b"/split")) == ("main", b"/split")
-    assert sent(text.evaluate(b"/split", method="PUT")) == ("other", b"/split")
+    evaluator = make_evaluator(LIMITED)
+    assert sent(evaluator.evaluate(b"/read", method="HEAD")) == ("main", b"/read")
+    assert evaluator.evaluate(b"/read", method="POST").code == 403
+    assert sent(evaluator.evaluate(b"/split")) == ("main", b"/split")
+    assert sent(evaluator.evaluate(b"/split", method="PUT")) == ("other", b"/split")
     with pytest.raises(NotEvaluatedError, match="limit_except"):
-        text.evaluate(b"/some", method="POST")
+        evaluator.evaluate(b"/some", method="POST")
 
 
 HEADERS = """
@@ -285,21 +288,21 @@
 
 
 def test_headers_are_inherited_all_or_none(make_evaluator: MakeEvaluator) -> None:
-    text = make_evaluator(HEADERS)
-    assert text.evaluate(b"/plain").headers == {"host": "main", "connection": "close", "x-all": "all"}
-    own = text.evaluate(b"/own", host="A.org:80", x_forwarded_for="1.2.3.4")
+    evaluator = make_evaluator(HEADERS)
+    assert evaluator.evaluate(b"/plain").headers == {"host": "main", "connection": "close", "x-all": "all"}
+    own = evaluator.evaluate(b"/own", host="A.org:80", x_forwarded_for="1.2.3.4")
     assert own.headers["host"] == "a.org" and own.headers["x-forwarded-for"] == "1.2.3.4, 127.0.0.1"
     assert own.removed_headers == ("accept-encoding",) and "x-all" not in own.headers
-    assert text.evaluate(b"/own/in").headers == {"host": "10.0.0.1:8080", "connection": "close"}
-    assert text.evaluate(b"/own/inherits").headers["host"] == "a.org"
+    assert evaluator.evaluate(b"/own/in").headers == {"host": "10.0.0.1:8080", "connection": "close"}
+    assert evaluator.evaluate(b"/own/inherits").headers["host"] == "a.org"
 
 
 def test_captures_of_names_and_locations_are_variables(make_evaluator: MakeEvaluator) -> None:
-    text = make_evaluator(
+    evaluator = make_evaluator(
         "server { server_name ~^(?<pool>\\w+)\\.x\\.org$;"
         " location ~ ^/(?<part>\\w+)/(\\d+)$ { proxy_pass http://$pool/$part-$2; } }"
     )
-    assert sent(text.evaluate(b"/ab/12", host="other.x.org")) == ("other", b"/ab-12")
+    assert sent(evaluator.evaluate(b"/ab/12", host="other.x.org")) == ("other", b"/ab-12")
 
 
 @pytest.mark.parametrize(
@@ -326,8 +329,8 @@
 
 
 def test_a_map_that_depends_on_itself_is_reported(make_evaluator: MakeEvaluator) -> None:
-    text = make_evaluator(
+    evaluator = make_evaluator(
         "map $a $b { default $a; } map $b $a { default $b; } server { location / { proxy_pass http://$a; } }"
     )
     with pytest.raises(SourceError, match="depends on itself"):
-        text.evaluate(b"/")
+        evaluator.evaluate(b"/")
