--- a/basaltpoint/rehearsal/__init__.py
+++ b/basaltpoint/rehearsal/__init__.py
@@ -1,1 +1,1 @@
-"""Runs a fleet of real limiters, or its model in virtual time, with injected faults, and checks the outcome."""
+"""Runs a fleet of limiters, or its model in virtual time, with injected faults, and checks the outcome."""
