--- a/basaltpoint/daemon/platform.py
+++ b/basaltpoint/daemon/platform.py
@@ -116,12 +116,12 @@
         loop.add_signal_handler(number, stop.set)
     own_listener = None if inherited_listener else await open_listener_when_free(config.listen, BACKLOG)
     path = socket_path(os.environ.get("TMPDIR"), config.name) if inherited_listener else None
-    claimed = connect_to_predecessor(path) if path else None
+    connected = connect_to_predecessor(path) if path else None
     grace_s = config.settings.drain_grace_ms / 1000
     confirm_within_s = config.settings.discovery_confirm_ms / 1000 if config.settings.must_subscribe else None
     lease = MembershipLease(time.monotonic(), grace_s, confirm_within_s)
     log.info("server lists are %s", "pushed" if confirm_within_s is None else "requested")
-    limiter = Limiter(config, read_predecessor_state(claimed[1]) if claimed else None, lease)
+    limiter = Limiter(config, read_predecessor_state(connected[1]) if connected else None, lease)
     max_connections = int((config.sockets - RESERVED_DESCRIPTORS) * (1 - SERVER_SOCKET_FRACTION))
     clients = ClientConnections(
         limiter,
@@ -142,8 +142,8 @@
     if signals.was_received(signal.SIGTERM, signal.SIGINT):
         stop.set()
     tasks = [loop.create_task(watch.run()), loop.create_task(_sweep(limiter, clients))]
-    upgrade = PlatformUpgrade(limiter, clients, path, claimed[0] if claimed else None) if path else None
-    listening = loop.create_task(_listen(limiter, clients, wait=claimed is not None))
+    upgrade = PlatformUpgrade(limiter, clients, path, connected[0] if connected else None) if path else None
+    listening = loop.create_task(_listen(limiter, clients, wait=connected is not None))
     if config.control:
         tasks.append(loop.create_task(_serve_control(config.control, limiter, clients)))
     log.info("%s listens at %s:%d", config.name, *clients.address)
--- a/basaltpoint/daemon/platform_upgrade.py
+++ b/basaltpoint/daemon/platform_upgrade.py
@@ -138,8 +138,8 @@
     def connection_received(self, sock: socket.socket) -> None:
         self._upgrade._clients.adopt(sock, self._upgrade.started_s)
 
-    def request_completed(self, name: bytes) -> None:
-        self._upgrade._limiter.release_id(name)
+    def request_completed(self, req_id: bytes) -> None:
+        self._upgrade._limiter.release_id(req_id)
 
     def link_closed(self) -> None:
         self._upgrade.predecessor_disconnected()
--- a/basaltpoint/daemon/standalone.py
+++ b/basaltpoint/daemon/standalone.py
@@ -84,37 +84,37 @@
         if self.store_follower:
             await self.store_follower.start()
             self.setup = self.setup_from_store()
-        left = await self._wait_for_predecessor()
-        listeners = self._inherited_listeners(left)
+        inherited = await self._wait_for_predecessor()
+        listeners = self._inherited_listeners(inherited)
         if (
-            left
-            and left.shared
+            inherited
+            and inherited.shared
             and self.store_follower
-            and self.store_follower.adopt_newer_state(left.shared)
+            and self.store_follower.adopt_newer_state(inherited.shared)
         ):
             self.setup = self.setup_from_store()
         if self.fleet:
             await self._join_fleet(
                 self.fleet,
-                left.place if left and FLEET_LISTENER in listeners else None,
+                inherited.place if inherited and FLEET_LISTENER in listeners else None,
                 listeners.pop(FLEET_LISTENER, None),
             )
         downtime_ms = self.store_follower.downtime_s * 1000 if self.store_follower else 0.0
-        if left:
+        if inherited:
             # The ceilings start empty (downtime 0): a customer that is missing in the predecessor's state
             # may have drawn all of its ceiling just before.
             self.relay = Relay(
-                self._with_local_share(self.setup), self._seed, 0.0, left.origin_s, left.started_ms
+                self._with_local_share(self.setup), self._seed, 0.0, inherited.origin_s, inherited.started_ms
             )
             for problem in upgrade_state.import_module_state(
-                self.relay.decision_module, left, self._numbers_by_name(), self.relay.now()
+                self.relay.decision_module, inherited, self._numbers_by_name(), self.relay.now()
             ):
                 log.warning("not taken over: %s", problem)
             log.info("took over from the predecessor")
         else:
             self.relay = Relay(self._with_local_share(self.setup), self._seed, downtime_ms)
         if self.store_follower:
-            self._store_adapter.start(self.store_follower, restores=left is None)
+            self._store_adapter.start(self.store_follower, restores=inherited is None)
         try:
             sock = listeners.pop(CLIENT_LISTENER, None) or await open_listener_when_free(
                 self.setup.listen, BACKLOG
@@ -168,18 +168,18 @@
         log.info("ready: this process serves once its predecessor receives SIGTERM")
         return await self.upgrade.wait_for_state()
 
-    def _inherited_listeners(self, left: UpgradeState | None) -> dict[str, socket.socket]:
+    def _inherited_listeners(self, inherited: UpgradeState | None) -> dict[str, socket.socket]:
         """The predecessor's listening sockets by kind.
 
         Closes those whose address is no longer in the file.
         """
-        if not left or not self.upgrade:
+        if not inherited or not self.upgrade:
             return {}
         wanted = {CLIENT_LISTENER: self.setup.listen}
         if self.fleet:
             wanted[FLEET_LISTENER] = parse_address(self.fleet.setting.table.listen)
         found = {}
-        for kind, sock in zip(left.listeners, self.upgrade.listeners, strict=False):
+        for kind, sock in zip(inherited.listeners, self.upgrade.listeners, strict=False):
             host, port = sock.getsockname()[:2]
             if kind in wanted and wanted[kind] in ((host, port), (host, 0)):
                 sock.setblocking(False)
--- a/basaltpoint/daemon/upgrade.py
+++ b/basaltpoint/daemon/upgrade.py
@@ -54,10 +54,10 @@
     # --- As the successor -------------------------------------------------------------------------------
     def find_predecessor(self) -> bool:
         """Whether there is a predecessor; HandoverError if its handover version is not supported."""
-        claimed = connect_to_predecessor(self._path)
-        if claimed is None:
+        connected = connect_to_predecessor(self._path)
+        if connected is None:
             return False
-        sock, text = claimed
+        sock, text = connected
         try:
             upgrade_state.decode_hello(text)
         except HandoverError:
@@ -157,7 +157,7 @@
     def connection_received(self, sock: socket.socket) -> None:
         self._upgrade.socket_received(sock)
 
-    def request_completed(self, name: bytes) -> None:
+    def request_completed(self, req_id: bytes) -> None:
         pass
 
     def link_closed(self) -> None:
--- a/basaltpoint/fronts/http/relay.py
+++ b/basaltpoint/fronts/http/relay.py
@@ -322,8 +322,8 @@
         name = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
         raw = f"GET {health.path} HTTP/1.1\r\nHost: {name}\r\nUser-Agent: {self.setup.file.name}\r\n\r\n"
 
-        def ended(answer: AttemptResult) -> None:
-            is_healthy = answer.status is Status.OK and check.is_healthy
+        def ended(result: AttemptResult) -> None:
+            is_healthy = result.status is Status.OK and check.is_healthy
             if (is_up := self._checks.record_result(self.now(), server, is_healthy)) is not None:
                 log.info("server %d is %s by its checks", server, "up" if is_up else "down")
                 self.apply_effects(self.table.handle_event(self.now(), api.HealthCheckResult(server, is_up)))
--- a/basaltpoint/fronts/platform/client_request.py
+++ b/basaltpoint/fronts/platform/client_request.py
@@ -40,7 +40,7 @@
         "chunked",
         "closes_connection",
         "exchange",
-        "forward",
+        "forwarded_head",
         "is_complete",
         "is_head_written",
         "keep_alive",
@@ -54,14 +54,14 @@
         self,
         connection: RequestConnection,
         keep: bool,
-        forward: bytes = b"",
+        forwarded_head: bytes = b"",
         body: bytes = b"",
         streamed: bool = False,
         chunked: bool = False,
     ) -> None:
         self._connection = connection
         self.keep_alive = keep
-        self.forward = forward
+        self.forwarded_head = forwarded_head
         self.body = body
         self.streamed = streamed
         self.chunked = chunked
--- a/basaltpoint/fronts/platform/clients.py
+++ b/basaltpoint/fronts/platform/clients.py
@@ -90,13 +90,13 @@
         self._body_bytes = 0  # of bodies that are received or wait for their response
         self._drained_at = 0.0  # start of the drain, monotonic seconds
         self._is_listener_external = external_listener is not None
-        socket_ = external_listener or own_listener or open_listener(address, BACKLOG)
+        listener = external_listener or own_listener or open_listener(address, BACKLOG)
         # Clients may have connected to an external listener before this process started.
         max_age_s = (
             max(cls.deadline_ms for cls in settings.classes) / 1000 if self._is_listener_external else 0.0
         )
         unread_since = monotonic() - max_age_s
-        self._acceptor = Acceptor(socket_, self.adopt, self._has_room, self._make_room, unread_since)
+        self._acceptor = Acceptor(listener, self.adopt, self._has_room, self._make_room, unread_since)
 
     @property
     def address(self) -> Address:
--- a/basaltpoint/fronts/platform/config.py
+++ b/basaltpoint/fronts/platform/config.py
@@ -43,8 +43,8 @@
     zones: tuple[str, ...]
     connect_s: float
     idle_s: float  # after which a server closes an idle connection
-    reuse_s: float  # a connection that was idle for longer is not reused
-    rest_s: float  # nor is one that was idle for less
+    max_reuse_idle_s: float  # a connection that was idle for longer is not reused
+    min_reuse_idle_s: float  # nor is one that was idle for less
     known: Any  # the last known list of servers, in discovery's format
 
 
@@ -118,7 +118,7 @@
         raise ConfigError(str(error)) from None
     zones = settings.get("zones", [])
     idle_s = _number(ceilings, "connIdleMs", DEFAULT_IDLE_MS) / 1000
-    priced = decoded.handshake_cost > 0
+    has_handshake_cost = decoded.handshake_cost > 0
     return Config(
         name=environ.get("GW_NAME") or str(raw.get("name", "")),
         listen=parse_address(environ.get("GW_LISTEN") or raw.get("listen")),
@@ -136,7 +136,9 @@
         zones=tuple(str(zone) for zone in zones) if isinstance(zones, list) else (),
         connect_s=_number(ceilings, "connectTimeoutMs", DEFAULT_CONNECT_TIMEOUT_MS) / 1000,
         idle_s=idle_s,
-        reuse_s=idle_s * REUSE_FRACTION if priced else min(idle_s * REUSE_FRACTION, MAX_REUSE_IDLE_S),
-        rest_s=MIN_REUSE_IDLE_S,
+        max_reuse_idle_s=idle_s * REUSE_FRACTION
+        if has_handshake_cost
+        else min(idle_s * REUSE_FRACTION, MAX_REUSE_IDLE_S),
+        min_reuse_idle_s=MIN_REUSE_IDLE_S,
         known=raw.get("known"),
     )
--- a/basaltpoint/fronts/platform/limiter.py
+++ b/basaltpoint/fronts/platform/limiter.py
@@ -94,7 +94,11 @@
         )  # times in the inherited state use it
         max_connections = int((config.sockets - RESERVED_DESCRIPTORS) * SERVER_SOCKET_FRACTION)
         self._servers = ServerConnections(
-            max_connections, config.connect_s, config.reuse_s, platform_connection, config.rest_s
+            max_connections,
+            config.connect_s,
+            config.max_reuse_idle_s,
+            platform_connection,
+            config.min_reuse_idle_s,
         )
         self.listed_servers = ListedServers(
             config.zones,
@@ -158,20 +162,20 @@
             module,
         )
 
-    def reserve_ids(self, names: Iterable[bytes]) -> None:
+    def reserve_ids(self, req_ids: Iterable[bytes]) -> None:
         """Rejects requests with these Req-Ids as duplicates: another process handles them."""
-        fresh = set(names) - self.table.open_keys
+        fresh = set(req_ids) - self.table.open_keys
         self._reserved |= fresh
         self.table.open_keys |= fresh
 
-    def release_id(self, name: bytes) -> None:
-        if name in self._reserved:
-            self._reserved.discard(name)
-            self.table.open_keys.discard(name)
+    def release_id(self, req_id: bytes) -> None:
+        if req_id in self._reserved:
+            self._reserved.discard(req_id)
+            self.table.open_keys.discard(req_id)
 
     def release_all_ids(self) -> None:
-        for name in list(self._reserved):
-            self.release_id(name)
+        for req_id in list(self._reserved):
+            self.release_id(req_id)
 
     # --- Events of clients and discovery -------------------------------------------------------
     @property
@@ -348,7 +352,7 @@
     def message(self, exchange: RequestExchange) -> bytes:
         """Returns the request for a server, with the time that its attempt has left."""
         left = f"Req-Deadline: {(exchange.attempt_deadline_ms - self.now()) / 1000:.3f}\r\n\r\n"
-        return exchange.client.forward + left.encode() + exchange.client.body
+        return exchange.client.forwarded_head + left.encode() + exchange.client.body
 
     def _trace_dispatch(self, effect: StartAttempt) -> None:
         names = {number: name for name, number in self.listed_servers.numbers.items()}
@@ -365,34 +369,34 @@
         if trace.enabled:
             trace.event("request %d: its attempt's last byte is written", request_number)
 
-    def _attempt_ended(self, exchange: RequestExchange, number: int, reply: AttemptResult) -> None:
+    def _attempt_ended(self, exchange: RequestExchange, number: int, result: AttemptResult) -> None:
         request_number = exchange.request_number
         self._attempts.pop(request_number, None)
         if trace.enabled:
-            trace.event("request %d attempt %d ended: %s", request_number, number, reply.status.value)
+            trace.event("request %d attempt %d ended: %s", request_number, number, result.status.value)
         exchange.ended()
-        load = parse_load_report(self._settings.report_fields, reply.load)
+        load = parse_load_report(self._settings.report_fields, result.load)
         # More units than a request can have are ignored: they would count against the customer.
-        units = reply.units if reply.units <= (self._settings.max_request_units or math.inf) else 0.0
+        units = result.units if result.units <= (self._settings.max_request_units or math.inf) else 0.0
         self.apply_effects(
             self.table.attempt_ended(
                 self.now(),
                 request_number,
                 number,
-                reply.status,
-                usage=reply.usage,
+                result.status,
+                usage=result.usage,
                 report=load,
                 units=units,
-                payload=reply,
+                payload=result,
             )
         )
 
     def _probe(self, server: int) -> None:
         now = self.now()
 
-        def ended(reply: AttemptResult) -> None:
-            load = parse_load_report(self._settings.report_fields, reply.load or reply.body)
-            event = api.ProbeResult(server, reply.status, self.now() - now, load)
+        def ended(result: AttemptResult) -> None:
+            load = parse_load_report(self._settings.report_fields, result.load or result.body)
+            event = api.ProbeResult(server, result.status, self.now() - now, load)
             self.apply_effects(self.table.handle_event(self.now(), event))
 
         self._servers.start_attempt(
--- a/basaltpoint/fronts/platform/listed_servers.py
+++ b/basaltpoint/fronts/platform/listed_servers.py
@@ -111,7 +111,6 @@
                 self._remove(host.name)
 
     def _remove(self, name: str) -> None:
-        """Removes a server."""
         self._connections.remove_server(self.numbers.pop(name))
         self.starts.forget(name)
 
--- a/basaltpoint/fronts/platform/request_exchange.py
+++ b/basaltpoint/fronts/platform/request_exchange.py
@@ -28,7 +28,7 @@
     """A client's request, and how its response is sent."""
 
     @property
-    def forward(self) -> bytes: ...  # request line and headers for the server, without the deadline
+    def forwarded_head(self) -> bytes: ...  # request line and headers for the server, without the deadline
     @property
     def body(self) -> bytes: ...  # empty if the body is streamed
     @property
@@ -65,8 +65,8 @@
     """One request; receives responses that are too long to be buffered."""
 
     __slots__ = (
+        "_buffered_bytes",
         "_handler",
-        "_held_bytes",
         "_is_body_complete",
         "_is_server_full",
         "_pieces",
@@ -104,7 +104,7 @@
         self.is_over = False
         self.write_paused_since: float | None = None  # the server accepts no more of the body
         self._pieces: list[bytes] = []  # of a streamed body, not yet sent to the server
-        self._held_bytes = 0
+        self._buffered_bytes = 0
         self._is_body_complete = not client.streamed
         self.body_complete_at = monotonic()
         self._is_server_full = False
@@ -116,7 +116,7 @@
             self.client.release_body(len(piece))
             return
         self._pieces.append(piece)
-        self._held_bytes += len(piece)
+        self._buffered_bytes += len(piece)
         self._send_body()
 
     def finish_body(self, unread_s: float) -> None:
@@ -129,7 +129,7 @@
         stream = self.stream
         if stream is not None and stream.is_sending_body and not self._is_server_full:
             pieces, self._pieces = self._pieces, []
-            size, self._held_bytes = self._held_bytes, 0
+            size, self._buffered_bytes = self._buffered_bytes, 0
             stream.send_body(b"".join(pieces))
             self.client.release_body(size)
             if self._is_body_complete:
@@ -137,7 +137,9 @@
                 stream.finish_body()
         # Some of it is read ahead while no server accepts it: the end of the stream follows the bytes.
         max_bytes = MAX_READ_AHEAD_BYTES if stream is None else 0
-        self.client.pause_upload(not self.is_over and (self._is_server_full or self._held_bytes > max_bytes))
+        self.client.pause_upload(
+            not self.is_over and (self._is_server_full or self._buffered_bytes > max_bytes)
+        )
 
     # --- The attempt, called by the server connection ----------------------------------------------
     def connected(self, stream: StreamConnection) -> None:
@@ -204,6 +206,6 @@
     def _end(self) -> None:
         self.is_over = True
         if self.client.streamed:
-            self.client.release_body(self._held_bytes)
-            self._held_bytes, self._pieces = 0, []
+            self.client.release_body(self._buffered_bytes)
+            self._buffered_bytes, self._pieces = 0, []
             self.client.pause_upload(False)
--- a/basaltpoint/handover/link.py
+++ b/basaltpoint/handover/link.py
@@ -78,7 +78,7 @@
     def connection_received(self, sock: socket.socket) -> None:
         """The other process passed a socket, such as a client connection between two requests."""
 
-    def request_completed(self, name: bytes) -> None:
+    def request_completed(self, req_id: bytes) -> None:
         """The other process has answered the request with this Req-Id."""
 
     def link_closed(self) -> None:
@@ -97,7 +97,7 @@
     def connection_received(self, sock: socket.socket) -> None:
         sock.close()
 
-    def request_completed(self, name: bytes) -> None:
+    def request_completed(self, req_id: bytes) -> None:
         pass
 
     def link_closed(self) -> None:
@@ -121,9 +121,9 @@
         self._send_queue.append(DOCUMENT_END + parts[-1])
         self._flush()
 
-    def send_request_completed(self, name: bytes) -> None:
+    def send_request_completed(self, req_id: bytes) -> None:
         """Notifies the other process that the request with this Req-Id is answered."""
-        self._send_queue.append(REQUEST_COMPLETED + name[:MAX_MESSAGE_BYTES])
+        self._send_queue.append(REQUEST_COMPLETED + req_id[:MAX_MESSAGE_BYTES])
         self._flush()
 
     def send_connection(self, descriptor: int) -> bool:
--- a/basaltpoint/policy/decision_module.py
+++ b/basaltpoint/policy/decision_module.py
@@ -99,8 +99,8 @@
         if now - self.last_cleanup_ms >= CLEANUP_INTERVAL_MS:
             self.last_cleanup_ms = now
             self._clean_up(now)
-        if act := self.handlers.get(type(event)):
-            act(now, event)
+        if handler := self.handlers.get(type(event)):
+            handler(now, event)
         return self.actions
 
     def _pools_to_update(self, event: api.Event) -> Iterable[Pool]:
--- a/basaltpoint/policy/quota.py
+++ b/basaltpoint/policy/quota.py
@@ -113,9 +113,9 @@
 class Customer:
     """What this limiter knows of one customer: the admitted fraction and an estimate of its quota bucket.
 
-    Requests pass without the admitted fraction when the bucket's estimated level is high enough. This admits
-    bursts within the quota and covers load changes that the meter does not show yet and missing readings. The
-    estimate is wrong when the local share is. Times are in ms, amounts in units.
+    Requests are admitted regardless of the admitted fraction when the bucket's estimated level is high
+    enough. This admits bursts within the quota and covers load changes that the meter does not show yet and
+    missing readings. The estimate is wrong when the local share is. Times are in ms, amounts in units.
     """
 
     # fmt: off
--- a/basaltpoint/system/listening.py
+++ b/basaltpoint/system/listening.py
@@ -39,8 +39,8 @@
         try:
             return open_listener(address, backlog)
         except OSError as error:
-            may_pass = error.errno == errno.EADDRINUSE or is_transient(error)
-            if not may_pass or time.monotonic() >= end_s:
+            is_retryable = error.errno == errno.EADDRINUSE or is_transient(error)
+            if not is_retryable or time.monotonic() >= end_s:
                 raise
             if not logged:
                 log.warning("%s:%d: %s; retrying for up to %.1f s", *address, error, within_s)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -212,8 +212,8 @@
         "zones": ("hall-a", "hall-b"),
         "connect_s": 0.25,
         "idle_s": 30.0,
-        "reuse_s": 0.05,
-        "rest_s": 0.0,  # most tests reuse a connection immediately
+        "max_reuse_idle_s": 0.05,
+        "min_reuse_idle_s": 0.0,  # most tests reuse a connection immediately
         "known": listing(1, *hosts),
     }
     return Config(**{**values, **changes})
--- a/tests/test_moments_ends.py
+++ b/tests/test_moments_ends.py
@@ -345,7 +345,7 @@
     """Its client disconnects while it waits in the backlog."""
 
     async def test() -> None:
-        async with backend(echo) as server, limiter(host("a", server.address), reuse_s=30.0) as rig:
+        async with backend(echo) as server, limiter(host("a", server.address), max_reuse_idle_s=30.0) as rig:
             client = await rig.connect()
             assert (
                 await client.ask(message(ident="first"))
--- a/tests/test_moments_servers.py
+++ b/tests/test_moments_servers.py
@@ -35,7 +35,7 @@
 
         async with (
             backend(script) as server,
-            limiter(host("a", server.address), rest_s=MIN_REUSE_IDLE_S) as rig,
+            limiter(host("a", server.address), min_reuse_idle_s=MIN_REUSE_IDLE_S) as rig,
         ):
             client = await rig.connect()
             assert (await client.ask(message("fix", "one"))).body == b"one"
@@ -256,7 +256,7 @@
     """The disconnection and the failure of its attempt occur in one turn, the failure first."""
 
     async def test() -> None:
-        async with backend() as server, limiter(host("a", server.address), reuse_s=30.0) as rig:
+        async with backend() as server, limiter(host("a", server.address), max_reuse_idle_s=30.0) as rig:
             socks = [socket.create_connection(rig.clients.address) for _ in range(2)]
             for number, sock in enumerate(socks):
                 sock.sendall(message(ident=f"first-{number}"))
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -202,10 +202,10 @@
     assert (got.name, got.listen, got.discovery) == ("n4", ("::1", 9001), ("127.0.0.1", 8500))
     assert (got.seed, got.sockets, got.connect_s, got.idle_s) == (255, 512, 0.25, 30.0)
     assert got.body_bytes == 43 << 20 and got.settings.max_retry_after_ms == 500.0
-    assert got.reuse_s == 0.05
+    assert got.max_reuse_idle_s == 0.05
     priced = {**GOOD, "settings": {**SETTINGS, "prices": {"handshake": 0.08}}}
     file.write_text(json.dumps(priced))
-    assert load({"GW_CONFIG": str(file)}).reuse_s == 15.0
+    assert load({"GW_CONFIG": str(file)}).max_reuse_idle_s == 15.0
     small = {**GOOD, "limits": {"memory_mb": 32}}
     file.write_text(json.dumps(small))
     assert load({"GW_CONFIG": str(file)}).body_bytes == 3 << 20
