--- a/basaltpoint/fronts/platform/config.py
+++ b/basaltpoint/fronts/platform/config.py
@@ -11,9 +11,9 @@
 from basaltpoint.config.address import Address, ConfigError, parse_address
 from basaltpoint.config.settings import SettingsError, parse_settings
 
-DEFAULT_SOCKETS = 1024  # descriptors; the default is the grant in DEPLOY
-DEFAULT_MEMORY_MB = 192.0  # the largest grant in DEPLOY
-PROGRAM_MB = 20.0  # memory of the program with all its tables; 14 MB were measured on the long day
+DEFAULT_SOCKETS = 1024  # file descriptors; the default is the platform's grant
+DEFAULT_MEMORY_MB = 192.0  # the most that the platform grants
+PROGRAM_MB = 20.0  # memory of the program with all its tables; 14 MB were measured in a long run
 BODY_COPIES = 4  # at a time: its pieces, the joined body, the message to a server and its unsent rest
 MIN_BODY_BYTES = 1 << 20
 DEFAULT_CONNECT_TIMEOUT_MS = 250.0
@@ -43,8 +43,8 @@
     zones: tuple[str, ...]
     connect_s: float
     idle_s: float  # after which a server closes an idle connection
-    reuse_s: float  # a connection that was idle for longer is not reused
-    rest_s: float  # nor is one that was idle for less
+    max_reuse_idle_s: float  # a connection that was idle for longer is not reused
+    min_reuse_idle_s: float  # nor is one that was idle for less
     known: Any  # the last known list of servers, in discovery's format
 
 
@@ -118,7 +118,7 @@
         raise ConfigError(str(error)) from None
     zones = settings.get("zones", [])
     idle_s = _number(ceilings, "connIdleMs", DEFAULT_IDLE_MS) / 1000
-    priced = decoded.handshake_cost > 0
+    has_handshake_cost = decoded.handshake_cost > 0
     return Config(
         name=environ.get("GW_NAME") or str(raw.get("name", "")),
         listen=parse_address(environ.get("GW_LISTEN") or raw.get("listen")),
@@ -136,7 +136,9 @@
         zones=tuple(str(zone) for zone in zones) if isinstance(zones, list) else (),
         connect_s=_number(ceilings, "connectTimeoutMs", DEFAULT_CONNECT_TIMEOUT_MS) / 1000,
         idle_s=idle_s,
-        reuse_s=idle_s * REUSE_FRACTION if priced else min(idle_s * REUSE_FRACTION, MAX_REUSE_IDLE_S),
-        rest_s=MIN_REUSE_IDLE_S,
+        max_reuse_idle_s=idle_s * REUSE_FRACTION
+        if has_handshake_cost
+        else min(idle_s * REUSE_FRACTION, MAX_REUSE_IDLE_S),
+        min_reuse_idle_s=MIN_REUSE_IDLE_S,
         known=raw.get("known"),
     )
--- a/basaltpoint/fronts/platform/request_exchange.py
+++ b/basaltpoint/fronts/platform/request_exchange.py
@@ -10,7 +10,8 @@
 from basaltpoint.upstream.servers import AttemptResult
 from basaltpoint.upstream.streams import StreamConnection
 
-CLIENT_CHECK_AFTER_S = 0.05  # an attempt that starts 0.1 s after its client left counts as a lost request
+# An attempt that starts 0.1 s after its client has disconnected counts as a lost request.
+CLIENT_CHECK_AFTER_S = 0.05
 MAX_READ_AHEAD_BYTES = 4 * MAX_BUFFERED_BODY_BYTES  # of a streamed body, before a server accepts any
 
 STATUS_CODES = {
@@ -27,7 +28,7 @@
     """A client's request, and how its response is sent."""
 
     @property
-    def forward(self) -> bytes: ...  # request line and headers for the server, without the deadline
+    def forwarded_head(self) -> bytes: ...  # request line and headers for the server, without the deadline
     @property
     def body(self) -> bytes: ...  # empty if the body is streamed
     @property
@@ -35,9 +36,9 @@
     @property
     def chunked(self) -> bool: ...  # the length of the streamed body is unknown
     @property
-    def client_left_unnoticed(self) -> bool: ...  # the client left while reading was paused
-    def is_client_gone(self) -> bool: ...  # according to the kernel
-    def close_connection(self) -> None: ...  # closes it at once; the client has left
+    def client_disconnected_unnoticed(self) -> bool: ...  # while reading was paused
+    def has_client_disconnected(self) -> bool: ...  # according to the kernel
+    def close_connection(self) -> None: ...  # closes it at once; the client has disconnected
     def send_response(
         self, code: int, body: bytes = b"", content_type: bytes = b"", retry_s: float = 0.0
     ) -> None: ...
@@ -64,8 +65,8 @@
     """One request; receives responses that are too long to be buffered."""
 
     __slots__ = (
+        "_buffered_bytes",
         "_handler",
-        "_held_bytes",
         "_is_body_complete",
         "_is_server_full",
         "_pieces",
@@ -94,7 +95,7 @@
         self.wait_ms = wait_ms  # for the response, from the last byte of the body
         self.request_number = 0
         self.attempt_number = 0  # of the outstanding attempt
-        self.attempt_deadline_ms = 0.0  # of the outstanding attempt, by the module's clock
+        self.attempt_deadline_ms = 0.0  # of the outstanding attempt, by the decision module's clock
         self.attempt: BufferedAttempt | None = None
         self.stream: StreamConnection | None = (
             None  # the server connection, if the body or response is streamed
@@ -103,7 +104,7 @@
         self.is_over = False
         self.write_paused_since: float | None = None  # the server accepts no more of the body
         self._pieces: list[bytes] = []  # of a streamed body, not yet sent to the server
-        self._held_bytes = 0
+        self._buffered_bytes = 0
         self._is_body_complete = not client.streamed
         self.body_complete_at = monotonic()
         self._is_server_full = False
@@ -115,7 +116,7 @@
             self.client.release_body(len(piece))
             return
         self._pieces.append(piece)
-        self._held_bytes += len(piece)
+        self._buffered_bytes += len(piece)
         self._send_body()
 
     def finish_body(self, unread_s: float) -> None:
@@ -128,7 +129,7 @@
         stream = self.stream
         if stream is not None and stream.is_sending_body and not self._is_server_full:
             pieces, self._pieces = self._pieces, []
-            size, self._held_bytes = self._held_bytes, 0
+            size, self._buffered_bytes = self._buffered_bytes, 0
             stream.send_body(b"".join(pieces))
             self.client.release_body(size)
             if self._is_body_complete:
@@ -136,7 +137,9 @@
                 stream.finish_body()
         # Some of it is read ahead while no server accepts it: the end of the stream follows the bytes.
         max_bytes = MAX_READ_AHEAD_BYTES if stream is None else 0
-        self.client.pause_upload(not self.is_over and (self._is_server_full or self._held_bytes > max_bytes))
+        self.client.pause_upload(
+            not self.is_over and (self._is_server_full or self._buffered_bytes > max_bytes)
+        )
 
     # --- The attempt, called by the server connection ----------------------------------------------
     def connected(self, stream: StreamConnection) -> None:
@@ -154,7 +157,7 @@
 
     def is_wanted(self, waited_s: float) -> bool:
         """Returns whether the client is still connected; asks the kernel if the attempt waited."""
-        return waited_s <= CLIENT_CHECK_AFTER_S or not self.client.is_client_gone()
+        return waited_s <= CLIENT_CHECK_AFTER_S or not self.client.has_client_disconnected()
 
     def current_message(self) -> bytes:
         return self._handler.message(self)
@@ -203,6 +206,6 @@
     def _end(self) -> None:
         self.is_over = True
         if self.client.streamed:
-            self.client.release_body(self._held_bytes)
-            self._held_bytes, self._pieces = 0, []
+            self.client.release_body(self._buffered_bytes)
+            self._buffered_bytes, self._pieces = 0, []
             self.client.pause_upload(False)
--- a/basaltpoint/rehearsal/soak/records.py
+++ b/basaltpoint/rehearsal/soak/records.py
@@ -1,6 +1,7 @@
-"""What a soak writes down while it runs: requests, their arrivals at servers, processes, lists.
+"""The data that a soak test records: requests, their arrivals at servers, processes and server lists.
 
-Times are monotonic seconds of the driver's process, which plays clients, servers and discovery.
+Times (`..._at`) are seconds of the monotonic clock of the driver, the process that runs the stand-in clients,
+servers and discovery.
 """
 
 from __future__ import annotations
@@ -12,110 +13,120 @@
 
 
 @dataclass(slots=True)
-class Asked:
-    """One request of a client, from its last byte on."""
+class RequestRecord:
+    """One request of a client."""
 
-    ident: str
+    request_id: str
     limiter: str
     effect: str  # "safe", "keyed" or "unsafe"
-    sent_at: float
-    wait_s: float
-    fresh: bool  # over a new connection: it may not be closed unread
-    whole: bool = True  # all of it was sent
-    left_at: float | None = None  # the client closed the connection
+    sent_at: float  # its last byte
+    timeout_s: float  # that the client announces and waits
+    is_new_connection: bool  # a limiter must not close a new connection before it reads the request
+    is_complete: bool = True  # all of the request was sent
+    disconnected_at: float | None = None  # when the client closed the connection
     ended_at: float | None = None
-    code: int = 0  # of the final answer; 0: the connection ended without one
-    refused: bool = False  # the connection could not be made, or was closed between two requests
+    status_code: int = 0  # of the final response; 0 if the connection ended without one
+    is_unsent: bool = False  # the connection failed, or was closed between two requests
 
 
 @dataclass(slots=True)
 class Arrival:
-    """One attempt as a server saw it; `at`: its first byte."""
+    """One attempt as a server received it."""
 
     server: str
-    at: float
-    ident: str
+    arrived_at: float  # its first byte
+    request_id: str
     key: str
-    told_wait_s: float
-    ran: bool = False  # its work was begun and was no dropped repeat
-    bare: bool = False  # it was answered whole, with no length
+    announced_remaining_s: float  # until the deadline, as the limiter announced it
+    was_executed: bool = False  # the server started the work; False for a repeated request that it dropped
+    is_without_length: bool = False  # the response was complete and had no Content-Length
     ended_at: float | None = None
 
 
 @dataclass(slots=True)
-class Life:
+class ProcessRecord:
     """One process of a limiter."""
 
     limiter: str
     started_at: float
-    told_to_end_at: float | None = None  # SIGTERM
-    killed_at: float | None = None  # SIGKILL
+    sigterm_at: float | None = None
+    sigkill_at: float | None = None
     ended_at: float | None = None
-    code: int | None = None
+    exit_code: int | None = None
 
-    def within(self, at: float) -> bool:
+    def was_running_at(self, at: float) -> bool:
         return self.started_at <= at and (self.ended_at is None or at <= self.ended_at)
 
 
 @dataclass(slots=True)
 class AgentRecord:
-    """What one agent had, and when; `muted_at`: its open watches fell silent."""
+    """The versions of the server list that one agent had."""
 
-    had: list[tuple[float, int]] = field(default_factory=list)
-    muted_at: list[float] = field(default_factory=list)
+    version_history: list[tuple[float, int]] = field(default_factory=list)  # (time, version)
+    silenced_at: list[float] = field(default_factory=list)  # when its open watches stopped delivering changes
 
-    def had_at(self, version: int) -> float | None:
-        """When it first had this version or a later one."""
-        return next((at for at, known in self.had if known >= version), None)
+    def received_at(self, version: int) -> float | None:
+        """Returns when the agent first had this version or a later one; None if it has not."""
+        return next(
+            (
+                received_at
+                for received_at, received_version in self.version_history
+                if received_version >= version
+            ),
+            None,
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class ServerStart:
-    """A server that started cold; discovery told it with this version."""
+    """A server that started cold, and the version of the server list that announced it."""
 
     server: str
-    at: float
+    started_at: float
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class SlowStart:
-    """What the settings allow a cold server, and what a warm one can do.
-
-    `cold_from`: part of its capacity at its start; `cold_s`: until it is warm; it falls when it gets over
-    `tip_multiple` times its capacity for `fall_s`. `capacity`: requests a second of a warm server.
-    """
+    """The load that a cold server withstands according to the settings."""
 
-    cold_from: float
-    cold_s: float
-    tip_multiple: float
-    fall_s: float
-    capacity: float
+    initial_capacity_fraction: float  # of its full capacity that a server has when it starts
+    warm_up_s: float  # until it has its full capacity
+    overload_ratio: float  # it fails above this multiple of its current capacity,
+    overload_window_s: float  # for this long
+    capacity_per_s: float  # full capacity, in requests per second
 
-    def allowed(self, age_s: float) -> float:
-        """Requests in `fall_s` that a server of this age takes."""
-        part = min(1.0, self.cold_from + (1.0 - self.cold_from) * age_s / self.cold_s)
-        return self.tip_multiple * self.capacity * part * self.fall_s
+    def max_requests(self, age_s: float) -> float:
+        """Returns the requests in `overload_window_s` that a server of this age withstands."""
+        capacity_fraction = min(
+            1.0,
+            self.initial_capacity_fraction + (1.0 - self.initial_capacity_fraction) * age_s / self.warm_up_s,
+        )
+        return self.overload_ratio * self.capacity_per_s * capacity_fraction * self.overload_window_s
 
 
 @dataclass(slots=True)
-class Record:
-    """All of a run. `agents`: of each limiter, since when it was configured with which agent."""
+class SoakRecord:
+    """Everything that one run records."""
 
-    grace_s: float
-    window_s: float
-    longest_s: float
-    asked: list[Asked] = field(default_factory=list)
+    drain_grace_s: float
+    deduplication_window_s: float  # in which servers drop a repeated idempotency key
+    max_deadline_s: float  # of all request classes
+    requests: list[RequestRecord] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
-    lives: list[Life] = field(default_factory=list)
+    processes: list[ProcessRecord] = field(default_factory=list)
+    # By limiter: its agents, each with the time from which the limiter was configured with it.
     agents: dict[str, list[tuple[float, AgentRecord]]] = field(default_factory=dict)
-    changes: Sequence[ListChange] = ()
+    list_changes: Sequence[ListChange] = ()
     slow_start: SlowStart | None = None
-    starts: list[ServerStart] = field(default_factory=list)
-    lags: list[tuple[float, float]] = field(default_factory=list)  # when, and how late the driver was
-    log_findings: list[str] = field(default_factory=list)  # lines of the limiters' logs that must not be
-    faults: list[tuple[float, str]] = field(default_factory=list)  # when each began, in words
-
-    def lag_at(self, at: float, before_s: float = 0.3) -> float:
-        """How late the driver may have noted something at this time."""
-        return max((lag for when, lag in self.lags if at - before_s <= when <= at + before_s), default=0.0)
+    server_starts: list[ServerStart] = field(default_factory=list)
+    driver_lags: list[tuple[float, float]] = field(default_factory=list)  # (time, delay in s)
+    log_findings: list[str] = field(default_factory=list)  # lines of the limiters' logs that report an error
+    faults: list[tuple[float, str]] = field(default_factory=list)  # (start, description)
+
+    def driver_lag_at(self, at: float, margin_s: float = 0.3) -> float:
+        """Returns the largest delay (s) of the driver around this time, by which its records may be late."""
+        return max(
+            (lag_s for noted_at, lag_s in self.driver_lags if at - margin_s <= noted_at <= at + margin_s),
+            default=0.0,
+        )
--- a/tests/test_moments_servers.py
+++ b/tests/test_moments_servers.py
@@ -35,7 +35,7 @@
 
         async with (
             backend(script) as server,
-            limiter(host("a", server.address), rest_s=MIN_REUSE_IDLE_S) as rig,
+            limiter(host("a", server.address), min_reuse_idle_s=MIN_REUSE_IDLE_S) as rig,
         ):
             client = await rig.connect()
             assert (await client.ask(message("fix", "one"))).body == b"one"
@@ -225,7 +225,7 @@
                 sock.shutdown(socket.SHUT_WR)
             else:
                 sock.close()
-            await until(lambda: client.is_client_gone())
+            await until(lambda: client.has_client_disconnected())
             for request in requests:
                 request.reply("500 Internal Server Error")  # each would be retried
             await until(lambda: not rig.clients._open and not rig.limiter.open_requests)
@@ -242,7 +242,7 @@
         async with backend() as server, limiter(host("a", server.address)) as rig:
             sock, requests, client = await client_with_unread_requests(server, rig)
             sock.shutdown(socket.SHUT_WR)
-            await until(lambda: client.is_client_gone())
+            await until(lambda: client.has_client_disconnected())
             for request in requests:
                 await echo(request)
             await until(lambda: not rig.clients._open)
@@ -256,7 +256,7 @@
     """The disconnection and the failure of its attempt occur in one turn, the failure first."""
 
     async def test() -> None:
-        async with backend() as server, limiter(host("a", server.address), reuse_s=30.0) as rig:
+        async with backend() as server, limiter(host("a", server.address), max_reuse_idle_s=30.0) as rig:
             socks = [socket.create_connection(rig.clients.address) for _ in range(2)]
             for number, sock in enumerate(socks):
                 sock.sendall(message(ident=f"first-{number}"))
